--- a/bench/control/control-cost.ts
+++ b/bench/control/control-cost.ts
@@ -140,7 +140,7 @@
 	const {history} = system.core;
 	const {version} = history;
 	const follower = new ChangeHistory({check: (_name, condition) => condition}, {event: silent});
-	follower.adopt(history.snapshotText()).unsafeCoerce();
+	follower.applySnapshot(history.snapshotText()).unsafeCoerce();
 	const cpuMs = await cpuMsOf(async () => {
 		for (let change = 0; change < configurationChanges; change++) {
 			await system.propose([{
@@ -158,7 +158,7 @@
 	const texts = history.changesAfter(version).changes;
 	const applyCpuMs = await cpuMsOf(async () => {
 		for (const text of texts) {
-			follower.applyAll([text]).unsafeCoerce();
+			follower.applyChanges([text]).unsafeCoerce();
 		}
 	});
 	return {
--- a/bench/control/counted-edges.ts
+++ b/bench/control/counted-edges.ts
@@ -13,7 +13,7 @@
 	PlatformFault, Table, TableItem, TermClaim,
 } from '../../src/common/services/services.js';
 import {Batch, type Envelope} from '../../src/node/peers/generated/quetzalstream/peer.js';
-import {formatState} from '../../standins/endpoint/wire/orders.js';
+import {formatState} from '../../standins/endpoint/wire/control-commands.js';
 import {reportedParameters} from '../../standins/endpoint/constants.js';
 import {controlSizes, linkOverheadBytes} from './constants.js';
 import type {Traffic} from './types.js';
--- a/bench/fleet/fleet-system.ts
+++ b/bench/fleet/fleet-system.ts
@@ -13,7 +13,7 @@
 import {ProcessSet} from '../../demo/process-set.js';
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import {deploymentSchema} from '../../src/common/settings/deployment-schema.js';
-import type {NodePlace, Placement} from '../../src/common/settings/deployment-plan.js';
+import type {NodeAddresses, ListenAddresses} from '../../src/common/settings/deployment-plan.js';
 import type {SettingsInput} from '../../src/common/settings/settings-schema.js';
 import {subjectName} from './constants.js';
 import {
@@ -47,12 +47,12 @@
 	readonly servedEndpoints: number;
 	private readonly _scenario: Scenario;
 	private readonly _folder: string;
-	private readonly _placement: Placement;
+	private readonly _placement: ListenAddresses;
 	private readonly _hosts: readonly FleetHost[];
 	private readonly _endpoints: readonly FleetEndpoint[];
 	private readonly _processes = new ProcessSet();
 
-	constructor(scenario: Scenario, folder: string, placement: Placement) {
+	constructor(scenario: Scenario, folder: string, placement: ListenAddresses) {
 		this._scenario = scenario;
 		this._folder = folder;
 		this._placement = placement;
@@ -72,7 +72,7 @@
 	}
 
 	/** Where callers reach the measured node. */
-	get subjectPlace(): NodePlace {
+	get subjectPlace(): NodeAddresses {
 		return this._placement.nodes.get(subjectName)!;
 	}
 
@@ -201,7 +201,7 @@
 }
 
 /** Finds places for the processes of a scenario. */
-export async function placeFleet(scenario: Scenario): Promise<Placement> {
+export async function placeFleet(scenario: Scenario): Promise<ListenAddresses> {
 	const hosts = planHosts(scenario);
 	const {endpoints, servedGroups} = planEndpoints(scenario, hosts);
 	const served = endpoints.filter(({group}) => servedGroups.includes(group));
--- a/bench/simulated/bench-caller.ts
+++ b/bench/simulated/bench-caller.ts
@@ -3,7 +3,7 @@
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {CallerSession} from '../../src/common/sessions/caller-session.js';
-import {MarkedSession} from '../../src/common/sessions/marked-session.js';
+import {TokenSessionMarks} from '../../src/common/sessions/token-session-marks.js';
 import {SessionTokenCodec} from '../../src/common/sessions/session-token.js';
 import {HmacTokenSigner} from '../../src/node/callers/token-signer.js';
 import {exchange, type CallerAnswer, type CallerStatement} from '../../soak/caller/exchange.js';
@@ -80,9 +80,9 @@
 	}
 
 	private _session(node: SimulatedNode, group: string, {hasToken, maximumAgeMs, deadlineMs}: Sending): CallerSession {
-		const marks = new MarkedSession(codec, group, 'primary');
+		const marks = new TokenSessionMarks(codec, group, 'primary');
 		if (hasToken && this._token !== undefined) {
-			marks.adopt(this._token);
+			marks.mergeToken(this._token);
 		}
 
 		const session = new CallerSession(node.nextSessionId(), {
--- a/bench/simulated/fleet-cost.ts
+++ b/bench/simulated/fleet-cost.ts
@@ -7,12 +7,12 @@
 import {performance} from 'node:perf_hooks';
 import {Fleet} from '../../src/common/peering/fleet.js';
 import {fakePeering, peerNode} from '../../src/common/peering/testing/peering-fakes.js';
-import type {GroupOverview, PeerNode, PeerRequests} from '../../src/common/services/services.js';
+import type {GroupOverview, PeerNode, PeerRequestHandlers} from '../../src/common/services/services.js';
 import {DirectPeerClient} from '../../src/node/direct-peers/peer-client.js';
 import {DirectPeerServer} from '../../src/node/direct-peers/peer-server.js';
 import {SystemClock} from '../../src/node/system-clock.js';
-import {databases, LineBench} from '../../standins/line/line-bench.js';
-import type {ObservedPeerCall} from '../../standins/line/line-bench.js';
+import {databases, LineTestCluster} from '../../standins/line/line-test-cluster.js';
+import type {ObservedPeerCall} from '../../standins/line/line-test-cluster.js';
 import type {BenchContext, BenchResult, Table} from '../types.js';
 
 const sizes = [30, 100, 200] as const;
@@ -133,7 +133,7 @@
 }
 
 async function countFleet(nodes: number): Promise<Counts> {
-	const bench = new LineBench();
+	const bench = new LineTestCluster();
 	const calls: ObservedPeerCall[] = [];
 	bench.peerCallListener = call => {
 		calls.push(call);
@@ -169,7 +169,7 @@
 	return result;
 }
 
-function reportLater(bench: LineBench): void {
+function reportLater(bench: LineTestCluster): void {
 	bench.clock.setTimer(reportEveryMs, () => {
 		bench.register();
 		reportLater(bench);
@@ -180,10 +180,10 @@
 	return new Set(calls.map(({from, to}) => `${from} ${to}`));
 }
 
-function mostOrdinaryLinks(bench: LineBench, calls: readonly ObservedPeerCall[]): number {
+function mostOrdinaryLinks(bench: LineTestCluster, calls: readonly ObservedPeerCall[]): number {
 	const [{registry, fleet}] = bench.nodes;
 	const homes = new Set(registry.ofService('svc').flatMap(endpoint => fleet.homes(endpoint).map(({name}) => name)));
-	const special = new Set(bench.nodes.filter(node => node.fleet.isAsker || homes.has(node.self.name)).map(({self}) => self.name));
+	const special = new Set(bench.nodes.filter(node => node.fleet.isCoordinator || homes.has(node.self.name)).map(({self}) => self.name));
 	const links = [...linksOf(calls)].map(link => link.split(' ')[0]).filter(from => !special.has(from));
 	return Math.max(...countBy(links, from => from).values());
 }
@@ -213,7 +213,7 @@
 	const startedAtMs = performance.now();
 	for (let round = 0; round < timed.rankings; round++) {
 		// Whatever voids choices, as a node that did not answer does.
-		peering.directory.noteAnswer('n1', round % 2 === 0);
+		peering.directory.reportReachability('n1', round % 2 === 0);
 		for (const endpoint of endpoints) {
 			fleet.homes(endpoint);
 		}
@@ -272,7 +272,7 @@
 	return (user + system) / 1000;
 }
 
-function requestsOf(self: PeerNode): PeerRequests {
+function requestsOf(self: PeerNode): PeerRequestHandlers {
 	const overviews: GroupOverview[] = Array.from({length: deployment.groups}, (_, index) => ({
 		service: `svc-${index}`, primaryId: `i-${index}`, term: 1, heardAgoMs: 12.5, provedAgoMs: 40.25,
 		replacement: {begunTerm: 0, agoMs: 4000.5}, sample: {position: {term: 1, offset: 100 + index}, agoMs: 20.5},
--- a/bench/simulated/line-failover.ts
+++ b/bench/simulated/line-failover.ts
@@ -4,8 +4,8 @@
  * one group. A promotion takes the stand-in 500 ms.
  */
 import {pauseFor} from '../../src/common/lifecycle/timing.js';
-import {databases, LineBench} from '../../standins/line/line-bench.js';
-import type {BenchNode} from '../../standins/line/line-bench.js';
+import {databases, LineTestCluster} from '../../standins/line/line-test-cluster.js';
+import type {LineTestNode} from '../../standins/line/line-test-cluster.js';
 import type {BenchContext, BenchResult, Table} from '../types.js';
 import {percentile} from './statistics.js';
 
@@ -26,18 +26,18 @@
 
 type Event = {
 	readonly name: string;
-	readonly act: (bench: LineBench) => void;
+	readonly act: (bench: LineTestCluster) => void;
 	/** Largest gap that is accepted, in virtual milliseconds. */
 	readonly maximumGapMs: number;
 };
 
-function crash({group}: LineBench): void {
+function crash({group}: LineTestCluster): void {
 	group.instance(firstPrimary).isUp = false;
 }
 
-function cutFrom(nodes: readonly BenchNode[]): void {
+function cutFrom(nodes: readonly LineTestNode[]): void {
 	for (const {connector} of nodes) {
-		connector.cuts.set(firstPrimary, 'silent');
+		connector.connectionFaults.set(firstPrimary, 'silent');
 	}
 }
 
@@ -46,10 +46,10 @@
 	{
 		name: 'crash, store away for 1 s',
 		act(bench) {
-			bench.store.isAway = true;
+			bench.store.isUnavailable = true;
 			crash(bench);
 			bench.clock.setTimer(1000, () => {
-				bench.store.isAway = false;
+				bench.store.isUnavailable = false;
 			});
 		},
 		maximumGapMs: 4500,
@@ -119,7 +119,7 @@
 }
 
 async function sample(event: Event, nodeCount: number, run: number): Promise<Sample> {
-	const bench = new LineBench();
+	const bench = new LineTestCluster();
 	try {
 		await bench.start(nodeCount);
 		const load = new Load(bench);
@@ -137,7 +137,7 @@
 
 /** Callers that write items of their own, and read them at any age that their route allows. */
 class Load {
-	private readonly _bench: LineBench;
+	private readonly _bench: LineTestCluster;
 	private readonly _acknowledged = new Map<string, number>();
 	private _isStopped = false;
 	private _lastAckMs: number;
@@ -145,7 +145,7 @@
 	private _reads = 0;
 	private _readsAtReplicas = 0;
 
-	constructor(bench: LineBench) {
+	constructor(bench: LineTestCluster) {
 		this._bench = bench;
 		this._lastAckMs = bench.clock.nowMs();
 	}
--- a/demo/development-system.ts
+++ b/demo/development-system.ts
@@ -6,7 +6,7 @@
 import {z} from 'zod';
 import {endpointsOf, type Deployment} from '../src/common/settings/deployment-schema.js';
 import {
-	planDeployment, type DeploymentPlan, type EndpointPlace, type EndpointPlan, type NodePlace, type Placement, type PlanOptions,
+	planDeployment, type DeploymentPlan, type EndpointAddresses, type EndpointStandInSettings, type NodeAddresses, type ListenAddresses, type PlanOptions,
 } from '../src/common/settings/deployment-plan.js';
 import type {SettingsInput} from '../src/common/settings/settings-schema.js';
 import {retryPauseMs, servingTimeoutMs} from './constants.js';
@@ -41,13 +41,13 @@
 /** Starts, describes, breaks and stops the processes of one deployment. */
 export class DevelopmentSystem {
 	readonly deployment: Deployment;
-	readonly placement: Placement;
+	readonly placement: ListenAddresses;
 	readonly plan: DeploymentPlan;
 	private readonly _folder: string;
 	private readonly _reporter: Reporter;
 	private readonly _processes = new ProcessSet();
 
-	constructor(deployment: Deployment, placement: Placement, options: SystemOptions) {
+	constructor(deployment: Deployment, placement: ListenAddresses, options: SystemOptions) {
 		this.deployment = deployment;
 		this.placement = placement;
 		this.plan = planDeployment(deployment, placement, options.plan);
@@ -77,12 +77,12 @@
 	}
 
 	/** Where a node listens. */
-	nodePlace(name: string): NodePlace {
+	nodePlace(name: string): NodeAddresses {
 		return found(this.placement.nodes.get(name), name);
 	}
 
 	/** Where an endpoint listens. */
-	endpointPlace(name: string): EndpointPlace {
+	endpointPlace(name: string): EndpointAddresses {
 		return found(this.placement.endpoints.get(name), name);
 	}
 
@@ -185,7 +185,7 @@
 		this._processes.dispose();
 	}
 
-	private async _startEndpoint(settings: EndpointPlan, options: readonly string[]): Promise<void> {
+	private async _startEndpoint(settings: EndpointStandInSettings, options: readonly string[]): Promise<void> {
 		await this._processes.start({
 			name: settings.name, program: programs.endpoint, options, settings, folder: this._folder,
 		});
--- a/demo/placement.ts
+++ b/demo/placement.ts
@@ -5,7 +5,7 @@
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:net';
 import {endpointsOf, type Deployment} from '../src/common/settings/deployment-schema.js';
-import type {Placement} from '../src/common/settings/deployment-plan.js';
+import type {ListenAddresses} from '../src/common/settings/deployment-plan.js';
 
 const platformHost = '127.0.0.1';
 
@@ -13,7 +13,7 @@
 const firstZoneRange = 10;
 
 /** Chooses addresses with ports that are free at the moment. */
-export async function placeDeployment(deployment: Deployment): Promise<Placement> {
+export async function placeDeployment(deployment: Deployment): Promise<ListenAddresses> {
 	const held: Server[] = [];
 	try {
 		const hosts = new ZoneHosts(deployment.zones);
--- a/demo/types.ts
+++ b/demo/types.ts
@@ -2,7 +2,7 @@
  * Types of the demo.
  */
 import type {Deployment} from '../src/common/settings/deployment-schema.js';
-import type {Placement} from '../src/common/settings/deployment-plan.js';
+import type {ListenAddresses} from '../src/common/settings/deployment-plan.js';
 
 /** Options of the command line. */
 export type DemoOptions = {
@@ -30,7 +30,7 @@
 /** What a running system is known by. */
 export type SystemDescription = {
 	readonly deployment: Deployment;
-	readonly placement: Placement;
+	readonly placement: ListenAddresses;
 };
 
 /** Shows what happens. */
--- a/soak/caller/forgetful-session.ts
+++ b/soak/caller/forgetful-session.ts
@@ -1,10 +1,10 @@
 /**
  * A session whose marks are never looked at: a deliberate breakage.
  */
-import {MarkedSession} from '../../src/common/sessions/marked-session.js';
+import {TokenSessionMarks} from '../../src/common/sessions/token-session-marks.js';
 
 /** Has no position to insist on, whatever it was given. */
-export class ForgetfulSession extends MarkedSession {
+export class ForgetfulSession extends TokenSessionMarks {
 	override get isComplete(): boolean {
 		return true;
 	}
--- a/soak/caller/simulated-caller.ts
+++ b/soak/caller/simulated-caller.ts
@@ -4,7 +4,7 @@
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {CallerSession} from '../../src/common/sessions/caller-session.js';
-import {MarkedSession} from '../../src/common/sessions/marked-session.js';
+import {TokenSessionMarks} from '../../src/common/sessions/token-session-marks.js';
 import {SessionTokenCodec} from '../../src/common/sessions/session-token.js';
 import {HmacTokenSigner} from '../../src/node/callers/token-signer.js';
 import {SimulatedProcess} from '../world/simulated-process.js';
@@ -223,9 +223,9 @@
 	/** Each request is a connection of its own, to whichever node, with the session's token. */
 	private _session(node: SimulatedNode, group: string, hasToken = true): CallerSession {
 		const {sabotage, number} = this._plan;
-		const marks = new MarkedSession(codec, group, 'primary');
+		const marks = new TokenSessionMarks(codec, group, 'primary');
 		if (hasToken && this._token !== undefined) {
-			marks.adopt(this._token);
+			marks.mergeToken(this._token);
 		}
 
 		const session = new CallerSession(node.nextSessionId(), {
--- a/soak/processes/access-watch.test.ts
+++ b/soak/processes/access-watch.test.ts
@@ -14,7 +14,7 @@
 		const findings: Finding[] = [];
 		for (const {id, caller, user} of runs) {
 			watch.noteSent(id, watch.callerOf(caller).organisation, id);
-			system.group.instances[0].noteRun(id, user);
+			system.group.instances[0].recordRun(id, user);
 		}
 
 		watch.check(finding => {
--- a/soak/processes/access-watch.ts
+++ b/soak/processes/access-watch.ts
@@ -86,7 +86,7 @@
 
 	/** Judges what ran. */
 	check(report: (finding: Finding) => void): void {
-		const runs = this._system.group.instances.flatMap(instance => [...instance.runs]);
+		const runs = this._system.group.instances.flatMap(instance => [...instance.firstRuns]);
 		for (const [id, {user}] of runs) {
 			const sent = this._sent.get(id);
 			if (sent && sent.organisation !== user) {
--- a/soak/processes/process-faults.ts
+++ b/soak/processes/process-faults.ts
@@ -3,10 +3,10 @@
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import type {Random} from '../../src/common/services/services.js';
-import type {StoreCopy} from '../../standins/line/memory-row-store.js';
+import type {StoreSnapshot} from '../../standins/line/memory-row-store.js';
 import type {ProxyMode} from '../../standins/line/faulty-proxy.js';
-import type {Link, LineSystem, PromotionConduct} from '../../standins/line/processes/line-system.js';
-import {usualConduct} from '../../standins/line/processes/line-system.js';
+import type {ProxiedLink, LineSystem, PromotionBehaviour} from '../../standins/line/processes/line-system.js';
+import {defaultPromotionBehaviour} from '../../standins/line/processes/line-system.js';
 import type {NodeProcess} from '../../standins/line/processes/node-process.js';
 
 /** A fault: begins, lasts, and is undone. */
@@ -56,7 +56,7 @@
 	}
 }
 
-const answers: ReadonlyArray<PromotionConduct['answer']> = ['given', 'given', 'lost', 'denied'];
+const answers: ReadonlyArray<PromotionBehaviour['answer']> = ['given', 'given', 'lost', 'denied'];
 
 /** What a zone's cut looks like to those who connect across it. */
 const cutModes: readonly ProxyMode[] = ['silent', 'refuse'];
@@ -88,7 +88,7 @@
 		for (const node of system.nodes) {
 			await node.end('SIGTERM');
 			await restart(node);
-			await node.becomeReady();
+			await node.waitUntilReady();
 		}
 	},
 	async crashInstance(system, dice) {
@@ -101,13 +101,13 @@
 		const {id} = dice.pick([...standing, ...standing.filter(({isPrimary}) => isPrimary)]);
 		system.crash(id);
 		await pause(dice.durationMs());
-		system.revive(id);
+		system.restartWithLog(id);
 	},
 	/** Replicas only: writes that none had confirmed are lost with a primary's memory, as docs/PROOFS.md says. */
 	async restartReplica(system, dice) {
-		const whole = system.group.instances.filter(({isUp, isCutOff, isDeaf}) => isUp && !isCutOff && !isDeaf);
+		const whole = system.group.instances.filter(({isUp, isIsolated: isCutOff, isReplicationBlocked: isDeaf}) => isUp && !isCutOff && !isDeaf);
 		if (whole.length === system.group.instances.length) {
-			system.restart(dice.pick(whole.filter(({isPrimary}) => !isPrimary)).id);
+			system.restartEmpty(dice.pick(whole.filter(({isPrimary}) => !isPrimary)).id);
 		}
 	},
 	async disturbInstance(system, dice) {
@@ -131,25 +131,25 @@
 	async cutZone(system, dice) {
 		const {instances} = system.group;
 		const instance = dice.pick([...instances, ...instances.filter(({isPrimary}) => isPrimary)]);
-		if (instance.isCutOff) {
+		if (instance.isIsolated) {
 			return;
 		}
 
-		instance.isCutOff = true;
+		instance.isIsolated = true;
 		await disturb(system.linksAcross(system.zoneOf(instance.id)), dice.pick(cutModes), dice.longMs());
-		instance.isCutOff = false;
+		instance.isIsolated = false;
 	},
 	async deafenReplica(system, dice) {
 		const replica = dice.pick(system.group.instances.filter(({isPrimary}) => !isPrimary));
-		if (replica.isDeaf) {
+		if (replica.isReplicationBlocked) {
 			return;
 		}
 
-		replica.isDeaf = true;
+		replica.isReplicationBlocked = true;
 		replica.missesPromotions = true;
 		// Longer than a zone's cut: it may be the last to hear of a new term.
 		await pause(2 * dice.longMs());
-		replica.isDeaf = false;
+		replica.isReplicationBlocked = false;
 		replica.missesPromotions = false;
 	},
 	async cutZoneBesideDeafReplica(system, dice) {
@@ -157,15 +157,15 @@
 	},
 	async disturbPromotions(system, dice) {
 		const conduct = {answer: dice.pick(answers), answerMs: dice.partOf(longestOrderMs), effectMs: dice.partOf(longestOrderMs)};
-		system.conduct = conduct;
+		system.promotionBehaviour = conduct;
 		await processFaults[dice.pick(replacing)](system, dice);
-		system.conduct = usualConduct;
+		system.promotionBehaviour = defaultPromotionBehaviour;
 		// What was ordered has taken effect before this fault counts as undone.
 		await pause(conduct.effectMs);
 	},
 	/** The node that promotes is gone or stands still right after it took the duty or ordered. */
 	async loseActingNode(system, dice) {
-		const acting = system.nextStep(dice.pick(['duty', 'order'] as const));
+		const acting = system.nextPromotionStep(dice.pick(['duty', 'order'] as const));
 		const isKilled = dice.pick([true, false]);
 		const stoppedMs = dice.durationMs();
 		const replaced = processFaults[dice.pick(replacing)](system, dice);
@@ -182,12 +182,12 @@
 		await replaced;
 	},
 	async storeAway(system, dice) {
-		system.store.isAway = true;
+		system.store.isUnavailable = true;
 		await pause(dice.durationMs());
-		system.store.isAway = false;
+		system.store.isUnavailable = false;
 	},
 	async storeForgets(system) {
-		system.store.answersToLose = lostAnswers;
+		system.store.writeAnswersToLose = lostAnswers;
 		system.store.dropHistory();
 		system.configure();
 	},
@@ -197,7 +197,7 @@
 export const restoreFaults: Readonly<Record<string, Fault>> = {
 	/** A copy is up to some seconds old; at times the store comes back from it twice, or while a node acts. */
 	async restoreStore(system, dice) {
-		const copy = system.store.takeCopy();
+		const copy = system.store.takeSnapshot();
 		await pause(dice.partOf(oldestCopyMs));
 		await restoreFrom(copy, system, dice);
 		if (dice.pick([true, false, false])) {
@@ -205,8 +205,8 @@
 		}
 	},
 	async restoreStoreInPromotion(system, dice) {
-		const copy = system.store.takeCopy();
-		const acting = system.nextStep(dice.pick(['duty', 'order'] as const));
+		const copy = system.store.takeSnapshot();
+		const acting = system.nextPromotionStep(dice.pick(['duty', 'order'] as const));
 		const replaced = processFaults[dice.pick(replacing)](system, dice);
 		const node = await Promise.race([acting, replaced.then(() => undefined)]);
 		const restored = restoreFrom(copy, system, dice);
@@ -218,7 +218,7 @@
 		await Promise.all([replaced, restored]);
 	},
 	async startNodeInRestore(system, dice) {
-		const copy = system.store.takeCopy();
+		const copy = system.store.takeSnapshot();
 		await pause(dice.partOf(oldestCopyMs));
 		const node = dice.pick(system.nodes);
 		await Promise.all([
@@ -231,12 +231,12 @@
 /** Every fault. */
 export const allFaults: Readonly<Record<string, Fault>> = {...processFaults, ...restoreFaults};
 
-async function restoreFrom(copy: StoreCopy, system: LineSystem, dice: Dice): Promise<void> {
+async function restoreFrom(copy: StoreSnapshot, system: LineSystem, dice: Dice): Promise<void> {
 	await system.restoreStore(copy, {awayMs: dice.partOf(storeAwayMs), againMs: dice.partOf(writtenAgainMs)});
 }
 
-async function disturb(links: readonly Link[], mode: ProxyMode, forMs: number): Promise<void> {
-	const undo = links.map(({proxy}) => proxy.disturb(mode));
+async function disturb(links: readonly ProxiedLink[], mode: ProxyMode, forMs: number): Promise<void> {
+	const undo = links.map(({proxy}) => proxy.injectFault(mode));
 	if (mode === 'refuse') {
 		for (const {proxy} of links) {
 			proxy.reset();
--- a/soak/processes/process-run.ts
+++ b/soak/processes/process-run.ts
@@ -236,7 +236,7 @@
 /** No write is acknowledged that took effect at an old primary once a later term had begun. */
 function checkAcknowledged({group}: LineSystem, writes: ReadonlyMap<string, boolean>, report: (finding: Finding) => void): void {
 	for (const {id, instance, term, atMs} of group.commits) {
-		const later = group.termStarts.find(start => start.term > term && start.atMs < atMs);
+		const later = group.promotionEffects.find(start => start.term > term && start.atMs < atMs);
 		if (later && writes.get(id) === true) {
 			const lateMs = Math.round(atMs - later.atMs);
 			report({promise: 'ackedAtOldPrimary', detail: `${id} took effect at ${instance} in term ${term}, ${lateMs} ms after ${later.instance} led term ${later.term}`});
--- a/soak/watch/configuration-watch.ts
+++ b/soak/watch/configuration-watch.ts
@@ -152,7 +152,7 @@
 
 	/** A change has the same content wherever it is in force. */
 	private _checkContent(node: SimulatedNode, {number, changeId}: Change): void {
-		const found = node.core.history.since(number - 1)?.at(0);
+		const found = node.core.history.keptChangesAfter(number - 1)?.at(0);
 		if (found && found.changeId !== changeId) {
 			this.findings.push({promise: 'configurationAltered', detail: `change ${number} on ${node.process.name} is ${found.changeId}, accepted was ${changeId}`});
 		}
--- a/soak/world/operators.ts
+++ b/soak/world/operators.ts
@@ -37,7 +37,7 @@
 		const {changeLog, history} = node.core;
 		const undo = new Undo(changeLog, history);
 		const proposal = {changeId: `change-${this._changeCount}-00000000`, author, basedOn: history.version};
-		const undone = history.since(changeNumber - 1)?.at(0);
+		const undone = history.keptChangesAfter(changeNumber - 1)?.at(0);
 		this._observer?.onProposed(undone?.inverse ?? []);
 		return this._decide(node, async acknowledged => undo.propose(changeNumber, {...proposal, acknowledged}));
 	}
--- a/soak/world/remote-request.ts
+++ b/soak/world/remote-request.ts
@@ -6,7 +6,7 @@
 import type {Refusal} from '../../src/common/errors/error-kinds.js';
 import type {AnswerSink, HomeEnd, HomeRequest} from '../../src/common/services/services.js';
 import {peerDefaults} from '../../src/node/peers/constants.js';
-import {progressOf, unanswered} from '../../src/node/peers/unanswered.js';
+import {progressOf, unansweredRefusal} from '../../src/node/peers/unanswered.js';
 import type {SimulatedNetwork} from './simulated-network.js';
 import type {PeerEnd} from './simulated-peers.js';
 import type {SimulatedProcess} from './simulated-process.js';
@@ -133,7 +133,7 @@
 
 	private _giveUp(cause: 'linkLost' | 'deadline', detail: string): void {
 		const progress = progressOf(this._asked.request, true, this._hasPushed);
-		this._end(Left(unanswered(cause, progress, detail)), cause === 'deadline');
+		this._end(Left(unansweredRefusal(cause, progress, detail)), cause === 'deadline');
 	}
 
 	private _end(result: Either<Refusal, HomeEnd>, isReachable: boolean): void {
--- a/soak/world/simulated-endpoint.ts
+++ b/soak/world/simulated-endpoint.ts
@@ -8,9 +8,9 @@
 import {Instance} from '../../standins/endpoint/instance.js';
 import {SqlEngine} from '../../standins/endpoint/sql/engine.js';
 import type {LagDistribution, StreamReceiver, StreamRequest} from '../../standins/endpoint/types.js';
-import {AnswerWriter} from '../../standins/endpoint/wire/answer-writer.js';
+import {BackendMessageWriter} from '../../standins/endpoint/wire/backend-message-writer.js';
 import {Connection, type ConnectionOutput} from '../../standins/endpoint/wire/connection.js';
-import {Slots} from '../../standins/endpoint/wire/slots.js';
+import {StatementSlots} from '../../standins/endpoint/wire/slots.js';
 import type {SimulatedNetwork} from './simulated-network.js';
 import {SimulatedProcess} from './simulated-process.js';
 import {reportState} from './state-reports.js';
@@ -50,7 +50,7 @@
 	/** The host under the process: it accepts and resets connections whatever the process does. */
 	readonly host: SimulatedProcess;
 	readonly instance: Instance;
-	readonly slots: Slots;
+	readonly slots: StatementSlots;
 	/** Share of the statements that take very long. */
 	slowShare = 0;
 	private readonly _plan: EndpointPlan;
@@ -72,7 +72,7 @@
 		this.host = new SimulatedProcess(`host of ${plan.address.name}`, plan.address.availabilityZone, clock, plan.address.name);
 		const random = new SeededRandom(plan.seed);
 		this._random = random;
-		this.slots = new Slots(plan.slots);
+		this.slots = new StatementSlots(plan.slots);
 		this.instance = new Instance({
 			...instanceDefaults,
 			name: plan.address.name,
@@ -209,7 +209,7 @@
 			this._plan.observer?.onFull(this.process.name, startUp);
 		}
 
-		const writer = new AnswerWriter();
+		const writer = new BackendMessageWriter();
 		writer.error(isFull ? {sqlState: '53300', message: 'too many connections'} : {sqlState: '55006', message: `${startUp.appName} is not attached`}, 'FATAL');
 		output.write(writer.take());
 		output.end();
--- a/soak/world/simulated-node.ts
+++ b/soak/world/simulated-node.ts
@@ -10,7 +10,7 @@
 } from '../../src/common/services/services.js';
 import {PgEndpointConnector} from '../../src/node/endpoints/pg-endpoint-connector.js';
 import type {Dial} from '../../src/node/endpoints/types.js';
-import {StartGreeting} from '../../src/node/start-greeting.js';
+import {InitialDiscovery} from '../../src/node/initial-discovery.js';
 import type {PlatformClient} from '../../standins/platform/memory-platform.js';
 import type {SimulatedNetwork} from './simulated-network.js';
 import {platformFor} from './process-platform.js';
@@ -61,7 +61,7 @@
 	servedCount = 0;
 	isDraining = false;
 	isClosing = false;
-	private readonly _greeting: StartGreeting;
+	private readonly _greeting: InitialDiscovery;
 	private _sessionCount = 0;
 
 	constructor(plan: NodePlan, process: SimulatedProcess, host: SimulatedProcess, surroundings: NodeSurroundings) {
@@ -96,7 +96,7 @@
 			}),
 		}, plan.options);
 		const {membership, peers} = this.core;
-		this._greeting = new StartGreeting({...services, membership, peers});
+		this._greeting = new InitialDiscovery({...services, membership, peers});
 		adjustments.node?.(this);
 	}
 
--- a/src/common/audit/audit-buffer.ts
+++ b/src/common/audit/audit-buffer.ts
@@ -58,7 +58,7 @@
 	 * Forgets the batch; the entry about dropped ones follows what was kept before them.
 	 * Returns how many that entry tells of.
 	 */
-	finish(atMs: number): number {
+	completeBatch(atMs: number): number {
 		this._batch = [];
 		const count = this._droppedCount;
 		if (count > 0) {
@@ -76,9 +76,9 @@
 	}
 
 	/** Counts the entries of a batch that can't be written as dropped, and forgets it. */
-	abandon(atMs: number): number {
+	discardBatch(atMs: number): number {
 		this._droppedCount += this._batch.length;
-		return this.finish(atMs);
+		return this.completeBatch(atMs);
 	}
 
 	private _batchLength(): number {
--- a/src/common/audit/audit-keys.ts
+++ b/src/common/audit/audit-keys.ts
@@ -30,13 +30,13 @@
 }
 
 /** Time that a sort key or a cursor begins with; undefined when it is neither. */
-export function timeOf(key: string): number | undefined {
+export function timeOfKey(key: string): number | undefined {
 	const digits = /^(?<digits>\d{15})(?:#|$)/v.exec(key)?.groups?.digits;
 	return digits === undefined ? undefined : largestTimeMs - Number(digits);
 }
 
 /** Sort key of a batch by its latest time and its first entry. */
-export function batchSort(latestMs: number, first: AuditRecord): string {
+export function batchSortKey(latestMs: number, first: AuditRecord): string {
 	return `${timePrefix(latestMs)}#${first.node}#${String(first.sequence).padStart(sequenceDigits, '0')}`;
 }
 
--- a/src/common/audit/audit-reader.ts
+++ b/src/common/audit/audit-reader.ts
@@ -6,7 +6,7 @@
 import type {PlatformFault, Table, TableItem} from '../services/services.js';
 import {parseJsonWith} from '../configuration/problems.js';
 import {
-	dayMs, dayStartMs, partitionOf, recordKey, timeOf, timePrefix,
+	dayMs, dayStartMs, partitionOf, recordKey, timeOfKey, timePrefix,
 } from './audit-keys.js';
 import type {AuditOptions} from './constants.js';
 import {auditRecordSchema, type AuditPage, type AuditRecord} from './types.js';
@@ -33,7 +33,7 @@
 	}
 
 	async read(): Promise<Either<PlatformFault, AuditPage>> {
-		const cursorMs = timeOf(this._before);
+		const cursorMs = timeOfKey(this._before);
 		if (cursorMs === undefined) {
 			return Left({kind: 'invalid', detail: 'not a place in the audit trail'});
 		}
@@ -69,7 +69,7 @@
 			const items: readonly TableItem[] = queried.orDefault([]);
 			this._collect(items);
 			const last = items.at(-1)?.sort ?? '';
-			const isOver = items.length < pageItems || this._isFilledAfter(timeOf(last) ?? 0);
+			const isOver = items.length < pageItems || this._isFilledAfter(timeOfKey(last) ?? 0);
 			afterSort = isOver ? undefined : last;
 		}
 
--- a/src/common/audit/audit-trail.ts
+++ b/src/common/audit/audit-trail.ts
@@ -13,7 +13,7 @@
 } from '../services/services.js';
 import {AuditBuffer} from './audit-buffer.js';
 import {
-	batchSort, dayMs, partitionOf, timePrefix,
+	batchSortKey, dayMs, partitionOf, timePrefix,
 } from './audit-keys.js';
 import {AuditReader} from './audit-reader.js';
 import {auditDefaults, type AuditOptions} from './constants.js';
@@ -107,11 +107,11 @@
 		const written = await table.put(this._itemOf(batch), 0);
 		if (written.isRight()) {
 			this._backoff.reset();
-			this._note('written', batch.length, this._buffer.finish(clock.wallClockMs()));
+			this._note('written', batch.length, this._buffer.completeBatch(clock.wallClockMs()));
 			await this._pause(this._buffer.size > 0 ? this._options.writeIntervalMs : 0);
 		} else if (written.isLeft() && written.extract().kind === 'conditionFailed') {
 			// The item belongs to another process under the same name and incarnation.
-			this._note('dropped', batch.length, this._buffer.abandon(clock.wallClockMs()));
+			this._note('dropped', batch.length, this._buffer.discardBatch(clock.wallClockMs()));
 		} else {
 			this._backoff.fail();
 			await this._sleep.wait(this._backoff.remainingMs);
@@ -123,7 +123,7 @@
 		const latestMs = Math.max(...batch.map(({atMs}) => atMs));
 		return {
 			partition: partitionOf(latestMs),
-			sort: batchSort(latestMs, first),
+			sort: batchSortKey(latestMs, first),
 			changeId: `${first.node}/${first.sequence}/${this._writerId}`,
 			body: JSON.stringify(batch),
 		};
--- a/src/common/audit/row-audit.test.ts
+++ b/src/common/audit/row-audit.test.ts
@@ -5,7 +5,7 @@
 import {MemoryRowStore} from '../../../standins/line/memory-row-store.js';
 import {restoreDefaults} from '../store/constants.js';
 import {RestoreWatch} from '../store/restore-watch.js';
-import {WatchedRows} from '../store/watched-rows.js';
+import {VersionObservingStore} from '../store/version-observing-store.js';
 import {RecordingLog, silentMetrics} from '../testing/observers.js';
 import {VirtualClock} from '../testing/virtual-clock.js';
 import {auditTable, RowAudit} from './row-audit.js';
@@ -13,7 +13,7 @@
 describe('RowAudit', () => {
 	let clock: VirtualClock;
 	let store: MemoryRowStore;
-	let watched: WatchedRows;
+	let watched: VersionObservingStore;
 	let audit: RowAudit;
 
 	function record(subject: string): void {
@@ -34,7 +34,7 @@
 		const restores = new RestoreWatch({
 			clock, log, metrics: silentMetrics, options: restoreDefaults,
 		});
-		watched = new WatchedRows(store, restores);
+		watched = new VersionObservingStore(store, restores);
 		audit = new RowAudit({
 			clock, log, restores, store: watched, node: 'n1',
 		});
@@ -56,11 +56,11 @@
 	});
 
 	it('keeps an entry that waited for long from its writing on', async () => {
-		store.isAway = true;
+		store.isUnavailable = true;
 		record('late');
 		await clock.advance(120_000);
-		const copy = store.takeCopy();
-		store.isAway = false;
+		const copy = store.takeSnapshot();
+		store.isUnavailable = false;
 		await clock.advance(2000);
 		expect(await subjects()).toEqual(['late']);
 		store.restore(copy);
@@ -72,7 +72,7 @@
 	it('writes entries again that a store has lost by coming back from an older copy, once', async () => {
 		record('kept');
 		await clock.advance(10);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		record('lost');
 		await clock.advance(1000);
 		store.restore(copy);
--- a/src/common/audit/row-audit.ts
+++ b/src/common/audit/row-audit.ts
@@ -3,7 +3,7 @@
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
-import type {Restores} from '../store/restore-watch.js';
+import type {RestoreStatus} from '../store/restore-watch.js';
 import type {
 	Audit, AuditEntry, Clock, Log, PlatformFault, RowStore,
 } from '../services/services.js';
@@ -32,7 +32,7 @@
 	readonly clock: Clock;
 	readonly log: Log;
 	readonly store: RowStore;
-	readonly restores: Restores;
+	readonly restores: RestoreStatus;
 	/** Name of this node. */
 	readonly node: string;
 };
--- a/src/common/catalog/endpoint-registry.test.ts
+++ b/src/common/catalog/endpoint-registry.test.ts
@@ -22,7 +22,7 @@
 	configurationKey: 'key',
 	endpointTable: 'endpoints',
 	decodeRoutes: () => undefined,
-	withoutKeys: value => value,
+	redactKeys: value => value,
 	digestOf: key => key,
 	decodeEndpoint: (key, value) => value.startsWith('{') ? {...registration, id: key, ...fieldsOf(value)} : undefined,
 };
@@ -41,7 +41,7 @@
 
 	function put(key: string, value: Partial<EndpointRegistration> | string | undefined): void {
 		version += 1;
-		registry.takeRow({
+		registry.applyRow({
 			table: formats.endpointTable, key, version, value: typeof value === 'object' ? JSON.stringify(value) : value,
 		});
 	}
@@ -89,7 +89,7 @@
 		}
 
 		expect(events.filter(name => name === 'registrationUnreadable').length).toEqual(1);
-		registry.takeSnapshot([]);
+		registry.applySnapshot([]);
 		put('i-1', 'bytes');
 		expect(events.filter(name => name === 'registrationUnreadable').length).toEqual(2);
 	});
@@ -117,7 +117,7 @@
 		const row = (key: string) => ({
 			table: formats.endpointTable, key, version: 1, value: '{}',
 		});
-		registry.takeSnapshot([row('i-1'), row('i-2')]);
+		registry.applySnapshot([row('i-1'), row('i-2')]);
 		expect(returned).toEqual([]);
 		put('i-3', {});
 		expect(returned).toEqual(['i-3']);
@@ -137,10 +137,10 @@
 		store.put(formats.endpointTable, 'i-1', '{}');
 		followed.start();
 		await clock.advance(100);
-		store.isAway = true;
+		store.isUnavailable = true;
 		await clock.advance(4000);
 		store.put(formats.endpointTable, 'i-1', undefined);
-		store.isAway = false;
+		store.isUnavailable = false;
 		await clock.advance(1500);
 		expect(followed.endpoint('i-1')?.id).toEqual('i-1');
 		store.put(formats.endpointTable, 'i-1', '{}');
--- a/src/common/catalog/endpoint-registry.ts
+++ b/src/common/catalog/endpoint-registry.ts
@@ -11,7 +11,7 @@
 } from '../services/services.js';
 import {groupBy} from '../configuration/group-by.js';
 import {eraOf} from '../store/store-version.js';
-import type {FollowedTable, FollowerServices, TableReader} from './table-follower.js';
+import type {FollowedTable, FollowerServices, TableSubscriber} from './table-follower.js';
 import {TableFollower} from './table-follower.js';
 
 /** What tells the starts of an endpoint apart, and the store's era in which it was known last. */
@@ -21,7 +21,7 @@
 type RestartSign = 'startTime' | 'reportNumber';
 
 /** Follows the registrations. */
-export class EndpointRegistry implements TableReader, Disposable {
+export class EndpointRegistry implements TableSubscriber, Disposable {
 	/** Fires with the name of a service whose endpoints changed. */
 	readonly onChange: Event<string>;
 	/**
@@ -67,8 +67,8 @@
 	}
 
 	/** Whether the store could not be asked the last time. */
-	get isStoreAway(): boolean {
-		return this._follower.isAway;
+	get isStoreUnavailable(): boolean {
+		return this._follower.isUnavailable;
 	}
 
 	/** Starts to follow; the task ends when the registry is disposed. */
@@ -102,7 +102,7 @@
 		return this._endpoints.get(id);
 	}
 
-	takeSnapshot(rows: readonly StoredRow[]): void {
+	applySnapshot(rows: readonly StoredRow[]): void {
 		const present = new Set(rows.map(({key}) => key));
 		for (const key of [...this._endpoints.keys(), ...this._unreadable]) {
 			if (!present.has(key)) {
@@ -112,13 +112,13 @@
 		}
 
 		for (const row of rows) {
-			this.takeRow(row);
+			this.applyRow(row);
 		}
 
 		this._isLoaded = true;
 	}
 
-	takeRow({key, value, version}: StoredRow): void {
+	applyRow({key, value, version}: StoredRow): void {
 		if (value === undefined) {
 			this._unreadable.delete(key);
 			this._noteMissing(key);
@@ -149,7 +149,7 @@
 	 * arrive right after its return: a primary that lived was dropped, with its connections.
 	 */
 	private get _mayReturn(): boolean {
-		return this._follower.isAway || this._follower.backForMs < this._services.options.returnGraceMs;
+		return this._follower.isUnavailable || this._follower.recoveredForMs < this._services.options.returnGraceMs;
 	}
 
 	/** Nobody knows what runs there until its endpoint, if it lives, has said so again. */
@@ -193,7 +193,7 @@
 	 * endpoint, or that it is gone. An endpoint that lives says more within the grace time.
 	 */
 	private _isOfOlderCopy({startedAtMs, reportNumber, era}: Omit<Start, 'incarnation'>, id: string, before: Start | undefined): boolean {
-		if (!before || era <= before.era || this._follower.backForMs >= this._services.options.returnGraceMs) {
+		if (!before || era <= before.era || this._follower.recoveredForMs >= this._services.options.returnGraceMs) {
 			return false;
 		}
 
--- a/src/common/catalog/route-catalog.ts
+++ b/src/common/catalog/route-catalog.ts
@@ -8,9 +8,9 @@
 	Organisation, Route, RouteTable, RowFormats, RowStore, StoredRow,
 } from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
-import type {Restores} from '../store/restore-watch.js';
+import type {RestoreStatus} from '../store/restore-watch.js';
 import {Organisations} from '../organisations/organisations.js';
-import type {FollowedTable, FollowerServices, TableReader} from './table-follower.js';
+import type {FollowedTable, FollowerServices, TableSubscriber} from './table-follower.js';
 import {TableFollower} from './table-follower.js';
 
 const nothing: RouteTable = {
@@ -27,11 +27,11 @@
 	readonly provingStore: RowStore;
 	/** Time in which a revoked key must count no more; undefined where only nodes in touch with the store owe that. */
 	readonly keyRevocationMs: number | undefined;
-	readonly restores: Restores;
+	readonly restores: RestoreStatus;
 };
 
 /** Follows the configuration in the store and answers who serves a database. */
-export class RouteCatalog implements TableReader, Disposable {
+export class RouteCatalog implements TableSubscriber, Disposable {
 	/** Fires with the version that has come into force. */
 	readonly onChange: Event<number>;
 
@@ -54,8 +54,8 @@
 		this._formats = formats;
 		this._follower = new TableFollower(formats.configurationTable, this, services, {
 			waitMs: () => this._mustProve ? services.options.provingWaitMs : services.options.followWaitMs,
-			keep: value => formats.withoutKeys(value),
-			mayProve: () => services.restores.isSettled && this._storedVersion >= this._table.version,
+			redactValue: value => formats.redactKeys(value),
+			canProveFreshness: () => services.restores.isSettled && this._storedVersion >= this._table.version,
 		});
 	}
 
@@ -85,8 +85,8 @@
 	}
 
 	/** Whether the store could not be asked the last time. */
-	get isStoreAway(): boolean {
-		return this._follower.isAway;
+	get isStoreUnavailable(): boolean {
+		return this._follower.isUnavailable;
 	}
 
 	/** Looks whether the store answers. */
@@ -147,7 +147,7 @@
 	 * be known here. Asks the store itself where the proof is about to become too old, and waits for
 	 * its answer only where it is.
 	 */
-	async areKeysProved(): Promise<boolean> {
+	async areKeysCurrent(): Promise<boolean> {
 		const {clock, options, keyRevocationMs} = this._services;
 		if (keyRevocationMs === undefined) {
 			return true;
@@ -164,13 +164,13 @@
 		return this._follower.ageMs <= boundMs;
 	}
 
-	takeSnapshot(rows: readonly StoredRow[]): void {
+	applySnapshot(rows: readonly StoredRow[]): void {
 		for (const row of rows) {
-			this.takeRow(row);
+			this.applyRow(row);
 		}
 	}
 
-	takeRow({key, value}: StoredRow): void {
+	applyRow({key, value}: StoredRow): void {
 		if (key !== this._formats.configurationKey || value === undefined) {
 			return;
 		}
@@ -226,7 +226,7 @@
 		const {clock, options, provingStore} = this._services;
 		if (!this._renewal && clock.nowMs() - this._renewedAtMs >= options.renewProofEveryMs) {
 			this._renewedAtMs = clock.nowMs();
-			this._renewal = this._follower.renew(provingStore).finally(() => {
+			this._renewal = this._follower.renewProof(provingStore).finally(() => {
 				this._renewal = undefined;
 			});
 		}
--- a/src/common/catalog/table-follower.test.ts
+++ b/src/common/catalog/table-follower.test.ts
@@ -25,12 +25,12 @@
 		};
 
 		follower = new TableFollower(table, {
-			takeSnapshot(rows) {
+			applySnapshot(rows) {
 				for (const row of rows) {
 					note(row);
 				}
 			},
-			takeRow: note,
+			applyRow: note,
 		}, {
 			clock, store, log: silentLog, options: catalogDefaults,
 		});
@@ -64,11 +64,11 @@
 		const {store, seen} = follow();
 		void follower.run();
 		await clock.advance(10);
-		store.isAway = true;
+		store.isUnavailable = true;
 		await clock.advance(3000);
 		store.put(table, 'a', '1');
 		store.dropHistory();
-		store.isAway = false;
+		store.isUnavailable = false;
 		await clock.advance(3000);
 		expect(seen).toEqual(['a=1']);
 	});
@@ -88,7 +88,7 @@
 		store.isSilent = true;
 		void follower.probe();
 		await clock.advance(catalogDefaults.probeTimeoutMs + 1);
-		expect(follower.isAway).toEqual(true);
+		expect(follower.isUnavailable).toEqual(true);
 	});
 
 	it('counts a store that answers a probe as there', async () => {
@@ -97,16 +97,16 @@
 		await clock.advance(10);
 		void follower.probe();
 		await clock.advance(1000);
-		expect(follower.isAway).toEqual(false);
+		expect(follower.isUnavailable).toEqual(false);
 	});
 
 	it('is up to date soon after the store is back', async () => {
 		const {store, seen} = follow();
 		void follower.run();
-		store.isAway = true;
+		store.isUnavailable = true;
 		await clock.advance(30_000);
 		store.put(table, 'a', '1');
-		store.isAway = false;
+		store.isUnavailable = false;
 		await clock.advance(catalogDefaults.longestRetryMs + 10);
 		expect(seen).toEqual(['a=1']);
 	});
@@ -150,7 +150,7 @@
 		const {store} = follow();
 		void follower.run();
 		await clock.advance(10);
-		store.isAway = true;
+		store.isUnavailable = true;
 		const answer = follower.changes(0, 0);
 		await clock.advance(1);
 		const {provedAfterMs} = (await answer)!;
@@ -161,7 +161,7 @@
 		const {store, seen} = follow();
 		void follower.run();
 		await clock.advance(1500);
-		const renewal = follower.renew(store);
+		const renewal = follower.renewProof(store);
 		await clock.advance(10);
 		await renewal;
 		expect(follower.ageMs <= 10).toEqual(true);
@@ -175,10 +175,10 @@
 		// said that they followed nothing until they had read the table themselves.
 		const store = new MemoryRowStore(clock);
 		const nobody = {
-			takeSnapshot() {
+			applySnapshot() {
 				// Not looked at.
 			},
-			takeRow() {
+			applyRow() {
 				// Not looked at.
 			},
 		};
--- a/src/common/catalog/table-follower.ts
+++ b/src/common/catalog/table-follower.ts
@@ -1,7 +1,7 @@
 /**
  * Follows one table of the store: a read of the whole, then its changes.
  */
-import {pauseForEvent, WakeableSleep, withTimeout} from '../lifecycle/timing.js';
+import {waitForEvent, WakeableSleep, withTimeout} from '../lifecycle/timing.js';
 import type {Disposable} from '../lifecycle/disposable.js';
 import {Emitter} from '../lifecycle/emitter.js';
 import type {
@@ -9,7 +9,7 @@
 } from '../services/services.js';
 import {eraOf, versionFields} from '../store/store-version.js';
 import type {Moment} from '../lifecycle/moment.js';
-import {ageMsOf, later, momentOf} from '../lifecycle/moment.js';
+import {momentAgeMs, momentAfter, currentMoment} from '../lifecycle/moment.js';
 import type {CatalogOptions} from './constants.js';
 
 /** What a follower works with. */
@@ -27,17 +27,17 @@
 	/** Longest wait of one question for changes, in milliseconds. */
 	readonly waitMs?: () => number;
 	/** The value of a row as this node keeps it and tells it to others. */
-	readonly keep?: (value: string) => string;
+	readonly redactValue?: (value: string) => string;
 	/** Whether the store's word that it holds nothing newer is a proof at the moment; it always is by default. */
-	readonly mayProve?: () => boolean;
+	readonly canProveFreshness?: () => boolean;
 };
 
 /** Receives what the store says of a table. */
-export type TableReader = {
+export type TableSubscriber = {
 	/** Every row of the table as of one moment. */
-	takeSnapshot(rows: readonly StoredRow[]): void;
+	applySnapshot(rows: readonly StoredRow[]): void;
 	/** A row that changed or was removed. Rows of older versions than known ones never arrive. */
-	takeRow(row: StoredRow): void;
+	applyRow(row: StoredRow): void;
 };
 
 /** A table that this node follows, as it tells other nodes of it. */
@@ -47,7 +47,7 @@
 export class TableFollower implements Disposable {
 	private readonly _services: FollowerServices;
 	private readonly _table: string;
-	private readonly _reader: TableReader;
+	private readonly _reader: TableSubscriber;
 	private readonly _sleep: WakeableSleep;
 	private readonly _waitMs: () => number;
 	private readonly _keep: (value: string) => string;
@@ -69,7 +69,7 @@
 	private _isProbing = false;
 	private _isDisposed = false;
 
-	constructor(table: string, reader: TableReader, services: FollowerServices, {waitMs, keep, mayProve}: FollowedTableOptions = {}) {
+	constructor(table: string, reader: TableSubscriber, services: FollowerServices, {waitMs, redactValue: keep, canProveFreshness: mayProve}: FollowedTableOptions = {}) {
 		this._table = table;
 		this._reader = reader;
 		this._services = services;
@@ -81,16 +81,16 @@
 
 	/** Time since the store last said that nothing newer is known to it; infinite before it did. */
 	get ageMs(): number {
-		return this._proved ? ageMsOf(this._proved, this._services.clock) : Number.POSITIVE_INFINITY;
+		return this._proved ? momentAgeMs(this._proved, this._services.clock) : Number.POSITIVE_INFINITY;
 	}
 
 	/** Whether the table could not be followed at the last try. */
-	get isAway(): boolean {
+	get isUnavailable(): boolean {
 		return this._isAway;
 	}
 
 	/** Time since the table could be followed again; infinite where it always could. */
-	get backForMs(): number {
+	get recoveredForMs(): number {
 		return this._services.clock.nowMs() - this._backAtMs;
 	}
 
@@ -101,7 +101,7 @@
 	async changes(afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
 		const arrivedAtMs = this._services.clock.nowMs();
 		if (this._version !== undefined && this._version <= afterVersion && !this._isAway) {
-			await pauseForEvent(this._services.clock, this._onChange.event, waitMs);
+			await waitForEvent(this._services.clock, this._onChange.event, waitMs);
 		}
 
 		if (this._version === undefined || this._isAway) {
@@ -158,7 +158,7 @@
 	/** Reads the whole table now; resolves with what went wrong, if anything did. */
 	async refresh(): Promise<PlatformFault | undefined> {
 		const {clock, store} = this._services;
-		const asked = momentOf(clock);
+		const asked = currentMoment(clock);
 		const result = await store.read(this._table, '');
 		if (result.isLeft()) {
 			return this._noteFault(result.extract());
@@ -177,13 +177,13 @@
 	 * Asks a store for changes without a wait, so that what is known counts as current again. Nothing
 	 * of the table's state depends on whether it answers.
 	 */
-	async renew(store: RowStore): Promise<void> {
+	async renewProof(store: RowStore): Promise<void> {
 		const afterVersion = this._version;
 		if (afterVersion === undefined) {
 			return;
 		}
 
-		const asked = momentOf(this._services.clock);
+		const asked = currentMoment(this._services.clock);
 		const result = await store.follow(this._table, afterVersion, 0);
 		result.ifRight(answer => {
 			// A table that is to be read anew meanwhile must not pass for complete.
@@ -204,7 +204,7 @@
 
 	private async _follow(afterVersion: number): Promise<PlatformFault | undefined> {
 		const {clock, store, options, paceMs} = this._services;
-		const asked = momentOf(clock);
+		const asked = currentMoment(clock);
 		const result = await store.follow(this._table, afterVersion, this._waitMs());
 		if (result.isLeft()) {
 			return this._noteFault(result.extract());
@@ -276,7 +276,7 @@
 		this._version = version;
 		this._isHistoryGone = false;
 		this._completeSince = version;
-		this._reader.takeSnapshot(rows);
+		this._reader.applySnapshot(rows);
 		this._onChange.fire();
 		return true;
 	}
@@ -299,7 +299,7 @@
 			this._removed.add(row.key);
 		}
 
-		this._reader.takeRow(row);
+		this._reader.applyRow(row);
 	}
 
 	/** Drops the earliest removals beyond the bound: every change since the last of them is still there. */
@@ -316,7 +316,7 @@
 	}
 
 	private _noteAnswer(asked: Moment, provedAfterMs = 0): void {
-		const proved = later(asked, provedAfterMs);
+		const proved = momentAfter(asked, provedAfterMs);
 		// An answer that was held up on its way takes nothing back.
 		if (this._mayProve() && (!this._proved || proved.steadyMs > this._proved.steadyMs)) {
 			this._proved = proved;
--- a/src/common/configuration/comparison-partners.ts
+++ b/src/common/configuration/anti-entropy-peers.ts
@@ -7,7 +7,7 @@
 import type {Clock, Host, Random} from '../services/services.js';
 
 /** What the choice rests on. */
-export type PartnerServices = {
+export type AntiEntropyPeerServices = {
 	readonly clock: Clock;
 	readonly random: Random;
 	/** Hosts as the node knows them. */
@@ -19,18 +19,18 @@
 type Partner = {readonly name: string; readonly untilMs: number};
 
 /** One partner for each turn. */
-export class ComparisonPartners {
-	private readonly _services: PartnerServices;
+export class AntiEntropyPeers {
+	private readonly _services: AntiEntropyPeerServices;
 	private readonly _keptMs: number;
 	private readonly _partners = new Map<number, Partner>();
 
-	constructor(services: PartnerServices, keptMs: number) {
+	constructor(services: AntiEntropyPeerServices, keptMs: number) {
 		this._services = services;
 		this._keptMs = keptMs;
 	}
 
 	/** The peer of a turn; the turn zero is that of any zone. */
-	of(turn: number): Host | undefined {
+	peerFor(turn: number): Host | undefined {
 		return this._kept(turn) ?? this._choose(turn);
 	}
 
--- a/src/common/configuration/change-history.ts
+++ b/src/common/configuration/change-history.ts
@@ -46,7 +46,7 @@
 	}
 
 	/** Takes in changes in order; what is known already is passed over. Left at the first that cannot be read. */
-	applyAll(texts: readonly string[]): Either<readonly Problem[], number> {
+	applyChanges(texts: readonly string[]): Either<readonly Problem[], number> {
 		const before = this._version;
 		let result: Either<readonly Problem[], number> = Right(before);
 		for (const text of texts) {
@@ -61,7 +61,7 @@
 	}
 
 	/** Takes in a snapshot if it is newer than what is in force. */
-	adopt(text: string): Either<readonly Problem[], number> {
+	applySnapshot(text: string): Either<readonly Problem[], number> {
 		const before = this._version;
 		const result = parseJsonWith(snapshotSchema, text).chain(({number, document}) => {
 			if (number <= this._version) {
@@ -96,7 +96,7 @@
 	}
 
 	/** The changes after a number; undefined when they reach back further than is kept. */
-	since(afterNumber: number): readonly Change[] | undefined {
+	keptChangesAfter(afterNumber: number): readonly Change[] | undefined {
 		if (afterNumber >= this._version) {
 			return [];
 		}
--- a/src/common/configuration/change-puller.ts
+++ b/src/common/configuration/change-puller.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Highest number that a peer announced. */
-	get announced(): number {
+	get announcedVersion(): number {
 		return this._announced;
 	}
 
@@ -98,9 +98,9 @@
 	private _takeIn(batch: ChangeBatch): void {
 		const {history} = this._services;
 		if (batch.snapshot !== undefined) {
-			history.adopt(batch.snapshot);
+			history.applySnapshot(batch.snapshot);
 		}
 
-		history.applyAll(batch.changes);
+		history.applyChanges(batch.changes);
 	}
 }
--- a/src/common/configuration/change-text.ts
+++ b/src/common/configuration/change-text.ts
@@ -9,7 +9,7 @@
 const operationsNamed = 3;
 
 /** Names what operations do. */
-export function summaryOf(operations: readonly Operation[]): string {
+export function summariseOperations(operations: readonly Operation[]): string {
 	const named = operations.slice(0, operationsNamed).map(operation => {
 		const name = operation.op === 'put' ? nameOf(operation.value) : operation.name;
 		return `${operation.op} ${operation.kind} ${name}`;
@@ -19,7 +19,7 @@
 }
 
 /** Reads a change; undefined when this program cannot. */
-export function readChange(body: string): Change | undefined {
+export function parseChange(body: string): Change | undefined {
 	const parsed = parseJsonWith(changeSchema, body);
 	return parsed.isRight() ? parsed.unsafeCoerce() : undefined;
 }
--- a/src/common/configuration/configuration-log.test.ts
+++ b/src/common/configuration/configuration-log.test.ts
@@ -165,8 +165,8 @@
 		const caughtUp = await clock.advanceUntil(other.changeLog.catchUp());
 		expect(caughtUp.unsafeCoerce()).toEqual(6);
 		expect(toDocument(other.history.model)).toEqual(toDocument(node.history.model));
-		expect(other.history.since(0)).toEqual(undefined);
-		expect(other.history.since(4)?.length).toEqual(2);
+		expect(other.history.keptChangesAfter(0)).toEqual(undefined);
+		expect(other.history.keptChangesAfter(4)?.length).toEqual(2);
 	});
 });
 
@@ -177,12 +177,12 @@
 		history.onChange(version => {
 			versions.push(version);
 		});
-		history.applyAll([labelChange(1), labelChange(2), labelChange(2)]);
+		history.applyChanges([labelChange(1), labelChange(2), labelChange(2)]);
 		const old = history.snapshotText();
-		history.applyAll([labelChange(1), labelChange(4)]);
-		history.applyAll([labelChange(3), 'not JSON', labelChange(4)]);
-		history.adopt(old);
-		history.adopt('{"number":9}');
+		history.applyChanges([labelChange(1), labelChange(4)]);
+		history.applyChanges([labelChange(3), 'not JSON', labelChange(4)]);
+		history.applySnapshot(old);
+		history.applySnapshot('{"number":9}');
 		expect(versions).toEqual([2, 3]);
 		expect(history.changesAfter(1)).toEqual({version: 3, changes: [labelChange(2), labelChange(3)]});
 		expect(history.changesAfter(0).snapshot).toEqual(history.snapshotText());
--- a/src/common/configuration/configuration-log.ts
+++ b/src/common/configuration/configuration-log.ts
@@ -11,7 +11,7 @@
 import {pauseFor} from '../lifecycle/timing.js';
 import type {ChangeHistory} from './change-history.js';
 import {changeLogDefaults, configurationLimits} from './constants.js';
-import {readChange, summaryOf} from './change-text.js';
+import {parseChange, summariseOperations} from './change-text.js';
 import {applyOperations} from './model.js';
 import {previewChange} from './preview.js';
 import {parseWith, type Problem} from './problems.js';
@@ -83,7 +83,7 @@
 			}
 
 			const texts = page.orDefault([]).map(({body}) => body);
-			history.applyAll(texts);
+			history.applyChanges(texts);
 			if (texts.length < this._options.pageSize || history.version === before) {
 				return Right(history.version);
 			}
@@ -102,24 +102,24 @@
 
 	/** One change of the log; undefined when there is none of that number. */
 	async change(number: number): Promise<Either<PlatformFault, Change | undefined>> {
-		const known = this._services.history.since(number - 1)?.[0];
+		const known = this._services.history.keptChangesAfter(number - 1)?.[0];
 		if (known) {
 			return Right(known);
 		}
 
 		const item = await this._services.table.get(this._options.partition, sortKey(number));
-		return item.map(found => found && readChange(found.body));
+		return item.map(found => found && parseChange(found.body));
 	}
 
 	/** Changes after a number, oldest first, at most one page. */
 	async changesAfter(number: number): Promise<Either<PlatformFault, readonly Change[]>> {
-		const known = this._services.history.since(number);
+		const known = this._services.history.keptChangesAfter(number);
 		if (known && known.length > 0) {
 			return Right(known.slice(0, this._options.pageSize));
 		}
 
 		const items = await this._readAfter(number);
-		return items.map(list => list.map(({body}) => readChange(body)).filter(change => change !== undefined));
+		return items.map(list => list.map(({body}) => parseChange(body)).filter(change => change !== undefined));
 	}
 
 	/** The refusal while the table does not answer. */
@@ -157,7 +157,7 @@
 
 	/** The same change, when this node knows that it took effect. */
 	private _repeated(proposal: Proposal): Change | undefined {
-		return this._services.history.since(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
+		return this._services.history.keptChangesAfter(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
 	}
 
 	/** What others changed since the proposal's basis; undefined when nothing, so that it may go on. */
@@ -265,7 +265,7 @@
 	}
 
 	private _takeIn(change: Change, body: string): Either<ProposalRefusal, Change> {
-		this._services.history.applyAll([body]);
+		this._services.history.applyChanges([body]);
 		this._onAccepted.fire(change.number);
 		if (change.number % this._options.snapshotInterval === 0) {
 			// A lost snapshot only means that a starting node reads more of the log.
@@ -273,14 +273,14 @@
 		}
 
 		// As every reader sees it: through JSON.
-		return Right(readChange(body) ?? change);
+		return Right(parseChange(body) ?? change);
 	}
 
 	private async _loadSnapshot(): Promise<void> {
 		const snapshot = await this._services.objects.get(this._options.snapshotKey);
 		const body = snapshot.orDefault(undefined)?.body;
 		if (body !== undefined) {
-			this._services.history.adopt(body);
+			this._services.history.applySnapshot(body);
 		}
 	}
 
@@ -294,7 +294,7 @@
 		this._services.audit.record({
 			actor: proposal.author,
 			act: proposal.undoOf === undefined ? 'configuration.change' : 'configuration.undo',
-			subject: `${number === undefined ? `proposal ${proposal.changeId}` : `change ${number}`}: ${summaryOf(proposal.operations)}`,
+			subject: `${number === undefined ? `proposal ${proposal.changeId}` : `change ${number}`}: ${summariseOperations(proposal.operations)}`,
 			basis: `based on change ${proposal.basedOn}`,
 			outcome,
 		});
--- a/src/common/configuration/configuration-sync.ts
+++ b/src/common/configuration/configuration-sync.ts
@@ -14,7 +14,7 @@
 import type {ChangeHistory} from './change-history.js';
 import type {ConfigurationLog} from './configuration-log.js';
 import {ChangePuller} from './change-puller.js';
-import {ComparisonPartners} from './comparison-partners.js';
+import {AntiEntropyPeers} from './anti-entropy-peers.js';
 import {syncDefaults} from './constants.js';
 
 /** What the synchronisation needs from the rest of the node. */
@@ -59,7 +59,7 @@
 	private readonly _options: typeof syncDefaults;
 	private readonly _store = new DisposableStore();
 	private readonly _puller: ChangePuller;
-	private readonly _partners: ComparisonPartners;
+	private readonly _partners: AntiEntropyPeers;
 	private _isLoaded = false;
 	private readonly _loadedGate = new Gate();
 	private _comparisons = 0;
@@ -71,7 +71,7 @@
 		this._options = {...syncDefaults, ...options};
 		this.loaded = this._loadedGate.opened;
 		this._puller = this._store.register(new ChangePuller(services, this._options));
-		this._partners = new ComparisonPartners({
+		this._partners = new AntiEntropyPeers({
 			...services,
 			hosts: () => services.membership.hosts(),
 			randomPeer: isAnyZone => this._puller.randomPeer(isAnyZone),
@@ -162,7 +162,7 @@
 			await this._sleep(this._jittered(this._comparisonIntervalMs()));
 			this._comparisons++;
 			const turn = this._comparisons % this._options.antiEntropyAnyZoneEvery;
-			const host = isQuick ? this._puller.randomPeer(turn === 0) : this._partners.of(turn);
+			const host = isQuick ? this._puller.randomPeer(turn === 0) : this._partners.peerFor(turn);
 			if (!this._store.isDisposed && host && !await this._compareWith(host)) {
 				this._partners.drop(turn);
 			}
@@ -236,7 +236,7 @@
 		}
 
 		// What nobody announced was found in the table or by comparing: the zone may not know it yet.
-		if (version > this._puller.announced) {
+		if (version > this._puller.announcedVersion) {
 			this._announceToRoots(version, hosts.filter(host => host.availabilityZone === self.availabilityZone));
 		}
 	}
--- a/src/common/configuration/explain.ts
+++ b/src/common/configuration/explain.ts
@@ -12,12 +12,12 @@
 import type {ConfigurationModel} from './model.js';
 import type {Problem} from './problems.js';
 import {
-	callerSubject, endpointCandidates, resolveCallerPolicy, resolveEndpointPolicies,
+	callerSubject, applicableEndpointRules, resolveCallerPolicy, resolveEndpointPolicies,
 } from './resolve-policies.js';
 import type {EndpointEntry, Rule, RuleEffect} from './schema.js';
 import {
 	callerSettings, endpointSettings, type CallerSetting, type EndpointSetting,
-} from './settings-of-rules.js';
+} from './rule-settings.js';
 
 /** What is asked. */
 export type ExplainRequest = {
@@ -27,7 +27,7 @@
 };
 
 /** One rule that applies and states the setting. */
-export type Candidate = {
+export type RuleCandidate = {
 	readonly rule: string;
 	readonly value: unknown;
 	/** The selector in words. */
@@ -47,7 +47,7 @@
 	/** Name of the rule that wins; undefined where the default holds. */
 	readonly winner?: string;
 	/** Strongest first. */
-	readonly candidates: readonly Candidate[];
+	readonly candidates: readonly RuleCandidate[];
 };
 
 /** Whether one endpoint may serve the statement, as far as the rules go. */
@@ -137,7 +137,7 @@
 		settings: endpointSettingsShown.map(setting => explainSetting(
 			setting,
 			policy[setting],
-			endpointCandidates(model, rules, endpoint, setting),
+			applicableEndpointRules(model, rules, endpoint, setting),
 			endpointSettings[setting],
 		)),
 	};
--- a/src/common/configuration/membership-steps.test.ts
+++ b/src/common/configuration/instance-changes.test.ts
@@ -1,6 +1,6 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {checkMembershipSteps} from './membership-steps.js';
+import {checkInstanceChanges} from './instance-changes.js';
 import {applyOperations, emptyModel} from './model.js';
 import type {Operation} from './schema.js';
 
@@ -30,12 +30,12 @@
 	for (const [name, operations, problems] of cases) {
 		it(`${problems === 0 ? 'accepts' : 'refuses'} ${name}`, () => {
 			const after = applyOperations(first, operations, 2).unsafeCoerce().model;
-			expect(checkMembershipSteps(first, after).length).toEqual(problems);
+			expect(checkInstanceChanges(first, after).length).toEqual(problems);
 		});
 	}
 
 	it('accepts the first instances of a group, and its end', () => {
-		expect(checkMembershipSteps(emptyModel, first)).toEqual([]);
-		expect(checkMembershipSteps(first, emptyModel)).toEqual([]);
+		expect(checkInstanceChanges(emptyModel, first)).toEqual([]);
+		expect(checkInstanceChanges(first, emptyModel)).toEqual([]);
 	});
 });
--- a/src/common/configuration/membership-steps.ts
+++ b/src/common/configuration/instance-changes.ts
@@ -14,7 +14,7 @@
 const maximumStepsPerChange = 1;
 
 /** Groups whose instances a change alters too far at once. */
-export function checkMembershipSteps(before: ConfigurationModel, after: ConfigurationModel): readonly Problem[] {
+export function checkInstanceChanges(before: ConfigurationModel, after: ConfigurationModel): readonly Problem[] {
 	const formerEndpoints = groupBy(before.endpoint.values(), endpoint => endpoint.group);
 	const latterEndpoints = groupBy(after.endpoint.values(), endpoint => endpoint.group);
 	const groups = [...before.group.keys()].filter(name => after.group.has(name));
--- a/src/common/configuration/model.ts
+++ b/src/common/configuration/model.ts
@@ -13,11 +13,11 @@
 	Operation,
 	Rule,
 	ServiceEntry,
-	ThingKind,
+	EntryKind,
 } from './schema.js';
 
 /** Value of each kind of thing. */
-export type Things = {
+export type EntryByKind = {
 	readonly service: ServiceEntry;
 	readonly group: GroupEntry;
 	readonly endpoint: EndpointEntry;
@@ -26,12 +26,12 @@
 };
 
 /** The things of each kind by name. Never changed once built. */
-export type ConfigurationModel = {readonly [Kind in ThingKind]: ReadonlyMap<string, Things[Kind]>};
+export type ConfigurationModel = {readonly [Kind in EntryKind]: ReadonlyMap<string, EntryByKind[Kind]>};
 
-type MutableModel = {readonly [Kind in ThingKind]: Map<string, Things[Kind]>};
+type MutableModel = {readonly [Kind in EntryKind]: Map<string, EntryByKind[Kind]>};
 
 /** The kinds in the order in which things depend on each other. */
-export const thingKinds = ['service', 'group', 'endpoint', 'caller', 'rule'] as const satisfies readonly ThingKind[];
+export const entryKinds = ['service', 'group', 'endpoint', 'caller', 'rule'] as const satisfies readonly EntryKind[];
 
 /** A configuration that holds nothing. */
 export const emptyModel: ConfigurationModel = {
@@ -43,7 +43,7 @@
 };
 
 /** Name of a thing. */
-export function nameOf(thing: Things[ThingKind]): string {
+export function nameOf(thing: EntryByKind[EntryKind]): string {
 	return 'user' in thing ? thing.user : thing.name;
 }
 
@@ -57,7 +57,7 @@
 	};
 }
 
-function byName<T extends Things[ThingKind]>(things: Iterable<T>): T[] {
+function byName<T extends EntryByKind[EntryKind]>(things: Iterable<T>): T[] {
 	return [...things].toSorted((a, b) => nameOf(a) < nameOf(b) ? -1 : 1);
 }
 
@@ -82,8 +82,8 @@
 export function fromDocument(document: ConfigurationDocument): Either<readonly Problem[], ConfigurationModel> {
 	const model = copyModel(emptyModel);
 	const problems: Problem[] = [];
-	const add = <Kind extends ThingKind>(kind: Kind, thing: Things[Kind], path: readonly PropertyKey[]) => {
-		const things: Map<string, Things[Kind]> = model[kind];
+	const add = <Kind extends EntryKind>(kind: Kind, thing: EntryByKind[Kind], path: readonly PropertyKey[]) => {
+		const things: Map<string, EntryByKind[Kind]> = model[kind];
 		if (things.has(nameOf(thing))) {
 			problems.push({path: formatPath(path), expected: `expected a name that no other ${kind} has, but "${nameOf(thing)}" is there twice`});
 		}
@@ -119,7 +119,7 @@
 }
 
 /** The operation that writes a thing as it is in a model; undefined when it is not there. */
-const putOperations: Readonly<Record<ThingKind, (model: ConfigurationModel, name: string) => Operation | undefined>> = {
+const putOperations: Readonly<Record<EntryKind, (model: ConfigurationModel, name: string) => Operation | undefined>> = {
 	service: (model, name) => ifThere(model.service.get(name), value => ({op: 'put', kind: 'service', value})),
 	group: (model, name) => ifThere(model.group.get(name), value => ({op: 'put', kind: 'group', value})),
 	endpoint: (model, name) => ifThere(model.endpoint.get(name), value => ({op: 'put', kind: 'endpoint', value})),
@@ -128,12 +128,12 @@
 };
 
 /** The operation that makes a thing what it is in a model. */
-function restoringOperation(model: ConfigurationModel, kind: ThingKind, name: string): Operation {
+function restoringOperation(model: ConfigurationModel, kind: EntryKind, name: string): Operation {
 	return putOperations[kind](model, name) ?? {op: 'remove', kind, name};
 }
 
 /** A model after operations, and the operations that take them back. */
-export type Applied = {
+export type AppliedOperations = {
 	readonly model: ConfigurationModel;
 	readonly inverse: readonly Operation[];
 };
@@ -142,7 +142,7 @@
  * Applies the operations of one change. A rule that is put gets the number of the change,
  * unless it states an earlier one, as an undo does to restore the rule's rank.
  */
-export function applyOperations(before: ConfigurationModel, operations: readonly Operation[], number: number): Either<readonly Problem[], Applied> {
+export function applyOperations(before: ConfigurationModel, operations: readonly Operation[], number: number): Either<readonly Problem[], AppliedOperations> {
 	const model = copyModel(before);
 	const inverse: Operation[] = [];
 	for (const [index, operation] of operations.entries()) {
@@ -168,12 +168,12 @@
 }
 
 /** Whether two things are the same but for the change that wrote them. */
-function isSameThing(a: Things[ThingKind], b: Things[ThingKind]): boolean {
+function isSameThing(a: EntryByKind[EntryKind], b: EntryByKind[EntryKind]): boolean {
 	// What no operation touched is the same object, which spares the writing of everything.
 	return a === b || canonicalText(a) === canonicalText(b);
 }
 
-function canonicalText(thing: Things[ThingKind]): string {
+function canonicalText(thing: EntryByKind[EntryKind]): string {
 	return JSON.stringify(thing, (key, value: unknown) => {
 		if (key === 'changedIn') {
 			return undefined;
@@ -188,8 +188,8 @@
 export function diffModels(before: ConfigurationModel, after: ConfigurationModel): readonly Operation[] {
 	const puts: Operation[] = [];
 	const removals: Operation[] = [];
-	for (const kind of thingKinds) {
-		for (const thing of byName<Things[ThingKind]>(after[kind].values())) {
+	for (const kind of entryKinds) {
+		for (const thing of byName<EntryByKind[EntryKind]>(after[kind].values())) {
 			const old = before[kind].get(nameOf(thing));
 			if (old === undefined || !isSameThing(old, thing)) {
 				puts.push(restoringOperation(after, kind, nameOf(thing)));
--- a/src/common/configuration/preview.ts
+++ b/src/common/configuration/preview.ts
@@ -19,7 +19,7 @@
 import type {
 	Difference, Preview, PrimaryLookup, Touched, Warning, WarningKind,
 } from './types.js';
-import {checkMembershipSteps} from './membership-steps.js';
+import {checkInstanceChanges} from './instance-changes.js';
 import {validateModel} from './validate-model.js';
 
 /** Names listed at most; the counts are whole. */
@@ -217,7 +217,7 @@
 	currentPrimary: PrimaryLookup,
 ): Either<readonly Problem[], Preview> {
 	return applyOperations(model, operations, version + 1).chain(applied => {
-		const problems = [...validateModel(applied.model), ...checkMembershipSteps(model, applied.model)];
+		const problems = [...validateModel(applied.model), ...checkInstanceChanges(model, applied.model)];
 		if (problems.length > 0) {
 			return Left(problems);
 		}
--- a/src/common/configuration/resolve-policies.ts
+++ b/src/common/configuration/resolve-policies.ts
@@ -16,7 +16,7 @@
 import {groupBy} from './group-by.js';
 import type {ConfigurationModel} from './model.js';
 import type {EndpointEntry, Rule} from './schema.js';
-import {callerSettings, endpointSettings, type EndpointSetting} from './settings-of-rules.js';
+import {callerSettings, endpointSettings, type EndpointSetting} from './rule-settings.js';
 
 /** What the rules see of a caller that asks for a group. */
 export function callerSubject(model: ConfigurationModel, caller: CallerDescription, group: string): CallerSubject {
@@ -104,7 +104,7 @@
 }
 
 /** One rule that applies to an endpoint and states a setting, strongest first. */
-export function endpointCandidates(model: ConfigurationModel, rules: CompiledRules, endpoint: EndpointEntry, setting: EndpointSetting): readonly Rule[] {
+export function applicableEndpointRules(model: ConfigurationModel, rules: CompiledRules, endpoint: EndpointEntry, setting: EndpointSetting): readonly Rule[] {
 	const subject = endpointSubject(model, endpoint);
 	return rules.endpoints.filter(rule => endpointSettings[setting](rule.effect) !== undefined && appliesToEndpoint(rule, subject));
 }
--- a/src/common/configuration/schema.ts
+++ b/src/common/configuration/schema.ts
@@ -196,7 +196,7 @@
 export type Operation = z.output<typeof operationSchema>;
 
 /** What kind of thing an operation writes. */
-export type ThingKind = Operation['kind'];
+export type EntryKind = Operation['kind'];
 
 /** Operations of one change, in order. */
 export const operationsSchema = z.array(operationSchema).min(1).max(configurationLimits.operationsPerChange);
--- a/src/common/configuration/types.ts
+++ b/src/common/configuration/types.ts
@@ -2,7 +2,7 @@
  * What operators send and get when they change the configuration.
  */
 import type {Problem} from './problems.js';
-import type {Change, Operation, ThingKind} from './schema.js';
+import type {Change, Operation, EntryKind} from './schema.js';
 
 /** A change that somebody wants. */
 export type Proposal = {
@@ -32,7 +32,7 @@
 
 /** One thing that a change adds, changes or removes. */
 export type Difference = {
-	readonly kind: ThingKind;
+	readonly kind: EntryKind;
 	readonly name: string;
 	readonly action: 'added' | 'changed' | 'removed';
 	readonly before?: unknown;
--- a/src/common/configuration/undo.ts
+++ b/src/common/configuration/undo.ts
@@ -56,7 +56,7 @@
 
 	/** Undoes a change by a new one. */
 	async propose(number: number, proposal: UndoProposal): Promise<Either<ProposalRefusal, Change>> {
-		const repeated = this._history.since(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
+		const repeated = this._history.keptChangesAfter(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
 		if (repeated) {
 			return Right(repeated);
 		}
--- a/src/common/explaining/day-plot.ts
+++ b/src/common/explaining/day-plot.ts
@@ -1,8 +1,8 @@
 /**
  * Draws a day's refusals as stacked bars over time, in SVG.
  */
-import type {DayStory, RefusalCause} from './day-story.js';
-import {entriesOf} from './day-story.js';
+import type {DaySummary, RefusalCause} from './day-summary.js';
+import {entriesOf} from './day-summary.js';
 
 /** Sizes in pixels: wide enough for a minute in spans of a second on a phone held across. */
 const plot = {
@@ -24,7 +24,7 @@
 };
 
 /** The plot of a day that was told in spans of a length. */
-export function plotDay({spans, totals}: DayStory, spanMs: number): string {
+export function plotDay({spans, totals}: DaySummary, spanMs: number): string {
 	const lastMs = Math.max(spanMs, ...spans.map(({fromMs}) => fromMs + spanMs));
 	const sums = spans.map(({refused}) => entriesOf(refused).reduce((sum, [, count]) => sum + count, 0));
 	const highest = Math.max(1, ...sums);
--- a/src/common/explaining/day-story.test.ts
+++ b/src/common/explaining/day-summary.test.ts
@@ -3,7 +3,7 @@
 import type {LogEventName} from '../services/services.js';
 import {logEvents} from '../observability/log-events.js';
 import {plotDay} from './day-plot.js';
-import {tellDay} from './day-story.js';
+import {summariseDay} from './day-summary.js';
 import {parseLogLines} from './log-lines.js';
 
 /** A line as a node writes it, seconds after some moment. */
@@ -34,7 +34,7 @@
 
 describe('tellDay', () => {
 	it('counts refusals by cause and span, beside what happened', () => {
-		const day = tellDay(lines, 1000)!;
+		const day = summariseDay(lines, 1000)!;
 		expect(day.spans).toEqual([
 			{fromMs: 0, refused: {}, marks: ['processLoaded (n2, n1)']},
 			{fromMs: 2000, refused: {primaryOutOfReach: 2, termNotProved: 1, primaryUnknown: 1}, marks: []},
@@ -49,13 +49,13 @@
 	});
 
 	it('tells nothing of no lines', () => {
-		expect(tellDay([], 1000)).toEqual(undefined);
+		expect(summariseDay([], 1000)).toEqual(undefined);
 	});
 });
 
 describe('plotDay', () => {
 	it('draws a bar for each cause and span, and no more', () => {
-		const svg = plotDay(tellDay(lines, 1000)!, 1000);
+		const svg = plotDay(summariseDay(lines, 1000)!, 1000);
 		const bars = svg.split('\n').filter(row => row.startsWith('<rect') && !row.includes('<text'));
 		expect(bars.length).toEqual(7);
 		expect(svg.includes('at most 4')).toEqual(true);
--- a/src/common/explaining/day-story.ts
+++ b/src/common/explaining/day-summary.ts
@@ -35,7 +35,7 @@
 };
 
 /** A day as its logs tell it. */
-export type DayStory = {
+export type DaySummary = {
 	/** Time of the first line, in Unix milliseconds. */
 	readonly startMs: number;
 	/** Spans in which requests were refused or something happened, in their order. */
@@ -80,7 +80,7 @@
 ]);
 
 /** Tells a day in spans of a length; undefined where there are no lines. */
-export function tellDay(lines: readonly LogLine[], spanMs: number): DayStory | undefined {
+export function summariseDay(lines: readonly LogLine[], spanMs: number): DaySummary | undefined {
 	const [startMs] = lines.map(({time}) => Date.parse(time)).toSorted((a, b) => a - b);
 	if (startMs === undefined) {
 		return undefined;
--- a/src/common/explaining/request-story.test.ts
+++ b/src/common/explaining/request-timeline.test.ts
@@ -3,7 +3,7 @@
 import type {LogEventName} from '../services/services.js';
 import {logEvents} from '../observability/log-events.js';
 import {parseLogLines} from './log-lines.js';
-import {tellStory} from './request-story.js';
+import {buildRequestTimeline} from './request-timeline.js';
 
 const times = {beforeMs: 5000, afterMs: 5000};
 
@@ -35,7 +35,7 @@
 
 describe('tellStory', () => {
 	it('orders what nodes logged of a request and of its group, and nothing else', () => {
-		const story = tellStory(parseLogLines(logs.toReversed().join('\n')), 'r1', times)!;
+		const story = buildRequestTimeline(parseLogLines(logs.toReversed().join('\n')), 'r1', times)!;
 		expect(story.lines.map(({line: {node, name}, isOwn}) => `${node} ${name} ${isOwn}`)).toEqual([
 			'n1 statementTurnedAway true',
 			'n3 forwardedRefused true',
@@ -46,7 +46,7 @@
 	});
 
 	it('concludes what the caller was told, whether it ran, and why', () => {
-		const {conclusions} = tellStory(parseLogLines(logs.join('\n')), 'r1', times)!;
+		const {conclusions} = buildRequestTimeline(parseLogLines(logs.join('\n')), 'r1', times)!;
 		expect(conclusions).toEqual([
 			'n1 answered noPrimary after 350 ms (i-1 of term 1, not proved); the request did not run.',
 			'The group had no primary that could be proved while a promotion was under way.',
@@ -61,22 +61,22 @@
 			}),
 			line(9.3, 'n4', 'promotionStarted', {group: 'svc', reason: 'crashed'}),
 		];
-		const {lines} = tellStory(parseLogLines(known.join('\n')), 'r3', times)!;
+		const {lines} = buildRequestTimeline(parseLogLines(known.join('\n')), 'r3', times)!;
 		expect(lines.map(({line: {name}}) => name)).toEqual(['statementRefused', 'promotionStarted']);
 	});
 
 	it('says that an outcome is unknown, never more', () => {
-		const {conclusions} = tellStory(parseLogLines(logs.join('\n')), 'r2', times)!;
+		const {conclusions} = buildRequestTimeline(parseLogLines(logs.join('\n')), 'r2', times)!;
 		expect(conclusions[0].endsWith('the request may or may not have run.')).toEqual(true);
 	});
 
 	it('says that lines were left out', () => {
-		const story = tellStory(parseLogLines([...logs, line(9.5, 'n1', 'logLinesDropped', {dropped: {}})].join('\n')), 'r1', times)!;
+		const story = buildRequestTimeline(parseLogLines([...logs, line(9.5, 'n1', 'logLinesDropped', {dropped: {}})].join('\n')), 'r1', times)!;
 		expect(story.conclusions.at(-1)).toEqual('A node left out lines in this time: the timeline may have gaps.');
 	});
 
 	it('knows nothing of a request that no line names', () => {
-		expect(tellStory(parseLogLines(logs.join('\n')), 'r9', times)).toEqual(undefined);
+		expect(buildRequestTimeline(parseLogLines(logs.join('\n')), 'r9', times)).toEqual(undefined);
 	});
 });
 
--- a/src/common/explaining/request-story.ts
+++ b/src/common/explaining/request-timeline.ts
@@ -8,14 +8,14 @@
 import type {LogLine} from './log-lines.js';
 
 /** One line of a timeline, and whether it names the request itself. */
-export type StoryLine = {
+export type TimelineLine = {
 	readonly line: LogLine;
 	readonly isOwn: boolean;
 };
 
 /** What became of a request. */
-export type RequestStory = {
-	readonly lines: readonly StoryLine[];
+export type RequestTimeline = {
+	readonly lines: readonly TimelineLine[];
 	/** What the caller was told last; undefined where no node refused the request. */
 	readonly refusal: LogLine | undefined;
 	/** What to conclude, one sentence an item. */
@@ -23,7 +23,7 @@
 };
 
 /** Times around a request in which other events may explain it, in milliseconds. */
-export type StoryTimes = {
+export type TimelineWindow = {
 	readonly beforeMs: number;
 	readonly afterMs: number;
 };
@@ -87,7 +87,7 @@
 type Found = {readonly names: ReadonlySet<string>};
 
 /** Puts together what is known of a request; undefined where no line names it. */
-export function tellStory(lines: readonly LogLine[], request: string, times: StoryTimes): RequestStory | undefined {
+export function buildRequestTimeline(lines: readonly LogLine[], request: string, times: TimelineWindow): RequestTimeline | undefined {
 	const own = lines.filter(({fields}) => fields.request === request);
 	if (own.length === 0) {
 		return undefined;
--- a/src/common/groups/candidates.ts
+++ b/src/common/groups/candidates.ts
@@ -14,7 +14,7 @@
 type CandidateServices = Pick<GroupServices, 'configuration' | 'membership'>;
 
 /** What decides between candidates whose logs are equal. */
-export type CandidateWishes = {
+export type CandidatePreferences = {
 	readonly wanted: PromotionPlan['wanted'];
 	/** Zone of the primary before. */
 	readonly availabilityZone: string | undefined;
@@ -23,7 +23,7 @@
 /** Orders candidates: the most advanced log first; among equals the wishes, and then the name. */
 export function rankCandidates(
 	candidates: readonly Candidate[],
-	wishes: CandidateWishes,
+	wishes: CandidatePreferences,
 	{configuration}: Pick<CandidateServices, 'configuration'>,
 ): Candidate[] {
 	const preference = ({endpoint}: Candidate): readonly number[] => {
@@ -46,7 +46,7 @@
  * Place of this node among the monitors that may promote: the home of the best candidate
  * comes first, and one that serves no candidate last.
  */
-export function rankOfSelf(ranked: readonly Candidate[], {membership}: Pick<CandidateServices, 'membership'>): number {
+export function promotionRankOfSelf(ranked: readonly Candidate[], {membership}: Pick<CandidateServices, 'membership'>): number {
 	const rank = ranked.findIndex(({endpoint}) => membership.homeOf(endpoint)?.name === membership.self.name);
 	return rank === -1 ? ranked.length : rank;
 }
--- a/src/common/groups/failure-detector.ts
+++ b/src/common/groups/failure-detector.ts
@@ -3,24 +3,24 @@
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
-import {rankCandidates, rankOfSelf, type Candidate} from './candidates.js';
-import type {KnownGroup} from './known-group.js';
-import {LossRules, type Finding} from './loss-rules.js';
-import type {PauseWatch} from './pause-watch.js';
+import {rankCandidates, promotionRankOfSelf, type Candidate} from './candidates.js';
+import type {GroupState} from './group-state.js';
+import {LossRules, type LossFinding} from './loss-rules.js';
+import type {PauseDetector} from './pause-detector.js';
 import type {SafetyRules} from './safety-rules.js';
-import {SecondOpinions} from './second-opinions.js';
+import {PeerOpinions} from './peer-opinions.js';
 import type {
-	GroupOptions, GroupServices, Loss, MonitorContext,
+	GroupOptions, GroupServices, PrimaryLoss, MonitorContext,
 } from './types.js';
 
 /** Watches over the primary of one group. One task calls `nextLoss` again and again. */
 export class FailureDetector implements Disposable {
-	private readonly _group: KnownGroup;
+	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
-	private readonly _pause: PauseWatch;
+	private readonly _pause: PauseDetector;
 	private readonly _quorum: SafetyRules['promotionQuorum'];
-	private readonly _opinions: SecondOpinions;
+	private readonly _opinions: PeerOpinions;
 	private readonly _rules: LossRules;
 	private readonly _sleep: WakeableSleep;
 	private readonly _subscriptions: readonly Disposable[];
@@ -28,13 +28,13 @@
 	private _isMajorityMissing = false;
 	private _isDisposed = false;
 
-	constructor(group: KnownGroup, {services, options, pause, rules}: MonitorContext) {
+	constructor(group: GroupState, {services, options, pause, rules}: MonitorContext) {
 		this._group = group;
 		this._services = services;
 		this._options = options;
 		this._pause = pause;
 		this._quorum = rules.promotionQuorum;
-		this._opinions = new SecondOpinions(group, services, options);
+		this._opinions = new PeerOpinions(group, services, options);
 		this._rules = new LossRules(group, this._opinions, services, options);
 		this._sleep = new WakeableSleep(services.clock);
 		this._subscriptions = [
@@ -48,7 +48,7 @@
 	}
 
 	/** Resolves when it is this node's turn to promote; undefined after the end. */
-	async nextLoss(): Promise<Loss | undefined> {
+	async nextLoss(): Promise<PrimaryLoss | undefined> {
 		while (!this._isDisposed) {
 			await this._sleep.wait(this._intervalMs());
 			const finding = this._look();
@@ -70,21 +70,21 @@
 		}
 	}
 
-	private _look(): Finding | undefined {
+	private _look(): LossFinding | undefined {
 		this._pause.check();
 		this._noteSuspicion();
 		if (this._isSuspecting || this._group.term === 0) {
 			this._opinions.ask(this._group.primaryWatch?.endpoint);
 		}
 
-		return this._rules.look();
+		return this._rules.evaluate();
 	}
 
 	/**
 	 * Waits for this node's turn among the monitors. Before it a majority must answer, so
 	 * that a node that is cut off itself raises no term that reaches anybody later.
 	 */
-	private async _isOurTurn(finding: Finding): Promise<boolean> {
+	private async _isOurTurn(finding: LossFinding): Promise<boolean> {
 		const {highestTerm} = this._group;
 		const candidates = await this._askOthers(finding);
 		this._noteMajority(candidates.length);
@@ -95,13 +95,13 @@
 
 		const availabilityZone = this._group.primaryWatch?.endpoint.availabilityZone;
 		const ranked = rankCandidates(candidates, {wanted: undefined, availabilityZone}, this._services);
-		const rank = rankOfSelf(ranked, this._services);
+		const rank = promotionRankOfSelf(ranked, this._services);
 		await this._sleepUntil((rank * this._options.staggerMs) + (this._services.random.next() * this._options.staggerJitterMs));
 		return !this._isDisposed && this._group.highestTerm === highestTerm && this._look()?.reason === finding.reason;
 	}
 
 	/** States of the instances that answer now, the suspect left out. */
-	private async _askOthers(finding: Finding): Promise<readonly Candidate[]> {
+	private async _askOthers(finding: LossFinding): Promise<readonly Candidate[]> {
 		const suspect = this._suspectOf(finding);
 		const others = this._group.watches.filter(({name}) => name !== suspect);
 		const answers = await Promise.all(others.map(async watch => {
@@ -120,13 +120,13 @@
 		}
 	}
 
-	private _suspectOf({isPrimarySuspected}: Finding): string | undefined {
+	private _suspectOf({isPrimarySuspected}: LossFinding): string | undefined {
 		return isPrimarySuspected ? this._group.primary : undefined;
 	}
 
 	private _noteSuspicion(): void {
 		const watch = this._group.primaryWatch;
-		const silenceMs = watch ? this._services.clock.nowMs() - watch.heardMs : 0;
+		const silenceMs = watch ? this._services.clock.nowMs() - watch.lastHeardMs : 0;
 		const isSuspecting = silenceMs >= this._options.suspectAfterMs;
 		if (isSuspecting === this._isSuspecting) {
 			return;
@@ -154,8 +154,8 @@
 
 	/** After a pause of this process, everybody's silence counts anew. */
 	private _forget(pausedMs: number): void {
-		this._group.excuseSilence();
-		this._rules.forget();
+		this._group.resetSilence();
+		this._rules.reset();
 		this._services.log.event('monitorPaused', {group: this._group.name, pausedMs});
 	}
 
@@ -166,7 +166,7 @@
 			return this._options.suspicionTickMs;
 		}
 
-		const silenceMs = watch ? this._services.clock.nowMs() - watch.heardMs : 0;
+		const silenceMs = watch ? this._services.clock.nowMs() - watch.lastHeardMs : 0;
 		return Math.min(this._options.quietTickMs, Math.max(this._options.suspectAfterMs - silenceMs, 1));
 	}
 }
--- a/src/common/groups/follower-orders.ts
+++ b/src/common/groups/follower-redirector.ts
@@ -4,7 +4,7 @@
 import {DisposableStore, type Disposable} from '../lifecycle/disposable.js';
 import type {InstanceState} from '../services/services.js';
 import type {InstanceWatch} from './instance-watch.js';
-import type {KnownGroup} from './known-group.js';
+import type {GroupState} from './group-state.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
 /** When an instance was first seen off course, and when it was last told. */
@@ -14,15 +14,15 @@
  * Orders instances to follow. Any monitor may: the order names the term, and an instance
  * that promised a higher one refuses it.
  */
-export class FollowerOrders implements Disposable {
-	private readonly _group: KnownGroup;
+export class FollowerRedirector implements Disposable {
+	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
 	private readonly _deviations = new Map<InstanceWatch, Deviation>();
 	private _timer: Disposable | undefined;
 
-	constructor(group: KnownGroup, services: GroupServices, options: GroupOptions) {
+	constructor(group: GroupState, services: GroupServices, options: GroupOptions) {
 		this._group = group;
 		this._services = services;
 		this._options = options;
@@ -67,7 +67,7 @@
 			: deviation.toldMs + this._options.redirectAgainMs;
 		if (this._services.clock.nowMs() < dueMs) {
 			this._examineLater();
-		} else if (!deviation.isTelling && this._group.isLed()) {
+		} else if (!deviation.isTelling && this._group.isPrimaryLeading()) {
 			void this._tell(watch, deviation);
 		}
 	}
--- a/src/common/groups/proofs.ts
+++ b/src/common/groups/freshness-prover.ts
@@ -12,7 +12,7 @@
 import type {LogPosition} from '../positions/log-position.js';
 import type {InstanceState} from '../services/services.js';
 import {WakeableSleep, withTimeout} from '../lifecycle/timing.js';
-import type {KnownGroup} from './known-group.js';
+import type {GroupState} from './group-state.js';
 import {isLeading} from './quorum.js';
 import type {SafetyRules} from './safety-rules.js';
 import type {
@@ -23,11 +23,11 @@
 type Waiter = {settle: ((proof: Either<Refusal, LogPosition>) => void) | undefined};
 
 /** Runs one round at a time; callers that come during a round share the next one. */
-export class Proofs implements Disposable {
+export class FreshnessProver implements Disposable {
 	/** Fires with every proof that succeeded. */
 	readonly onProof: Event<FreshnessSample>;
 
-	private readonly _group: KnownGroup;
+	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _rules: SafetyRules;
@@ -38,7 +38,7 @@
 	private _isDisposed = false;
 	private _endRound: (() => void) | undefined;
 
-	constructor(group: KnownGroup, {services, options, rules}: Omit<MonitorContext, 'pause'>) {
+	constructor(group: GroupState, {services, options, rules}: Omit<MonitorContext, 'pause'>) {
 		this.onProof = this._onProof.event;
 		this._group = group;
 		this._services = services;
@@ -71,7 +71,7 @@
 	}
 
 	/** Gives the round in progress up, because the group changed under it. */
-	restart(): void {
+	abortRound(): void {
 		this._endRound?.();
 		this._sleep.wake();
 	}
--- a/src/common/groups/freshness-samples.test.ts
+++ b/src/common/groups/freshness-samples.test.ts
@@ -9,11 +9,11 @@
 		samples.add({startedAtMs: 20, position: {term: 1, offset: 5}});
 		samples.add({startedAtMs: 30, position: {term: 1, offset: 9}});
 		samples.add({startedAtMs: 40, position: {term: 2, offset: 7}});
-		expect(samples.youngestReached({term: 1, offset: 4})).toEqual(undefined);
-		expect(samples.youngestReached({term: 1, offset: 8})).toEqual(20);
+		expect(samples.newestReachedStartMs({term: 1, offset: 4})).toEqual(undefined);
+		expect(samples.newestReachedStartMs({term: 1, offset: 8})).toEqual(20);
 		// The log of a replaced primary never covers a proof of the next term.
-		expect(samples.youngestReached({term: 1, offset: 99})).toEqual(30);
-		expect(samples.youngestReached({term: 2, offset: 7})).toEqual(40);
+		expect(samples.newestReachedStartMs({term: 1, offset: 99})).toEqual(30);
+		expect(samples.newestReachedStartMs({term: 2, offset: 7})).toEqual(40);
 	});
 
 	it('ignores proofs that would go back, and forgets the oldest', () => {
@@ -23,7 +23,7 @@
 		}
 
 		samples.add({startedAtMs: 99, position: {term: 1, offset: 3}});
-		expect(samples.youngestReached({term: 1, offset: 1})).toEqual(undefined);
-		expect(samples.youngestReached({term: 1, offset: 6})).toEqual(6);
+		expect(samples.newestReachedStartMs({term: 1, offset: 1})).toEqual(undefined);
+		expect(samples.newestReachedStartMs({term: 1, offset: 6})).toEqual(6);
 	});
 });
--- a/src/common/groups/freshness-samples.ts
+++ b/src/common/groups/freshness-samples.ts
@@ -32,7 +32,7 @@
 	}
 
 	/** Start of the youngest proof whose position a replica that applied this much shows. */
-	youngestReached(applied: LogPosition): number | undefined {
+	newestReachedStartMs(applied: LogPosition): number | undefined {
 		let low = 0;
 		let high = this._samples.length;
 		while (low < high) {
--- a/src/common/groups/known-group.ts
+++ b/src/common/groups/group-state.ts
@@ -7,12 +7,12 @@
 	EndpointAddress, GroupDefinition, GroupView, InstanceState, PrimaryAnnouncement,
 } from '../services/services.js';
 import {InstanceWatch} from './instance-watch.js';
-import {isLeading, majorityOf, reachedBy} from './quorum.js';
+import {isLeading, majorityOf, largestValueReachedBy} from './quorum.js';
 import type {SafetyRules} from './safety-rules.js';
 import type {GroupOptions, GroupServices, MonitorContext} from './types.js';
 
 /** Follows the instances of one group. The term known never goes back. */
-export class KnownGroup implements Disposable {
+export class GroupState implements Disposable {
 	readonly name: string;
 	/** Fires when an instance reported its state. */
 	readonly onReport: Event<InstanceWatch>;
@@ -82,7 +82,7 @@
 
 	/** Highest term that a majority of the instances reports to have promised, or a higher one. */
 	get majorityTerm(): number {
-		return reachedBy(this.states().map(state => state.promisedTerm), this.majority);
+		return largestValueReachedBy(this.states().map(state => state.promisedTerm), this.majority);
 	}
 
 	/** When that term was first seen. */
@@ -106,7 +106,7 @@
 	}
 
 	/** Whether the known primary, by its own last report, still leads the known term. */
-	isLed(): boolean {
+	isPrimaryLeading(): boolean {
 		const state = this.primaryWatch?.state;
 		return state !== undefined && isLeading(state) && state.promisedTerm === this._term;
 	}
@@ -121,7 +121,7 @@
 			const isAuthor = term === this._term && name === this._primary;
 			return isAuthor ? Number.POSITIVE_INFINITY : (state && this._rules.heldOffset(state, term)) ?? [];
 		});
-		return reachedBy(offsets, this.majority, -1);
+		return largestValueReachedBy(offsets, this.majority, -1);
 	}
 
 	/** Follows the configuration: adds, drops and replaces watches. */
@@ -170,9 +170,9 @@
 	}
 
 	/** Counts everybody's silence from now on. */
-	excuseSilence(): void {
+	resetSilence(): void {
 		for (const watch of this._watches.values()) {
-			watch.excuseSilence();
+			watch.resetSilence();
 		}
 	}
 
--- a/src/common/groups/instance-watch.ts
+++ b/src/common/groups/instance-watch.ts
@@ -79,12 +79,12 @@
 	}
 
 	/** When the instance was last heard, or silence was last excused. */
-	get heardMs(): number {
+	get lastHeardMs(): number {
 		return this._heardMs;
 	}
 
 	/** When the last connection was lost. */
-	get closedMs(): number {
+	get lastClosedMs(): number {
 		return this._closedMs;
 	}
 
@@ -110,7 +110,7 @@
 	}
 
 	/** Counts silence from now on, after this node itself was paused. */
-	excuseSilence(): void {
+	resetSilence(): void {
 		this._heardMs = this._services.clock.nowMs();
 		this._refusals = 0;
 	}
--- a/src/common/groups/loss-rules.ts
+++ b/src/common/groups/loss-rules.ts
@@ -5,29 +5,29 @@
  * So the rules weigh speed against interruptions only (constants.ts has the numbers).
  */
 import type {InstanceWatch} from './instance-watch.js';
-import type {KnownGroup} from './known-group.js';
-import type {SecondOpinions} from './second-opinions.js';
-import type {GroupOptions, GroupServices, LossReason} from './types.js';
+import type {GroupState} from './group-state.js';
+import type {PeerOpinions} from './peer-opinions.js';
+import type {GroupOptions, GroupServices, PromotionReason} from './types.js';
 
 /** What a rule found. */
-export type Finding = {
-	readonly reason: LossReason;
+export type LossFinding = {
+	readonly reason: PromotionReason;
 	/** When the primary was last known to serve. */
 	readonly sinceMs: number;
 	/** Whether the known primary is not to be waited for. */
 	readonly isPrimarySuspected: boolean;
 };
 
-type Rule = () => Finding | undefined;
+type Rule = () => LossFinding | undefined;
 
 /** Judges what is known about one group. */
 export class LossRules {
-	private readonly _group: KnownGroup;
-	private readonly _opinions: SecondOpinions;
+	private readonly _group: GroupState;
+	private readonly _opinions: PeerOpinions;
 	private readonly _services: Pick<GroupServices, 'clock'>;
 	private readonly _options: GroupOptions;
 	private readonly _startedMs: number;
-	private readonly _sinceMs = new Map<LossReason, number>();
+	private readonly _sinceMs = new Map<PromotionReason, number>();
 
 	/** The rules, in the order of their speed. */
 	private readonly _rules: readonly Rule[] = [
@@ -38,7 +38,7 @@
 		() => this._stranding(),
 	];
 
-	constructor(group: KnownGroup, opinions: SecondOpinions, services: Pick<GroupServices, 'clock'>, options: GroupOptions) {
+	constructor(group: GroupState, opinions: PeerOpinions, services: Pick<GroupServices, 'clock'>, options: GroupOptions) {
 		this._group = group;
 		this._opinions = opinions;
 		this._services = services;
@@ -52,7 +52,7 @@
 	}
 
 	/** The first rule that calls for another primary; none while somebody claims a term. */
-	look(): Finding | undefined {
+	evaluate(): LossFinding | undefined {
 		const findings = this._rules.flatMap(rule => rule() ?? []);
 		const claimedMs = this._services.clock.nowMs() - this._group.highestTermSinceMs;
 		const isClaimed = this._group.highestTerm > this._group.term && claimedMs < this._options.vacantAfterMs;
@@ -60,7 +60,7 @@
 	}
 
 	/** Counts what has to last anew. */
-	forget(): void {
+	reset(): void {
 		this._sinceMs.clear();
 	}
 
@@ -68,7 +68,7 @@
 	 * The endpoint refuses connections and a replica lost its stream: the process is gone. Or
 	 * it is back, and says itself that it lost its log.
 	 */
-	private _crash(): Finding | undefined {
+	private _crash(): LossFinding | undefined {
 		const watch = this._group.primaryWatch;
 		if (!watch) {
 			return undefined;
@@ -77,21 +77,21 @@
 		const isRefusing = watch.control === undefined && watch.refusals >= this._options.crashRefusals;
 		const isGone = isRefusing && this._replicas().some(({state}) => !state?.isStreaming);
 		const isBack = watch.state?.role === 'rebuilding' && watch.state.promisedTerm <= this._group.term;
-		return isGone || isBack ? {reason: 'crash', sinceMs: watch.closedMs, isPrimarySuspected: true} : undefined;
+		return isGone || isBack ? {reason: 'crash', sinceMs: watch.lastClosedMs, isPrimarySuspected: true} : undefined;
 	}
 
 	/**
 	 * Nobody hears the primary: a cut if its whole zone is silent, too, and no replica gets
 	 * its stream; otherwise it is frozen.
 	 */
-	private _silence(): Finding | undefined {
+	private _silence(): LossFinding | undefined {
 		if (!this._group.primaryWatch) {
 			return undefined;
 		}
 
 		const sinceMs = this._heardMs();
 		const silenceMs = this._services.clock.nowMs() - sinceMs;
-		const zoneSilenceMs = Math.min(silenceMs, this._services.clock.nowMs() - this._opinions.zoneHeardMs);
+		const zoneSilenceMs = Math.min(silenceMs, this._services.clock.nowMs() - this._opinions.zoneLastHeardMs);
 		const isCut = zoneSilenceMs >= this._options.cutAfterMs && this._streaming().length === 0;
 		if (isCut) {
 			return {reason: 'cut', sinceMs, isPrimarySuspected: true};
@@ -101,7 +101,7 @@
 	}
 
 	/** The primary is heard, so it is not paused, but too few replicas get its stream for a write to be confirmed. */
-	private _isolation(): Finding | undefined {
+	private _isolation(): LossFinding | undefined {
 		const isHeard = this._group.primaryWatch !== undefined
 			&& this._services.clock.nowMs() - this._heardMs() < this._options.opinionFreshMs;
 		const replicas = this._replicas().filter(({state}) => state?.role === 'replica' && state.promisedTerm === this._group.term);
@@ -110,26 +110,26 @@
 	}
 
 	/** A term was promised that nobody leads, or no primary was ever seen. */
-	private _vacancy(): Finding | undefined {
+	private _vacancy(): LossFinding | undefined {
 		if (this._group.term === 0) {
 			const isLate = this._services.clock.nowMs() - this._startedMs >= this._options.frozenAfterMs;
 			return this._lasting('vacant', isLate, 0);
 		}
 
-		const isDeposed = this._group.primaryWatch?.state !== undefined && !this._group.isLed();
+		const isDeposed = this._group.primaryWatch?.state !== undefined && !this._group.isPrimaryLeading();
 		const isVacant = isDeposed || this._group.majorityTerm > this._group.term || !this._group.primaryWatch;
 		return this._lasting('vacant', isVacant, this._options.vacantAfterMs);
 	}
 
 	/** An instance promised a higher term than the primary's to a promoter that did not finish. */
-	private _stranding(): Finding | undefined {
-		const isStranded = this._group.isLed() && this._group.reachable.some(({state}) =>
+	private _stranding(): LossFinding | undefined {
+		const isStranded = this._group.isPrimaryLeading() && this._group.reachable.some(({state}) =>
 			state !== undefined && state.role !== 'rebuilding' && state.promisedTerm > this._group.term);
 		return this._lasting('stranded', isStranded, this._options.strandedAfterMs);
 	}
 
 	/** A finding once a condition has held for a time. */
-	private _lasting(reason: LossReason, isTrue: boolean, durationMs: number): Finding | undefined {
+	private _lasting(reason: PromotionReason, isTrue: boolean, durationMs: number): LossFinding | undefined {
 		if (!isTrue) {
 			this._sinceMs.delete(reason);
 			return undefined;
@@ -143,7 +143,7 @@
 
 	/** When the primary was last heard, by this node or by a peer. */
 	private _heardMs(): number {
-		return Math.max(this._group.primaryWatch?.heardMs ?? 0, this._opinions.primaryHeardMs);
+		return Math.max(this._group.primaryWatch?.lastHeardMs ?? 0, this._opinions.primaryLastHeardMs);
 	}
 
 	private _replicas(): readonly InstanceWatch[] {
--- a/src/common/groups/monitored-group.ts
+++ b/src/common/groups/monitored-group.ts
@@ -13,13 +13,13 @@
 import {WakeableSleep} from '../lifecycle/timing.js';
 import {Confirmations} from './confirmations.js';
 import {FailureDetector} from './failure-detector.js';
-import {FollowerOrders} from './follower-orders.js';
+import {FollowerRedirector} from './follower-redirector.js';
 import {FreshnessSamples} from './freshness-samples.js';
 import type {InstanceWatch} from './instance-watch.js';
-import {KnownGroup} from './known-group.js';
-import {OrderedChanges} from './ordered-changes.js';
+import {GroupState} from './group-state.js';
+import {OrderedPrimaryChanges} from './ordered-primary-changes.js';
 import {Promoter} from './promoter.js';
-import {Proofs} from './proofs.js';
+import {FreshnessProver} from './freshness-prover.js';
 import {isLeading} from './quorum.js';
 import type {GroupOptions, GroupServices, MonitorContext} from './types.js';
 
@@ -33,13 +33,13 @@
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
 	private readonly _onChange = this._scope.register(new Emitter<GroupView>());
-	private readonly _known: KnownGroup;
+	private readonly _known: GroupState;
 	private readonly _confirmations: Confirmations;
-	private readonly _proofs: Proofs;
+	private readonly _proofs: FreshnessProver;
 	private readonly _samples: FreshnessSamples;
 	private readonly _detector: FailureDetector;
 	private readonly _promoter: Promoter;
-	private readonly _ordered: OrderedChanges;
+	private readonly _ordered: OrderedPrimaryChanges;
 	private _sampler: Disposable | undefined;
 	private _freshnessAskedMs = Number.NEGATIVE_INFINITY;
 	private _usedMs: number;
@@ -52,14 +52,14 @@
 		this._services = services;
 		this._options = options;
 		this._usedMs = services.clock.nowMs();
-		this._known = this._scope.register(new KnownGroup(group, context));
+		this._known = this._scope.register(new GroupState(group, context));
 		this._confirmations = this._scope.register(new Confirmations(services.clock));
-		this._proofs = this._scope.register(new Proofs(this._known, context));
+		this._proofs = this._scope.register(new FreshnessProver(this._known, context));
 		this._samples = new FreshnessSamples(options.samplesKept);
-		const followers = this._scope.register(new FollowerOrders(this._known, services, options));
+		const followers = this._scope.register(new FollowerRedirector(this._known, services, options));
 		this._promoter = new Promoter(this._known, followers, context);
 		this._detector = this._scope.register(new FailureDetector(this._known, context));
-		this._ordered = this._scope.register(new OrderedChanges(this._known, this._promoter, services, options));
+		this._ordered = this._scope.register(new OrderedPrimaryChanges(this._known, this._promoter, services, options));
 		this._listen();
 		this.configure(services.configuration.group(group));
 		void this._guard();
@@ -67,7 +67,7 @@
 	}
 
 	/** When somebody last asked something of the monitor. */
-	get usedMs(): number {
+	get lastUsedMs(): number {
 		return this._usedMs;
 	}
 
@@ -108,14 +108,14 @@
 		const watch = this._known.watch(endpoint);
 		const state = watch?.isReachable ? watch.state : undefined;
 		const startedAtMs = state && state.role !== 'rebuilding'
-			? this._samples.youngestReached(state.applied)
+			? this._samples.newestReachedStartMs(state.applied)
 			: undefined;
 		return startedAtMs === undefined ? undefined : this._services.clock.nowMs() - startedAtMs;
 	}
 
 	async orderPromotion(endpoint?: string): Promise<Either<Refusal, GroupView>> {
 		this._use();
-		return this._ordered.move('ordered', endpoint);
+		return this._ordered.movePrimary('ordered', endpoint);
 	}
 
 	control(endpoint: string): InstanceControl | undefined {
@@ -158,7 +158,7 @@
 			this._onChange.fire(this.view());
 		}));
 		this._scope.register(this._known.onPrimary(({term}) => {
-			this._proofs.restart();
+			this._proofs.abortRound();
 			this._ordered.wake();
 			this._services.metrics.gauge('groupTerm', term, {group: this.group});
 			this._onChange.fire(this.view());
--- a/src/common/groups/monitored-groups.ts
+++ b/src/common/groups/monitored-groups.ts
@@ -5,7 +5,7 @@
 import type {Groups} from '../services/services.js';
 import {groupDefaults} from './constants.js';
 import {MonitoredGroup} from './monitored-group.js';
-import {PauseWatch} from './pause-watch.js';
+import {PauseDetector} from './pause-detector.js';
 import {safetyRules} from './safety-rules.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
@@ -14,14 +14,14 @@
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
-	private readonly _pause: PauseWatch;
+	private readonly _pause: PauseDetector;
 	private readonly _monitors = new Map<string, MonitoredGroup>();
 	private _sweeper: Disposable | undefined;
 
 	constructor(services: GroupServices, options: Partial<GroupOptions> = {}) {
 		this._services = services;
 		this._options = {...groupDefaults, ...options};
-		this._pause = this._scope.register(new PauseWatch(services.clock, this._options.pauseBoundMs));
+		this._pause = this._scope.register(new PauseDetector(services.clock, this._options.pauseBoundMs));
 		this._scope.register(services.configuration.onChange(() => {
 			this._configure();
 		}));
@@ -69,7 +69,7 @@
 		for (const [group, monitor] of this._monitors) {
 			const endpoints = configuration.group(group)?.endpoints ?? [];
 			const isHome = endpoints.some(endpoint => membership.homeOf(endpoint)?.name === membership.self.name);
-			if (!isHome && clock.nowMs() - monitor.usedMs > this._options.unusedAfterMs) {
+			if (!isHome && clock.nowMs() - monitor.lastUsedMs > this._options.unusedAfterMs) {
 				this._end(group);
 			}
 		}
--- a/src/common/groups/ordered-changes.ts
+++ b/src/common/groups/ordered-primary-changes.ts
@@ -10,17 +10,17 @@
 import {WakeableSleep, withTimeout} from '../lifecycle/timing.js';
 import {rankCandidates} from './candidates.js';
 import type {InstanceWatch} from './instance-watch.js';
-import type {KnownGroup} from './known-group.js';
+import type {GroupState} from './group-state.js';
 import type {Promoter} from './promoter.js';
 import {lagEntries} from './quorum.js';
-import type {GroupOptions, GroupServices, LossReason} from './types.js';
+import type {GroupOptions, GroupServices, PromotionReason} from './types.js';
 
 /** A change that the rules in force ask for. */
-type WantedChange = {readonly reason: LossReason; readonly endpoint: string | undefined; readonly orderedOf: string};
+type WantedChange = {readonly reason: PromotionReason; readonly endpoint: string | undefined; readonly orderedOf: string};
 
 /** Carries ordered changes out, from the node that is closest to them. */
-export class OrderedChanges implements Disposable {
-	private readonly _group: KnownGroup;
+export class OrderedPrimaryChanges implements Disposable {
+	private readonly _group: GroupState;
 	private readonly _promoter: Promoter;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
@@ -29,7 +29,7 @@
 	private _wantedSinceMs: number | undefined;
 	private _isDisposed = false;
 
-	constructor(group: KnownGroup, promoter: Promoter, services: GroupServices, options: GroupOptions) {
+	constructor(group: GroupState, promoter: Promoter, services: GroupServices, options: GroupOptions) {
 		this._group = group;
 		this._promoter = promoter;
 		this._services = services;
@@ -49,7 +49,7 @@
 				continue;
 			}
 
-			const outcome = await this.move(change.reason, change.endpoint);
+			const outcome = await this.movePrimary(change.reason, change.endpoint);
 			if (outcome.isRight()) {
 				this._backoff.reset();
 			} else {
@@ -64,17 +64,17 @@
 	}
 
 	/** Moves the primary to an endpoint, or to the best one. */
-	async move(reason: LossReason, endpoint: string | undefined): Promise<Either<Refusal, GroupView>> {
+	async movePrimary(reason: PromotionReason, endpoint: string | undefined): Promise<Either<Refusal, GroupView>> {
 		const wanted = this._wantedWatch(endpoint);
 		if (!wanted?.isReachable) {
 			return Left(new Refusal('endpointUnavailable', endpoint ?? 'no replica can be reached'));
 		}
 
-		if (wanted.name === this._group.primary && this._group.isLed()) {
+		if (wanted.name === this._group.primary && this._group.isPrimaryLeading()) {
 			return Right(this._group.view());
 		}
 
-		if (this._group.isLed() && !await this._catchUp(wanted)) {
+		if (this._group.isPrimaryLeading() && !await this._catchUp(wanted)) {
 			return Left(new Refusal('tooStale', `${wanted.name} is too far behind the primary`));
 		}
 
--- a/src/common/groups/pause-watch.ts
+++ b/src/common/groups/pause-detector.ts
@@ -9,7 +9,7 @@
 const tickMs = 100;
 
 /** Ticks; a tick that comes much too late means that the process did not run. */
-export class PauseWatch implements Disposable {
+export class PauseDetector implements Disposable {
 	/** Fires with the length of a pause in milliseconds. */
 	readonly onPause: Event<number>;
 
--- a/src/common/groups/second-opinions.ts
+++ b/src/common/groups/peer-opinions.ts
@@ -6,12 +6,12 @@
  */
 import {Right} from 'purify-ts';
 import type {EndpointAddress, Host} from '../services/services.js';
-import type {KnownGroup} from './known-group.js';
+import type {GroupState} from './group-state.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
 /** Asks in rounds, one at a time. */
-export class SecondOpinions {
-	private readonly _group: KnownGroup;
+export class PeerOpinions {
+	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private _primary = '';
@@ -19,19 +19,19 @@
 	private _primaryHeardMs = 0;
 	private _isAsking = false;
 
-	constructor(group: KnownGroup, services: GroupServices, options: GroupOptions) {
+	constructor(group: GroupState, services: GroupServices, options: GroupOptions) {
 		this._group = group;
 		this._services = services;
 		this._options = options;
 	}
 
 	/** When a node in the primary's zone was last known to live; zero when not known. */
-	get zoneHeardMs(): number {
+	get zoneLastHeardMs(): number {
 		return this._zoneHeardMs;
 	}
 
 	/** When a peer last heard the primary; zero when not known. */
-	get primaryHeardMs(): number {
+	get primaryLastHeardMs(): number {
 		return this._primaryHeardMs;
 	}
 
--- a/src/common/groups/promoter.ts
+++ b/src/common/groups/promoter.ts
@@ -14,9 +14,9 @@
 import type {GroupView, PrimaryAnnouncement} from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
 import type {Candidate} from './candidates.js';
-import type {FollowerOrders} from './follower-orders.js';
+import type {FollowerRedirector} from './follower-redirector.js';
 import type {InstanceWatch} from './instance-watch.js';
-import type {KnownGroup} from './known-group.js';
+import type {GroupState} from './group-state.js';
 import type {SafetyRules} from './safety-rules.js';
 import {TermClaimant} from './term-claimant.js';
 import type {
@@ -25,8 +25,8 @@
 
 /** Carries promotions of one group out, one at a time. */
 export class Promoter {
-	private readonly _group: KnownGroup;
-	private readonly _followers: FollowerOrders;
+	private readonly _group: GroupState;
+	private readonly _followers: FollowerRedirector;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _rules: SafetyRules;
@@ -34,8 +34,8 @@
 	private _isBusy = false;
 
 	constructor(
-		group: KnownGroup,
-		followers: FollowerOrders,
+		group: GroupState,
+		followers: FollowerRedirector,
 		{services, options, rules}: MonitorContext,
 	) {
 		this._group = group;
--- a/src/common/groups/quorum.ts
+++ b/src/common/groups/quorum.ts
@@ -18,7 +18,7 @@
 }
 
 /** The largest value that at least `count` of the values reach; `lowest` with too few values. */
-export function reachedBy(values: readonly number[], count: number, lowest = 0): number {
+export function largestValueReachedBy(values: readonly number[], count: number, lowest = 0): number {
 	if (values.length < count) {
 		return lowest;
 	}
--- a/src/common/groups/testing/fake-world.ts
+++ b/src/common/groups/testing/fake-world.ts
@@ -13,7 +13,7 @@
 import {VirtualClock} from '../../testing/virtual-clock.js';
 import {groupDefaults} from '../constants.js';
 import {MonitoredGroup} from '../monitored-group.js';
-import {PauseWatch} from '../pause-watch.js';
+import {PauseDetector} from '../pause-detector.js';
 import {safetyRules, type SafetyRules} from '../safety-rules.js';
 import type {GroupOptions, GroupServices} from '../types.js';
 import {FakeInstance, type FakeOpening} from './fake-instance.js';
@@ -39,7 +39,7 @@
 	private readonly _world: FakeWorld;
 	private readonly _zone: string;
 	private _incarnation = 1;
-	private _pauseWatch!: PauseWatch;
+	private _pauseWatch!: PauseDetector;
 
 	constructor(zone: string, world: FakeWorld) {
 		this._world = world;
@@ -63,7 +63,7 @@
 	start(): void {
 		const services = this.services();
 		const options = {...groupDefaults, ...this._world.setup.options};
-		this._pauseWatch = new PauseWatch(this.process, options.pauseBoundMs);
+		this._pauseWatch = new PauseDetector(this.process, options.pauseBoundMs);
 		this.monitor = new MonitoredGroup(groupName, {
 			services, options, pause: this._pauseWatch, rules: {...safetyRules, ...this._world.setup.rules},
 		});
--- a/src/common/groups/types.ts
+++ b/src/common/groups/types.ts
@@ -7,7 +7,7 @@
 	PrimaryAnnouncement, Random,
 } from '../services/services.js';
 import type {groupDefaults} from './constants.js';
-import type {PauseWatch} from './pause-watch.js';
+import type {PauseDetector} from './pause-detector.js';
 import type {SafetyRules} from './safety-rules.js';
 
 /** Options of a group monitor; defaults in constants.ts. */
@@ -37,16 +37,16 @@
 export type MonitorContext = {
 	readonly services: GroupServices;
 	readonly options: GroupOptions;
-	readonly pause: PauseWatch;
+	readonly pause: PauseDetector;
 	readonly rules: SafetyRules;
 };
 
 /** Why a group needs a new primary. */
-export type LossReason = 'crash' | 'cut' | 'frozen' | 'isolated' | 'vacant' | 'stranded' | 'ordered' | 'draining';
+export type PromotionReason = 'crash' | 'cut' | 'frozen' | 'isolated' | 'vacant' | 'stranded' | 'ordered' | 'draining';
 
 /** A finding that calls for a promotion. */
-export type Loss = {
-	readonly reason: LossReason;
+export type PrimaryLoss = {
+	readonly reason: PromotionReason;
 	/** When the primary was last known to serve, on the clock of this node. */
 	readonly sinceMs: number;
 	/** Term that was lost. */
@@ -56,7 +56,7 @@
 };
 
 /** A promotion to carry out. */
-export type PromotionPlan = Loss & {
+export type PromotionPlan = PrimaryLoss & {
 	/** Endpoint that is to become primary if it is as advanced as any. */
 	readonly wanted: string | undefined;
 };
--- a/src/common/homes/acknowledgement.ts
+++ b/src/common/homes/acknowledgement.ts
@@ -39,7 +39,7 @@
 	}
 
 	/** The reason why what an unfinished answer holds so far must not be passed on. */
-	async refusalSoFar(run: RunningRequest): Promise<Refusal | undefined> {
+	async confirmPartial(run: RunningRequest): Promise<Refusal | undefined> {
 		const result = await this.confirmCurrent(run);
 		return result.isLeft() ? result.extract() : undefined;
 	}
@@ -75,7 +75,7 @@
 	}
 
 	/** Waits for the proof that was asked for on arrival, if there is one. */
-	async proofRefusal(run: RunningRequest): Promise<Refusal | undefined> {
+	async awaitProof(run: RunningRequest): Promise<Refusal | undefined> {
 		const result = await run.proof;
 		if (!result) {
 			return undefined;
--- a/src/common/homes/admission.ts
+++ b/src/common/homes/admission.ts
@@ -9,7 +9,7 @@
 import type {Attachment} from './attachment.js';
 import type {PositionTracker} from './position-tracker.js';
 import type {HomeContext, RunningRequest} from './types.js';
-import {until} from './waiting.js';
+import {waitUntil} from './wait-until.js';
 
 /** Where an admission knows from. */
 export type AdmissionSources = {
@@ -57,7 +57,7 @@
 	}
 
 	/** Checks again once the request has a slot, since it may have waited long. */
-	async admitNow(run: RunningRequest): Promise<Refusal | undefined> {
+	async recheck(run: RunningRequest): Promise<Refusal | undefined> {
 		return this._leavingRefusal()
 			?? this._detachedRefusal()
 			?? this._roleRefusal(run)
@@ -78,7 +78,7 @@
 	private async _awaitAttach(run: RunningRequest): Promise<Refusal | undefined> {
 		if (!this._attachment.isAttached && this._attachment.isReachable) {
 			const {clock, options} = this._context;
-			await until(clock, {
+			await waitUntil(clock, {
 				condition: () => this._attachment.isAttached,
 				events: [this._attachment.onChange],
 				timeoutMs: Math.min(options.attachWaitMs, this._timeLeftMs(run)),
@@ -129,9 +129,9 @@
 	private async _awaitPosition(run: RunningRequest): Promise<Refusal | undefined> {
 		const {minimumPosition} = run;
 		const {clock, options} = this._context;
-		if (!this._tracker.includes(minimumPosition) && this._tracker.isClose(minimumPosition, options.positionWaitEntries)) {
-			await until(clock, {
-				condition: () => this._tracker.includes(minimumPosition),
+		if (!this._tracker.hasApplied(minimumPosition) && this._tracker.isClose(minimumPosition, options.positionWaitEntries)) {
+			await waitUntil(clock, {
+				condition: () => this._tracker.hasApplied(minimumPosition),
 				events: [this._tracker.onChange],
 				timeoutMs: Math.min(options.positionWaitMs, this._timeLeftMs(run)),
 				signal: run.signal,
@@ -142,7 +142,7 @@
 	}
 
 	private _positionRefusal(run: RunningRequest): Refusal | undefined {
-		return this._tracker.includes(run.minimumPosition)
+		return this._tracker.hasApplied(run.minimumPosition)
 			? undefined
 			: new Refusal('behindToken', this._endpoint, {correction: {...this.correction(), applied: this._applied()}});
 	}
--- a/src/common/homes/answer-hold.ts
+++ b/src/common/homes/answer-buffer.ts
@@ -12,16 +12,16 @@
 export type AnswerGate = () => Promise<Refusal | undefined>;
 
 /** Bytes held back for all answers of one endpoint. */
-export type HeldBytes = {
+export type BufferedBytes = {
 	totalBytes: number;
 };
 
-type HoldOptions = Pick<HomeOptions, 'answerChunkBytes' | 'heldAnswerBytes' | 'heldTotalBytes'>;
+type AnswerBufferOptions = Pick<HomeOptions, 'answerChunkBytes' | 'heldAnswerBytes' | 'heldTotalBytes'>;
 
-type HoldSettings = {
+type AnswerBufferSettings = {
 	readonly sink: AnswerSink;
-	readonly held: HeldBytes;
-	readonly options: HoldOptions;
+	readonly held: BufferedBytes;
+	readonly options: AnswerBufferOptions;
 	/** Undefined where nothing needs confirmation. */
 	readonly gate: AnswerGate | undefined;
 	/** Whether the gate applies from the first byte, or only once a commit was seen. */
@@ -38,8 +38,8 @@
 const preludeTypes = new Set([0x31, 0x32, 0x33, 0x74, 0x6E, 0x54, 0x53, 0x4E]);
 
 /** Holds an answer back until it may be passed on. */
-export class AnswerHold implements AnswerSink {
-	private readonly _settings: HoldSettings;
+export class AnswerBuffer implements AnswerSink {
+	private readonly _settings: AnswerBufferSettings;
 	private _pieces: Uint8Array[] = [];
 	private _pieceBytes = 0;
 	private _firstType: number | undefined;
@@ -49,12 +49,12 @@
 	private _stopReason: Refusal | undefined;
 	private _passing: Promise<void> | undefined;
 
-	constructor(settings: HoldSettings) {
+	constructor(settings: AnswerBufferSettings) {
 		this._settings = settings;
 	}
 
 	/** Whether a part has been passed on. */
-	get hasPushed(): boolean {
+	get hasForwarded(): boolean {
 		return this._hasPushed;
 	}
 
@@ -64,7 +64,7 @@
 	}
 
 	/** Whether an error came before anything ran. */
-	get isErrorFirst(): boolean {
+	get startsWithError(): boolean {
 		return this._firstType === errorType;
 	}
 
--- a/src/common/homes/attachment.ts
+++ b/src/common/homes/attachment.ts
@@ -14,10 +14,10 @@
 import {Backoff} from './backoff.js';
 import type {PositionTracker} from './position-tracker.js';
 import type {HomeContext} from './types.js';
-import {until} from './waiting.js';
+import {waitUntil} from './wait-until.js';
 
 /** What is attached to what. */
-export type AttachmentSubject = {
+export type AttachmentTarget = {
 	readonly endpoint: string;
 	/** `<node>/<incarnation>` of this node. */
 	readonly homeId: string;
@@ -27,7 +27,7 @@
 };
 
 /** What became of the holder that stands in the way: an earlier run of a node is gone. */
-type HolderFinding = 'letGo' | 'silent' | 'gone' | 'unknown';
+type HolderStatus = 'letGo' | 'silent' | 'gone' | 'unknown';
 
 /** Keeps this node attached to one endpoint. */
 export class Attachment implements Disposable {
@@ -47,7 +47,7 @@
 	private _unknownHolder = {homeId: '', sinceMs: 0};
 	private readonly _onChange = this._owned.register(new Emitter<boolean>());
 
-	constructor(context: HomeContext, subject: AttachmentSubject) {
+	constructor(context: HomeContext, subject: AttachmentTarget) {
 		this._context = context;
 		this._endpoint = subject.endpoint;
 		this._homeId = subject.homeId;
@@ -83,7 +83,7 @@
 	}
 
 	/** The endpoint said on a work connection that another home is attached. */
-	onContradicted(): void {
+	reportNotAttached(): void {
 		this._setAttached(false);
 		this._onNudge.fire();
 	}
@@ -138,7 +138,7 @@
 		if (isAttached && isOpen && !this._isStopped) {
 			this._retry.reset();
 			this._setAttached(true);
-			await until(this._context.clock, {
+			await waitUntil(this._context.clock, {
 				condition: () => !isOpen || !this._isAttached || this._isStopped,
 				events: [this._onNudge.event],
 			});
@@ -156,7 +156,7 @@
 	/** Waits for a new control connection or for the next try on the same one. */
 	private async _pause(former: InstanceControl | undefined): Promise<void> {
 		const {clock, options} = this._context;
-		await until(clock, {
+		await waitUntil(clock, {
 			condition: () => this._isStopped || (this._monitor.control(this._endpoint) ?? former) !== former,
 			events: [this._monitor.onChange, this._onNudge.event],
 			timeoutMs: former ? this._retry.remainingMs : options.attachRetryMaximumMs,
@@ -222,7 +222,7 @@
 	}
 
 	/** Asks the holder's node to let go, and finds out whether the holder is still there. */
-	private async _askHolder(): Promise<HolderFinding> {
+	private async _askHolder(): Promise<HolderStatus> {
 		const {membership, peers, options} = this._context;
 		const host = membership.host(nodeOf(this._holder));
 		if (!host) {
--- a/src/common/homes/connection-pool.ts
+++ b/src/common/homes/connection-pool.ts
@@ -107,7 +107,7 @@
 	}
 
 	/** Sets how many connections are worth having. */
-	setWanted(count: number): void {
+	setTargetSize(count: number): void {
 		this._wanted = count;
 		this._fill();
 	}
@@ -138,7 +138,7 @@
 	}
 
 	/** Takes back a connection whose last exchange ended outside of a transaction. */
-	giveBack(connection: EndpointConnection): void {
+	release(connection: EndpointConnection): void {
 		if (!this._open.has(connection)) {
 			return;
 		}
@@ -157,7 +157,7 @@
 	}
 
 	/** Notes that a connection in use will not be used again; it is closed when the attach ends, or discarded before. */
-	giveUp(connection: EndpointConnection): void {
+	abandon(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
 			this._givenUp.add(connection);
 		}
@@ -260,7 +260,7 @@
 		}
 
 		this._backoff.reset();
-		this.giveBack(connection);
+		this.release(connection);
 		this._fill();
 	}
 
--- a/src/common/homes/endpoint-home.test.ts
+++ b/src/common/homes/endpoint-home.test.ts
@@ -1,14 +1,14 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {HomeBench, KeptAnswer} from './testing/home-bench.js';
+import {HomeHarness, RecordedAnswer} from './testing/home-harness.js';
 
 const session = (number: number) => ({sessionId: `node-9/run/${number}`});
 
 describe('EndpointHome', () => {
 	it('holds the answer of a write until it is confirmed, but neither slot nor connection', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.group.confirmMs = 500;
-		const sink = new KeptAnswer();
+		const sink = new RecordedAnswer();
 		const write = bench.execute('INSERT 1', {}, sink);
 		await bench.clock.advance(10);
 		expect(bench.endpoint.statements).toEqual(['INSERT 1']);
@@ -23,20 +23,20 @@
 	});
 
 	it('acknowledges at the commit when it is told to', async () => {
-		const bench = await new HomeBench({acknowledgement: 'commit'}).ready();
+		const bench = await new HomeHarness({acknowledgement: 'commit'}).ready();
 		bench.group.isConfirming = false;
 		expect(await bench.runNow('INSERT 1')).toEqual('ok');
 	});
 
 	it('does not confirm again what a read of the primary saw before', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('SELECT 1');
 		await bench.runNow('SELECT 1');
 		expect(bench.group.confirmations).toEqual(1);
 	});
 
 	it('refuses by role', async () => {
-		const replica = await new HomeBench({}, 'replica').ready();
+		const replica = await new HomeHarness({}, 'replica').ready();
 		const refusal = await replica.refusalOf('INSERT 1');
 		expect([refusal.kind, refusal.correction?.primary]).toEqual(['notPrimary', 'stock-2']);
 		replica.group.primary = '';
@@ -48,7 +48,7 @@
 	});
 
 	it('waits a short time for a position that is close', async () => {
-		const bench = await new HomeBench({}, 'replica').ready();
+		const bench = await new HomeHarness({}, 'replica').ready();
 		const minimumPosition = {term: 1, offset: 12};
 		const close = bench.run('SELECT 1', {minimumPosition});
 		await bench.clock.advance(20);
@@ -65,7 +65,7 @@
 	});
 
 	it('forgets a position when the log is cut or the connection is new', async () => {
-		const bench = await new HomeBench({}, 'replica').ready();
+		const bench = await new HomeHarness({}, 'replica').ready();
 		const minimumPosition = {term: 1, offset: 10};
 		expect(await bench.runNow('SELECT 1', {minimumPosition})).toEqual('ok');
 		bench.endpoint.report({promisedTerm: 2, received: {term: 1, offset: 8}, applied: {term: 1, offset: 8}});
@@ -76,7 +76,7 @@
 	});
 
 	it('answers a read of a stated age within it, or says which age it could have', async () => {
-		const bench = await new HomeBench({}, 'replica').ready();
+		const bench = await new HomeHarness({}, 'replica').ready();
 		bench.group.age = 300;
 		expect(await bench.runNow('SELECT 1', {maximumAgeMs: 100})).toEqual('ok');
 		bench.group.age = 300;
@@ -86,7 +86,7 @@
 	});
 
 	it('proves freshness beside the statement and holds the answer for it', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		expect(await bench.runNow('SELECT 1', {isFreshnessProved: true})).toEqual('ok');
 		bench.group.isProving = false;
 		expect(await bench.runNow('SELECT 1', {isFreshnessProved: true})).toEqual('noPrimary');
@@ -99,9 +99,9 @@
 	});
 
 	it('passes a long answer on in pieces, each one confirmed on the primary', async () => {
-		const bench = await new HomeBench({heldAnswerBytes: 1000}).ready();
+		const bench = await new HomeHarness({heldAnswerBytes: 1000}).ready();
 		bench.endpoint.rowBytes = 5000;
-		const sink = new KeptAnswer();
+		const sink = new RecordedAnswer();
 		await bench.clock.advanceUntil(bench.execute('SELECT 1', {}, sink));
 		expect(sink.pieces.map(piece => piece.length > 5000)).toEqual([true, false]);
 		expect(bench.group.confirmations).toEqual(1);
@@ -110,7 +110,7 @@
 
 describe('transactions of an endpoint', () => {
 	it('keep their connection; their statements take slots only while they run', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		for (const number of [1, 2, 3, 4, 5]) {
 			expect(await bench.runNow('BEGIN', session(number))).toEqual('ok');
 		}
@@ -126,7 +126,7 @@
 	});
 
 	it('are bounded, so that reads go on, and connections stay within the limit', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		// 20 connections, less one control connection and one to spare, less 3 slots.
 		const begins = Array.from({length: 16}, async (_, number) => bench.run('BEGIN', {...session(number), transactionIdleMs: 5000}));
 		const kinds = await bench.clock.advanceUntil(Promise.all(begins));
@@ -138,7 +138,7 @@
 	});
 
 	it('are rolled back when idle for too long, and the session is told', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN');
 		await bench.clock.advance(501);
 		expect(bench.endpoint.statements).toEqual(['BEGIN', 'ROLLBACK']);
@@ -148,7 +148,7 @@
 	});
 
 	it('are rolled back when their session is released, also in mid-statement', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		for (const step of ['BEGIN', 'INSERT 1']) {
 			const isInTransaction = step !== 'BEGIN';
 			if (isInTransaction) {
@@ -165,7 +165,7 @@
 	});
 
 	it('are lost with their connection while idle', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN');
 		for (const connection of bench.endpoint.connections) {
 			connection.breakNow();
@@ -177,7 +177,7 @@
 
 describe('work connections of an endpoint', () => {
 	it('are tried again with growing delays while requests are refused at once', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.endpoint.isRefusingConnections = true;
 		for (const connection of bench.endpoint.connections) {
 			connection.breakNow();
--- a/src/common/homes/endpoint-home.ts
+++ b/src/common/homes/endpoint-home.ts
@@ -16,26 +16,26 @@
 import {minimumHeldTransactions} from './constants.js';
 import {HeldTransactions} from './held-transactions.js';
 import {PositionTracker} from './position-tracker.js';
-import {RequestFinish} from './request-finish.js';
+import {RequestCompletion} from './request-completion.js';
 import {RequestRunner} from './request-runner.js';
 import {rollBack} from './rollback.js';
 import {SlotQueue} from './slot-queue.js';
 import {StatementRunner} from './statement-runner.js';
 import type {HomeContext, RunningRequest} from './types.js';
-import {until} from './waiting.js';
+import {waitUntil} from './wait-until.js';
 
 /** How far a home has gone in letting its endpoint go. */
 type Stage = 'serving' | 'finishing' | 'stopping';
 
 /** What a home needs to know of its endpoint's group. */
-export type EndpointPlace = {
+export type EndpointAssignment = {
 	readonly definition: EndpointDefinition;
 	/** Instances of the group. */
 	readonly groupSize: number;
 };
 
 /** How long letting go may take. */
-export type LetGoBounds = {
+export type DrainBounds = {
 	readonly boundMs: number;
 	/** Time for open transactions, within the bound. */
 	readonly transactionMs: number;
@@ -54,12 +54,12 @@
 	private readonly _runner: StatementRunner;
 	private readonly _inProgress = new Set<RunningRequest>();
 	private readonly _onFinished = this._owned.register(new Emitter<void>());
-	private _place: EndpointPlace;
+	private _place: EndpointAssignment;
 	private _isPrimary: boolean;
 	private _stage: Stage = 'serving';
 	private _letGo: Promise<void> | undefined;
 
-	constructor(context: HomeContext, place: EndpointPlace, homeId: string, monitor: GroupMonitor) {
+	constructor(context: HomeContext, place: EndpointAssignment, homeId: string, monitor: GroupMonitor) {
 		const {definition} = place;
 		const {name: endpoint} = definition;
 		this._context = context;
@@ -85,7 +85,7 @@
 			pool: this._pool,
 			transactions: this._transactions,
 			runner: this._runner,
-			finish: new RequestFinish(context, endpoint, this._admission, acknowledgement),
+			finish: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
 			closedRefusal: () => this._stage === 'stopping' ? this._notHome() : undefined,
 		});
 		this._isPrimary = monitor.view().primary === endpoint;
@@ -104,16 +104,16 @@
 
 	/** Begins to attach. */
 	start(): void {
-		this._pool.setWanted(this._wantedConnections());
+		this._pool.setTargetSize(this._wantedConnections());
 		this._attachment.start();
 	}
 
 	/** Follows a change of the endpoint's slots or connections. */
-	update(place: EndpointPlace): void {
+	update(place: EndpointAssignment): void {
 		this._place = place;
 		this._queue.setSlots(place.definition.slots);
 		this._pool.setLimit(this._connectionLimit());
-		this._pool.setWanted(this._wantedConnections());
+		this._pool.setTargetSize(this._wantedConnections());
 	}
 
 	/** Runs one request cycle. */
@@ -153,7 +153,7 @@
 	}
 
 	/** Finishes what is in progress, within bounds, and detaches. The first call sets the bounds. */
-	async letGo(bounds: LetGoBounds): Promise<void> {
+	async letGo(bounds: DrainBounds): Promise<void> {
 		this._letGo ??= this._letGoWithin(bounds);
 		return this._letGo;
 	}
@@ -176,13 +176,13 @@
 			}
 		}));
 		this._owned.register(this._pool.onNotAttached(() => {
-			this._attachment.onContradicted();
+			this._attachment.reportNotAttached();
 		}));
 		this._owned.register(this._pool.onLost(connection => {
 			this._transactions.onConnectionLost(connection);
 		}));
 		this._owned.register(this._transactions.onChange(() => {
-			this._pool.setWanted(this._wantedConnections());
+			this._pool.setTargetSize(this._wantedConnections());
 			this._queue.serve();
 		}));
 		this._owned.register(this._transactions.onAbandoned(connection => {
@@ -235,7 +235,7 @@
 	 * statements that were running already are waited for. New work stops for no longer than
 	 * the last statements take.
 	 */
-	private async _letGoWithin(bounds: LetGoBounds): Promise<void> {
+	private async _letGoWithin(bounds: DrainBounds): Promise<void> {
 		const endMs = this._context.clock.nowMs() + bounds.boundMs;
 		this._stage = 'finishing';
 		await this._wait(bounds.transactionMs, () => this._transactions.count + this._queue.beginsRunning === 0);
@@ -253,7 +253,7 @@
 
 	private async _wait(timeoutMs: number, condition: () => boolean): Promise<void> {
 		const events = [this._transactions.onChange, this._queue.onFreed, this._onFinished.event];
-		await until(this._context.clock, {condition, events, timeoutMs});
+		await waitUntil(this._context.clock, {condition, events, timeoutMs});
 	}
 
 	private _msUntil(timeMs: number): number {
--- a/src/common/homes/fault-kinds.test.ts
+++ b/src/common/homes/fault-kinds.test.ts
@@ -1,9 +1,9 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import type {CutPoint} from './testing/fake-endpoint.js';
-import {HomeBench, KeptAnswer} from './testing/home-bench.js';
+import type {BreakPoint} from './testing/fake-endpoint.js';
+import {HomeHarness, RecordedAnswer} from './testing/home-harness.js';
 
-const cutPoints: CutPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
+const cutPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
 const longRowBytes = 2_000_000;
 
 type Case = {
@@ -58,8 +58,8 @@
 	},
 ];
 
-async function benchFor(testCase: Case): Promise<HomeBench> {
-	const bench = await new HomeBench({}, testCase.role).ready();
+async function benchFor(testCase: Case): Promise<HomeHarness> {
+	const bench = await new HomeHarness({}, testCase.role).ready();
 	for (const [index, sql] of (testCase.before ?? []).entries()) {
 		expect(await bench.runNow(sql, {isInTransaction: index > 0})).toEqual('ok');
 	}
@@ -74,9 +74,9 @@
 		for (const [index, cutAt] of cutPoints.entries()) {
 			it(`${testCase.name}, ${cutAt}`, async () => {
 				const bench = await benchFor(testCase);
-				bench.endpoint.cutAt = cutAt;
+				bench.endpoint.breakAt = cutAt;
 				expect(await bench.runNow(testCase.sql, {isInTransaction})).toEqual(testCase.kinds[index]);
-				bench.endpoint.cutAt = undefined;
+				bench.endpoint.breakAt = undefined;
 				await bench.clock.advance(100);
 				// The connection has been replaced, one for each slot and one for the transaction that was open.
 				expect(await bench.runNow('SELECT 1')).toEqual('ok');
@@ -87,7 +87,7 @@
 		it(`${testCase.name}, no confirmation`, async () => {
 			const bench = await benchFor(testCase);
 			bench.group.isConfirming = false;
-			const sink = new KeptAnswer();
+			const sink = new RecordedAnswer();
 			const result = await bench.clock.advanceUntil(bench.execute(testCase.sql, {isInTransaction}, sink));
 			expect(result.isLeft() ? result.extract().kind : 'ok').toEqual(testCase.kinds[4]);
 			expect(sink.pieces.length > 0).toEqual(testCase.kinds[4] === 'ok');
@@ -96,7 +96,7 @@
 
 	it('gives up on an endpoint that does not answer, shortly after the deadline', async () => {
 		for (const [sql, kind] of [['SELECT 1', 'deadlineExceeded'], ['INSERT 1', 'outcomeUnknown']]) {
-			const bench = await new HomeBench().ready();
+			const bench = await new HomeHarness().ready();
 			bench.endpoint.serviceMs = 60_000;
 			const startMs = bench.clock.nowMs();
 			expect(await bench.runNow(sql, {timeLeftMs: 100})).toEqual(kind);
--- a/src/common/homes/fault-kinds.ts
+++ b/src/common/homes/fault-kinds.ts
@@ -7,7 +7,7 @@
 import type {RunningRequest} from './types.js';
 
 /** The situations that are told apart. */
-type Situation
+type FaultSituation
 	= | 'notReached'
 		| 'notReachedInTransaction'
 		| 'readWithoutAnswer'
@@ -19,13 +19,13 @@
 		| 'commit'
 		| 'write';
 
-type Meaning = {
+type FaultClassification = {
 	readonly kind: ErrorKind;
 	/** Whether it is certain that nothing took effect. */
 	readonly isWithoutEffect: boolean;
 };
 
-const meanings: Record<Situation, Meaning> = {
+const classifications: Record<FaultSituation, FaultClassification> = {
 	notReached: {kind: 'endpointUnavailable', isWithoutEffect: true},
 	// The transaction ends with its connection, and what would have committed it was not sent.
 	notReachedInTransaction: {kind: 'transactionLost', isWithoutEffect: true},
@@ -46,17 +46,17 @@
 	/** Whether the exchange was given up because its deadline passed. */
 	readonly isOutOfTime: boolean;
 	/** Whether a part of the answer went to the asker. */
-	readonly hasPushed: boolean;
+	readonly hasForwarded: boolean;
 	/** Whether the endpoint reported a COMMIT before the connection broke. */
 	readonly hasCommitted: boolean;
 };
 
 /** The kind of refusal for a broken exchange. */
-export function meaningOf(broken: BrokenExchange): Meaning {
-	return meanings[situationOf(broken)];
+export function classifyBrokenExchange(broken: BrokenExchange): FaultClassification {
+	return classifications[situationOf(broken)];
 }
 
-function situationOf(broken: BrokenExchange): Situation {
+function situationOf(broken: BrokenExchange): FaultSituation {
 	const {request} = broken.run;
 	if (!broken.fault.mayHaveReached) {
 		return request.isInTransaction ? 'notReachedInTransaction' : 'notReached';
@@ -67,21 +67,21 @@
 	}
 
 	const isBare = isSingleQuery(request.frames);
-	if (request.step === 'begin' && isBare && !broken.hasPushed) {
+	if (request.step === 'begin' && isBare && !broken.hasForwarded) {
 		return 'bareBegin';
 	}
 
 	// What follows a ROLLBACK in the same cycle runs outside of the transaction.
 	const mayOutlast = request.step === 'rollback' && !isBare;
 	if (request.isInTransaction && !mayOutlast) {
-		return broken.hasPushed ? 'transactionStatementCutShort' : 'transactionStatement';
+		return broken.hasForwarded ? 'transactionStatementCutShort' : 'transactionStatement';
 	}
 
 	if (request.access === 'write') {
 		return 'write';
 	}
 
-	if (broken.hasPushed) {
+	if (broken.hasForwarded) {
 		return 'readCutShort';
 	}
 
--- a/src/common/homes/held-transactions.ts
+++ b/src/common/homes/held-transactions.ts
@@ -70,7 +70,7 @@
 	}
 
 	/** Whether a connection is pinned to some session. */
-	holds(connection: EndpointConnection): boolean {
+	isPinned(connection: EndpointConnection): boolean {
 		return this._connections.has(connection);
 	}
 
--- a/src/common/homes/home-service.test.ts
+++ b/src/common/homes/home-service.test.ts
@@ -1,11 +1,11 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {defaultHomeOptions} from './constants.js';
-import {HomeBench} from './testing/home-bench.js';
+import {HomeHarness} from './testing/home-harness.js';
 
 describe('HomeService', () => {
 	it('attaches, opens connections ahead of need and runs statements', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		expect(bench.homes.served()).toEqual(['stock-1']);
 		expect(bench.endpoint.connections.size).toEqual(3);
 		expect(await bench.runNow('INSERT 1')).toEqual('ok');
@@ -16,7 +16,7 @@
 	});
 
 	it('serves nothing that is another node\'s', async () => {
-		const bench = new HomeBench();
+		const bench = new HomeHarness();
 		bench.homeNode = 'node-2';
 		bench.membershipChanges.fire();
 		await bench.clock.advance(10_000);
@@ -46,7 +46,7 @@
 			},
 		];
 		for (const testCase of cases) {
-			const bench = new HomeBench({}, 'primary', testCase.holder);
+			const bench = new HomeHarness({}, 'primary', testCase.holder);
 			bench.isLettingGo = testCase.isLettingGo;
 			bench.isAnswering = testCase.isAnswering ?? true;
 			await bench.ready();
@@ -57,7 +57,7 @@
 	});
 
 	it('takes an endpoint up again at once when its home moved away and back after it was handed over', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.clock.advanceUntil(bench.homes.handOver('stock-1'));
 		bench.membershipChanges.fire();
 		await bench.clock.advance(100);
@@ -72,7 +72,7 @@
 	});
 
 	it('forces a holder that membership does not know only after a grace time', async () => {
-		const bench = new HomeBench({}, 'primary', 'node-7/run1');
+		const bench = new HomeHarness({}, 'primary', 'node-7/run1');
 		await bench.ready();
 		expect([bench.endpoint.holder, bench.endpoint.forcedCount]).toEqual(['node-7/run1', 0]);
 		await bench.clock.advance(defaultHomeOptions.unknownHolderGraceMs + defaultHomeOptions.attachRetryMaximumMs);
@@ -80,7 +80,7 @@
 	});
 
 	it('attaches again on a new control connection, and after another home took over', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.endpoint.control?.dispose();
 		bench.group.announce();
 		expect(await bench.runNow('SELECT 1')).toEqual('endpointUnavailable');
@@ -96,7 +96,7 @@
 	});
 
 	it('hands over: finishes what runs and open transactions, then detaches', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN');
 		bench.endpoint.serviceMs = 100;
 		const running = bench.run('INSERT 1', {sessionId: 'node-9/run/2'});
@@ -117,7 +117,7 @@
 	});
 
 	it('takes an endpoint back at once when the host that it was handed to leaves', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.homeNode = 'node-2';
 		bench.membershipChanges.fire();
 		await bench.clock.advanceUntil(bench.homes.handOver('stock-1'));
@@ -128,7 +128,7 @@
 	});
 
 	it('hands over after a transaction whose BEGIN was in progress', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.endpoint.serviceMs = 100;
 		const begin = bench.run('BEGIN');
 		await bench.clock.advance(1);
@@ -140,7 +140,7 @@
 	});
 
 	it('lets go within the bound even if a transaction stays open', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN', {transactionIdleMs: 60_000});
 		const startMs = bench.clock.nowMs();
 		await bench.clock.advanceUntil(bench.homes.drain(1000));
@@ -151,7 +151,7 @@
 	});
 
 	it('serves on while a long statement keeps it from letting go', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.endpoint.serviceMs = 5000;
 		const long = bench.run('INSERT 1', {timeLeftMs: 10_000});
 		await bench.clock.advance(10);
@@ -165,7 +165,7 @@
 	});
 
 	it('serves on while its successor has not asked, but not for ever', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.homeNode = 'node-2';
 		bench.membershipChanges.fire();
 		await bench.clock.advance(2000);
@@ -175,7 +175,7 @@
 	});
 
 	it('refuses new work of a leaving endpoint while transactions finish', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN');
 		bench.isDraining = true;
 		expect(await bench.runNow('SELECT 1', {sessionId: 'node-9/run/2'})).toEqual('endpointLeaving');
@@ -183,7 +183,7 @@
 	});
 
 	it('ends what a lost entry node held', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		await bench.runNow('BEGIN');
 		await bench.runNow('BEGIN', {sessionId: 'node-90/run/1'});
 		bench.homes.onPeerLost('node-9');
--- a/src/common/homes/home-service.ts
+++ b/src/common/homes/home-service.ts
@@ -10,7 +10,7 @@
 	AnswerSink, EndpointDefinition, Groups, HomeEnd, HomeRequest, Homes,
 } from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
-import type {EndpointPlace, LetGoBounds} from './endpoint-home.js';
+import type {EndpointAssignment, DrainBounds} from './endpoint-home.js';
 import {EndpointHome} from './endpoint-home.js';
 import type {HomeContext} from './types.js';
 
@@ -124,7 +124,7 @@
 		}
 	}
 
-	private _follow(endpoint: string, served: ServedEndpoint, place: EndpointPlace | undefined): void {
+	private _follow(endpoint: string, served: ServedEndpoint, place: EndpointAssignment | undefined): void {
 		const {definition} = served.home;
 		if (place && isSameAddress(place.definition, definition)) {
 			this._stopMoving(served);
@@ -151,9 +151,9 @@
 		}));
 	}
 
-	private _ownPlaces(): Map<string, EndpointPlace> {
+	private _ownPlaces(): Map<string, EndpointAssignment> {
 		const {configuration, membership} = this._services;
-		const places = new Map<string, EndpointPlace>();
+		const places = new Map<string, EndpointAssignment>();
 		for (const group of configuration.groups()) {
 			for (const definition of group.endpoints) {
 				if (membership.homeOf(definition)?.name === membership.self.name) {
@@ -165,7 +165,7 @@
 		return places;
 	}
 
-	private _takeUp(endpoint: string, place: EndpointPlace): void {
+	private _takeUp(endpoint: string, place: EndpointAssignment): void {
 		const {groups} = this._services;
 		const home = new EndpointHome(this._services, place, this._homeId, groups.monitor(place.definition.group));
 		this._served.set(endpoint, {home, moveTimer: undefined});
@@ -180,12 +180,12 @@
 		}
 	}
 
-	private _handOverBounds(): LetGoBounds {
+	private _handOverBounds(): DrainBounds {
 		const {handOverBoundMs: boundMs, handOverTransactionMs: transactionMs} = this._services.options;
 		return {boundMs, transactionMs};
 	}
 
-	private async _letGo(endpoint: string, bounds: LetGoBounds): Promise<void> {
+	private async _letGo(endpoint: string, bounds: DrainBounds): Promise<void> {
 		const served = this._served.get(endpoint);
 		if (!served) {
 			return;
--- a/src/common/homes/overdue.ts
+++ b/src/common/homes/overdue.ts
@@ -18,8 +18,8 @@
  * Keeps the slot until the exchange has ended, within a bound: closing the connection does
  * not stop the statement at the endpoint, so a slot that was freed at once might be one too many.
  */
-export async function endOverdue(context: HomeContext, {pool, connection, grant}: OverdueExchange, exchange: Promise<unknown>): Promise<void> {
-	pool.giveUp(connection);
+export async function awaitOverdue(context: HomeContext, {pool, connection, grant}: OverdueExchange, exchange: Promise<unknown>): Promise<void> {
+	pool.abandon(connection);
 	await withTimeout(context.clock, exchange, context.options.overdueExchangeMs);
 	pool.discard(connection);
 	grant.dispose();
--- a/src/common/homes/position-tracker.ts
+++ b/src/common/homes/position-tracker.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Whether reads are known to see everything up to a position. */
-	includes(position: LogPosition): boolean {
+	hasApplied(position: LogPosition): boolean {
 		if (position.term === 0) {
 			return true;
 		}
--- a/src/common/homes/random-run.test.ts
+++ b/src/common/homes/random-run.test.ts
@@ -3,17 +3,17 @@
 import {errorAnswers} from '../errors/error-kinds.js';
 import {SeededRandom} from '../random/seeded-random.js';
 import {pauseFor} from '../lifecycle/timing.js';
-import type {CutPoint, FakeEndpoint} from './testing/fake-endpoint.js';
-import {HomeBench} from './testing/home-bench.js';
+import type {BreakPoint, FakeEndpoint} from './testing/fake-endpoint.js';
+import {HomeHarness} from './testing/home-harness.js';
 
 const runMs = 6000;
 const seeds = [1, 2, 3, 4];
 const notRunKinds = new Set(Object.entries(errorAnswers).filter(([, answer]) => answer.outcome === 'notRun').map(([kind]) => kind));
-const cutPoints: CutPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
+const cutPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
 
 /** Sessions that write, and faults, on one endpoint, from one seed. */
 class RandomRun {
-	readonly bench: HomeBench;
+	readonly bench: HomeHarness;
 	readonly endpoint: FakeEndpoint;
 	readonly outcomes = new Map<string, number>();
 	private readonly _random: SeededRandom;
@@ -21,7 +21,7 @@
 
 	constructor(seed: number) {
 		this._random = new SeededRandom(seed);
-		this.bench = new HomeBench({handedOverPauseMs: 200});
+		this.bench = new HomeHarness({handedOverPauseMs: 200});
 		this.endpoint = this.bench.endpoint;
 		this.bench.isLettingGo = true;
 	}
@@ -94,7 +94,7 @@
 			await this._pick<() => void | Promise<void>>([
 				() => [...this.endpoint.connections].at(0)?.breakNow(),
 				async () => this._briefly(5, isOn => {
-					this.endpoint.cutAt = isOn ? this._pick(cutPoints) : undefined;
+					this.endpoint.breakAt = isOn ? this._pick(cutPoints) : undefined;
 				}),
 				async () => this._briefly(100, isOn => {
 					group.isConfirming = !isOn;
--- a/src/common/homes/replaced-primary.test.ts
+++ b/src/common/homes/replaced-primary.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {defaultHomeOptions} from './constants.js';
-import {HomeBench} from './testing/home-bench.js';
+import {HomeHarness} from './testing/home-harness.js';
 
 /** Collects what requests were answered, as they are. */
 function collect(results: Array<Promise<string>>): string[] {
@@ -15,7 +15,7 @@
 
 describe('a primary that is replaced while it does not answer', () => {
 	it('refuses what waits at once, and gives up what runs after a grace time', async () => {
-		const bench = await new HomeBench().ready();
+		const bench = await new HomeHarness().ready();
 		bench.endpoint.serviceMs = 60_000;
 		const answers = collect([
 			bench.run('INSERT 1'), bench.run('INSERT 2'), bench.run('SELECT 3'), bench.run('INSERT 4'),
@@ -32,7 +32,7 @@
 	});
 
 	it('leaves reads of a replica alone', async () => {
-		const bench = await new HomeBench({}, 'replica').ready();
+		const bench = await new HomeHarness({}, 'replica').ready();
 		bench.endpoint.serviceMs = 50;
 		const answers = collect([bench.run('SELECT 1')]);
 		await bench.clock.advance(10);
--- a/src/common/homes/request-finish.ts
+++ b/src/common/homes/request-completion.ts
@@ -9,8 +9,8 @@
 import type {ExchangeEnd, HomeEnd} from '../services/services.js';
 import type {Acknowledgement} from './acknowledgement.js';
 import type {Admission} from './admission.js';
-import type {AnswerHold} from './answer-hold.js';
-import {meaningOf} from './fault-kinds.js';
+import type {AnswerBuffer} from './answer-buffer.js';
+import {classifyBrokenExchange} from './fault-kinds.js';
 import type {StatementOutcome} from './statement-runner.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
@@ -18,7 +18,7 @@
 const readOnlySqlState = '25006';
 
 /** Finishes requests of one endpoint. */
-export class RequestFinish {
+export class RequestCompletion {
 	private readonly _context: HomeContext;
 	private readonly _endpoint: string;
 	private readonly _admission: Admission;
@@ -41,10 +41,10 @@
 		return finished;
 	}
 
-	private async _finishEnded(run: RunningRequest, answer: AnswerHold, end: ExchangeEnd): Promise<Either<Refusal, HomeEnd>> {
+	private async _finishEnded(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, HomeEnd>> {
 		const early = this._readOnlyRefusal(run, answer, end)
 			?? this._behindRefusal(run, answer, end)
-			?? await this._acknowledgement.proofRefusal(run);
+			?? await this._acknowledgement.awaitProof(run);
 		if (early) {
 			return Left(this._inTime(run, answer, early));
 		}
@@ -63,7 +63,7 @@
 	}
 
 	/** The position that the answer stands for. */
-	private async _confirm(run: RunningRequest, answer: AnswerHold, end: ExchangeEnd): Promise<Either<Refusal, LogPosition>> {
+	private async _confirm(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, LogPosition>> {
 		if (answer.stopReason) {
 			return Left(answer.stopReason);
 		}
@@ -110,18 +110,18 @@
 		}
 
 		const fault = outcome.result.swap().unsafeCoerce();
-		const {hasPushed, hasCommitted} = answer;
+		const {hasForwarded: hasPushed, hasCommitted} = answer;
 		const isOutOfTime = overdue !== undefined && this._context.clock.nowMs() >= run.deadlineMs;
-		const meaning = meaningOf({
-			run, fault, isOutOfTime, hasPushed, hasCommitted,
+		const meaning = classifyBrokenExchange({
+			run, fault, isOutOfTime, hasForwarded: hasPushed, hasCommitted,
 		});
 		run.isWithoutEffect = meaning.isWithoutEffect;
 		return new Refusal(meaning.kind, fault.detail, {correction: this._admission.correction()});
 	}
 
 	/** The endpoint refused to write before anything ran: another endpoint may take it. */
-	private _readOnlyRefusal(run: RunningRequest, answer: AnswerHold, end: ExchangeEnd): Refusal | undefined {
-		const isRefused = end.errorSqlState === readOnlySqlState && answer.isErrorFirst && !answer.hasPushed;
+	private _readOnlyRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
+		const isRefused = end.errorSqlState === readOnlySqlState && answer.startsWithError && !answer.hasForwarded;
 		if (!isRefused || end.transactionStatus !== 'idle') {
 			return undefined;
 		}
@@ -137,20 +137,20 @@
 	}
 
 	/** The endpoint's own report shows that the read came too early. */
-	private _behindRefusal(run: RunningRequest, answer: AnswerHold, end: ExchangeEnd): Refusal | undefined {
+	private _behindRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
 		const {request} = run;
 		const isRead = request.access === 'read' && end.transactionStatus === 'idle';
 		if (!isRead || hasReached(end.position, run.minimumPosition)) {
 			return undefined;
 		}
 
-		this._context.invariants.check('readYourWrites', !answer.hasPushed, () => `${this._endpoint} at ${formatPosition(end.position)} in mid-answer`);
+		this._context.invariants.check('readYourWrites', !answer.hasForwarded, () => `${this._endpoint} at ${formatPosition(end.position)} in mid-answer`);
 		return new Refusal('behindToken', this._endpoint, {correction: this._admission.correction()});
 	}
 
 	/** Once a part of the answer has been passed on, the asker may not conclude that nothing ran. */
-	private _inTime(run: RunningRequest, answer: AnswerHold, refusal: Refusal): Refusal {
-		if (!answer.hasPushed || refusal.answer.outcome === 'unknown') {
+	private _inTime(run: RunningRequest, answer: AnswerBuffer, refusal: Refusal): Refusal {
+		if (!answer.hasForwarded || refusal.answer.outcome === 'unknown') {
 			return refusal;
 		}
 
--- a/src/common/homes/request-runner.ts
+++ b/src/common/homes/request-runner.ts
@@ -8,17 +8,17 @@
 import type {Admission} from './admission.js';
 import type {ConnectionPool} from './connection-pool.js';
 import type {HeldTransaction, HeldTransactions} from './held-transactions.js';
-import {endOverdue} from './overdue.js';
+import {awaitOverdue} from './overdue.js';
 import type {PositionTracker} from './position-tracker.js';
-import type {RequestFinish} from './request-finish.js';
+import type {RequestCompletion} from './request-completion.js';
 import {rollBack} from './rollback.js';
 import type {SlotGrant, SlotQueue} from './slot-queue.js';
 import type {StatementOutcome, StatementRunner} from './statement-runner.js';
 import type {HomeContext, RunningRequest, SlotLane} from './types.js';
-import {until} from './waiting.js';
+import {waitUntil} from './wait-until.js';
 
 /** What requests to one endpoint go through. */
-export type RequestPath = {
+export type RequestPipeline = {
 	readonly endpoint: string;
 	readonly monitor: GroupMonitor;
 	readonly tracker: PositionTracker;
@@ -27,7 +27,7 @@
 	readonly pool: ConnectionPool;
 	readonly transactions: HeldTransactions;
 	readonly runner: StatementRunner;
-	readonly finish: RequestFinish;
+	readonly finish: RequestCompletion;
 	/** Why no new work is taken; undefined while it is. */
 	readonly closedRefusal: () => Refusal | undefined;
 };
@@ -35,9 +35,9 @@
 /** Runs the request cycles of one endpoint. */
 export class RequestRunner {
 	private readonly _context: HomeContext;
-	private readonly _path: RequestPath;
+	private readonly _path: RequestPipeline;
 
-	constructor(context: HomeContext, path: RequestPath) {
+	constructor(context: HomeContext, path: RequestPipeline) {
 		this._context = context;
 		this._path = path;
 	}
@@ -89,9 +89,9 @@
 
 		const connection = acquired.unsafeCoerce();
 		// The last look, since the request may have waited long for its slot.
-		const refusal = closedRefusal() ?? await admission.admitNow(run) ?? cancelRefusal(run);
+		const refusal = closedRefusal() ?? await admission.recheck(run) ?? cancelRefusal(run);
 		if (refusal) {
-			pool.giveBack(connection);
+			pool.release(connection);
 			return Left(refusal);
 		}
 
@@ -103,7 +103,7 @@
 		const {invariants, configuration} = this._context;
 		const {epoch} = tracker;
 		run.isOnPrimary = admission.isPrimary;
-		invariants.check('transactionIsolation', !transactions.holds(connection), () => `${run.request.sessionId} got a held connection`);
+		invariants.check('transactionIsolation', !transactions.isPinned(connection), () => `${run.request.sessionId} got a held connection`);
 		invariants.check('leavingEndpoint', !configuration.endpointPolicy(endpoint).isDraining, () => endpoint);
 		const outcome = await runner.run(run, connection);
 		if (outcome.overdue) {
@@ -123,7 +123,7 @@
 		if (!end) {
 			pool.discard(connection);
 		} else if (end.transactionStatus === 'idle') {
-			pool.giveBack(connection);
+			pool.release(connection);
 		} else if (run.isReleased) {
 			this._rollBack(connection);
 		} else {
@@ -171,7 +171,7 @@
 	private async _findTransaction(run: RunningRequest): Promise<Either<Refusal, HeldTransaction>> {
 		const {transactions, admission, endpoint} = this._path;
 		const {sessionId} = run.request;
-		const isFree = await until(this._context.clock, {
+		const isFree = await waitUntil(this._context.clock, {
 			condition: () => transactions.get(sessionId)?.isBusy !== true,
 			events: [transactions.onChange],
 			timeoutMs: this._timeLeftMs(run),
@@ -197,7 +197,7 @@
 			pool.discard(connection);
 		} else if (end?.transactionStatus === 'idle') {
 			transactions.end(held);
-			pool.giveBack(connection);
+			pool.release(connection);
 		} else if (isStillHeld) {
 			transactions.pause(held, run.request.transactionIdleMs);
 		} else {
@@ -218,7 +218,7 @@
 
 	private async _enter(run: RunningRequest, lane: SlotLane): Promise<Either<Refusal, SlotGrant>> {
 		const {caller, priority} = run.request;
-		const slot = await this._path.queue.enter({
+		const slot = await this._path.queue.acquire({
 			caller, priority, lane, timeLeftMs: this._timeLeftMs(run),
 		}, run.signal);
 		run.queuedMs = slot.map(grant => grant.queuedMs).orDefault(0);
@@ -232,7 +232,7 @@
 
 	private _keepOverdue(connection: EndpointConnection, grant: SlotGrant, exchange: Promise<unknown>): void {
 		const {pool} = this._path;
-		void endOverdue(this._context, {pool, connection, grant}, exchange);
+		void awaitOverdue(this._context, {pool, connection, grant}, exchange);
 	}
 
 	private _learnPosition(outcome: StatementOutcome, epoch: number): void {
--- a/src/common/homes/rollback.ts
+++ b/src/common/homes/rollback.ts
@@ -6,7 +6,7 @@
 import type {ConnectionPool} from './connection-pool.js';
 import type {SlotQueue} from './slot-queue.js';
 import type {HomeContext} from './types.js';
-import {endOverdue} from './overdue.js';
+import {awaitOverdue} from './overdue.js';
 
 /** A simple query `ROLLBACK`. */
 const rollbackFrames = Uint8Array.from([0x51, 0, 0, 0, 13, 0x52, 0x4F, 0x4C, 0x4C, 0x42, 0x41, 0x43, 0x4B, 0]);
@@ -21,7 +21,7 @@
 export async function rollBack(context: HomeContext, queue: SlotQueue, pool: ConnectionPool, connection: EndpointConnection): Promise<void> {
 	const {clock, options} = context;
 	const timeLeftMs = options.rollbackTimeoutMs;
-	const slot = await queue.enter({
+	const slot = await queue.acquire({
 		caller: '', priority: 0, lane: 'transaction', timeLeftMs,
 	}, new AbortController().signal);
 	const grant = slot.toMaybe().extract();
@@ -33,13 +33,13 @@
 	const exchange = connection.exchange(rollbackFrames, ignoredAnswer);
 	const result = await withTimeout(clock, exchange, timeLeftMs);
 	if (!result) {
-		await endOverdue(context, {pool, connection, grant}, exchange);
+		await awaitOverdue(context, {pool, connection, grant}, exchange);
 		return;
 	}
 
 	const end = result.toMaybe().extract();
 	if (end?.transactionStatus === 'idle') {
-		pool.giveBack(connection);
+		pool.release(connection);
 	} else {
 		pool.discard(connection);
 	}
--- a/src/common/homes/slot-queue.test.ts
+++ b/src/common/homes/slot-queue.test.ts
@@ -8,7 +8,7 @@
 import {SlotQueue} from './slot-queue.js';
 
 /** A queue with statements that take a fixed time. */
-class QueueBench {
+class QueueHarness {
 	readonly clock = new VirtualClock(0);
 	readonly queue: SlotQueue;
 	/** Callers in the order in which they were served. */
@@ -37,7 +37,7 @@
 	}
 
 	async run(caller: string, change: Partial<SlotRequest> = {}, how: {signal?: AbortSignal; serviceMs?: number} = {}): Promise<string> {
-		const slot = await this.queue.enter({
+		const slot = await this.queue.acquire({
 			caller, priority: 5, lane: 'read', timeLeftMs: 1000, ...change,
 		}, how.signal ?? new AbortController().signal);
 		if (slot.isLeft()) {
@@ -83,14 +83,14 @@
 
 describe('SlotQueue', () => {
 	it('never runs more statements than there are slots', async () => {
-		const bench = await new QueueBench(3).learn();
+		const bench = await new QueueHarness(3).learn();
 		await bench.clock.advanceUntil(Promise.all(repeat(50, async () => bench.run('a'))));
 		expect(bench.maximumRunning).toEqual(3);
 		expect(bench.served.length).toEqual(50);
 	});
 
 	it('serves open transactions first, then by priority', async () => {
-		const bench = await new QueueBench(1).learn();
+		const bench = await new QueueHarness(1).learn();
 		const all = [
 			bench.run('first'),
 			bench.run('late', {priority: 9}),
@@ -103,7 +103,7 @@
 	});
 
 	it('shares slots evenly among callers, and among reads and writes', async () => {
-		const bench = await new QueueBench(1).learn();
+		const bench = await new QueueHarness(1).learn();
 		const many = [
 			...repeat(30, async () => bench.run('flood')),
 			...repeat(5, async () => bench.run('few')),
@@ -117,7 +117,7 @@
 	});
 
 	it('charges callers for time, not for statements', async () => {
-		const bench = await new QueueBench(1, {maximumQueueWaitMs: 60_000}).learn();
+		const bench = await new QueueHarness(1, {maximumQueueWaitMs: 60_000}).learn();
 		const all = [
 			...repeat(20, async () => bench.run('slow', {timeLeftMs: 9000}, {serviceMs: 40})),
 			...repeat(40, async () => bench.run('fast', {timeLeftMs: 9000})),
@@ -130,7 +130,7 @@
 	});
 
 	it('does not starve low priority', async () => {
-		const bench = await new QueueBench(1, {maximumQueueWaitMs: 60_000}).learn();
+		const bench = await new QueueHarness(1, {maximumQueueWaitMs: 60_000}).learn();
 		const low = bench.run('low', {priority: 9, timeLeftMs: 5000});
 		const flood = repeat(90, async () => bench.run('high', {priority: 1, timeLeftMs: 5000}));
 		await bench.clock.advance(320);
@@ -139,9 +139,9 @@
 	});
 
 	it('refuses at once what cannot end before its deadline, with a time to come back', async () => {
-		const bench = await new QueueBench(2).learn();
+		const bench = await new QueueHarness(2).learn();
 		const ahead = repeat(22, async () => bench.run('a'));
-		const slot = await bench.queue.enter({
+		const slot = await bench.queue.acquire({
 			caller: 'a', priority: 5, lane: 'read', timeLeftMs: 50,
 		}, new AbortController().signal);
 		const refusal = slot.swap().unsafeCoerce();
@@ -153,14 +153,14 @@
 	});
 
 	it('makes room in a full queue at the cost of the caller that fills it', async () => {
-		const bench = new QueueBench(1, {queueLength: 5});
+		const bench = new QueueHarness(1, {queueLength: 5});
 		const all = [...repeat(6, async () => bench.run('flood')), bench.run('other'), bench.run('flood')];
 		const kinds = await bench.clock.advanceUntil(Promise.all(all));
 		expect(kinds).toEqual(['ok', 'ok', 'ok', 'ok', 'ok', 'overloaded', 'ok', 'overloaded']);
 	});
 
 	it('answers a cancelled or late statement at once', async () => {
-		const bench = new QueueBench(1);
+		const bench = new QueueHarness(1);
 		const controller = new AbortController();
 		bench.serviceMs = 1000;
 		const running = bench.run('a');
@@ -175,7 +175,7 @@
 	});
 
 	it('lets reads pass while no transaction may begin', async () => {
-		const bench = new QueueBench(1);
+		const bench = new QueueHarness(1);
 		bench.mayBegin = false;
 		const begin = bench.run('a', {lane: 'begin'});
 		expect(await bench.clock.advanceUntil(bench.run('a'))).toEqual('ok');
@@ -186,7 +186,7 @@
 
 	for (const factor of [2, 5]) {
 		it(`keeps its goodput at ${factor} times its capacity and recovers at once`, async () => {
-			const bench = await new QueueBench(3).learn();
+			const bench = await new QueueHarness(3).learn();
 			const capacityPerSecond = 300;
 			const served = await bench.offer(capacityPerSecond * factor, 2000, 200);
 			expect(served).toBeGreaterThan(capacityPerSecond * 2 * 0.95);
--- a/src/common/homes/slot-queue.ts
+++ b/src/common/homes/slot-queue.ts
@@ -13,8 +13,8 @@
 import type {Event} from '../lifecycle/emitter.js';
 import {Emitter} from '../lifecycle/emitter.js';
 import type {HomeContext, SlotLane} from './types.js';
-import type {WaitingStatement} from './waiting-line.js';
-import {WaitingLine} from './waiting-line.js';
+import type {WaitingStatement} from './statement-queue.js';
+import {StatementQueue} from './statement-queue.js';
 
 /** What a statement asks the queue for. */
 export type SlotRequest = {
@@ -41,7 +41,7 @@
 	private readonly _context: QueueContext;
 	private readonly _endpoint: string;
 	private readonly _mayBegin: (beginsRunning: number) => boolean;
-	private readonly _line: WaitingLine<QueuedStatement>;
+	private readonly _line: StatementQueue<QueuedStatement>;
 	private readonly _serviceMs: Record<SlotLane, number> = {
 		transaction: 0, begin: 0, read: 0, write: 0,
 	};
@@ -60,7 +60,7 @@
 		this._endpoint = endpoint;
 		this._slots = slots;
 		this._mayBegin = mayBegin;
-		this._line = new WaitingLine(context.options);
+		this._line = new StatementQueue(context.options);
 	}
 
 	/** A slot has become free. */
@@ -101,7 +101,7 @@
 	}
 
 	/** Waits for a slot, unless the signal ends the wait; refuses at once what cannot be served in time. */
-	async enter(request: SlotRequest, signal?: AbortSignal): Promise<Either<Refusal, SlotGrant>> {
+	async acquire(request: SlotRequest, signal?: AbortSignal): Promise<Either<Refusal, SlotGrant>> {
 		const refusal = signal?.aborted ? new Refusal('cancelled') : this._refusalOnEntry(request);
 		if (refusal) {
 			return Left(refusal);
@@ -230,7 +230,7 @@
 
 	/** A full queue refuses the caller that takes most of it, which need not be the newcomer. */
 	private _makeRoom(request: SlotRequest): Refusal | undefined {
-		const victim = this._line.leastDeserving({...request, enteredAtMs: 0});
+		const victim = this._line.evictionCandidate({...request, enteredAtMs: 0});
 		if (!victim) {
 			return this._refusal('overloaded', request);
 		}
@@ -271,7 +271,7 @@
 			this._grants.delete(grantNumber);
 			this._beginsRunning -= beginCount;
 			this._learnServiceTime(item.lane, serviceMs);
-			this._line.settle(item, serviceMs - chargedMs);
+			this._line.correctCharge(item, serviceMs - chargedMs);
 			this.serve();
 			this._onFreed.fire();
 		});
--- a/src/common/homes/waiting-line.ts
+++ b/src/common/homes/statement-queue.ts
@@ -30,18 +30,18 @@
 	readonly share: FairShare<SlotLane>;
 };
 
-type LineOptions = Pick<HomeOptions, 'ageingMs' | 'ageingInterval' | 'minimumChargeMs'>;
+type StatementQueueOptions = Pick<HomeOptions, 'ageingMs' | 'ageingInterval' | 'minimumChargeMs'>;
 
 /** Orders waiting statements. */
-export class WaitingLine<T extends WaitingStatement> {
-	private readonly _options: LineOptions;
+export class StatementQueue<T extends WaitingStatement> {
+	private readonly _options: StatementQueueOptions;
 	private readonly _transactions: T[] = [];
 	private readonly _classes = new Map<number, PriorityClass<T>>();
 	/** New work in order of arrival. */
 	private readonly _arrivals = new Set<T>();
 	private _served = 0;
 
-	constructor(options: LineOptions) {
+	constructor(options: StatementQueueOptions) {
 		this._options = options;
 	}
 
@@ -113,7 +113,7 @@
 	}
 
 	/** Corrects what a caller and its lane were charged, once the true service time is known. */
-	settle(item: WaitingStatement, differenceMs: number): void {
+	correctCharge(item: WaitingStatement, differenceMs: number): void {
 		const group = this._classes.get(item.priority);
 		group?.share.charge(item.lane, differenceMs);
 		group?.lanes.get(item.lane)?.share.charge(item.caller, differenceMs);
@@ -141,7 +141,7 @@
 	 * The statement to refuse in place of a new one when the line is full: the newest of the
 	 * least urgent class, of the caller with most waiting; undefined if the new one is that.
 	 */
-	leastDeserving(item: WaitingStatement): T | undefined {
+	evictionCandidate(item: WaitingStatement): T | undefined {
 		let worst: T | undefined;
 		let worstCount = this._countOf(item) + 1;
 		let worstPriority = item.priority;
--- a/src/common/homes/statement-runner.ts
+++ b/src/common/homes/statement-runner.ts
@@ -6,14 +6,14 @@
 import type {EndpointConnection, EndpointFault, ExchangeEnd} from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
 import type {Acknowledgement} from './acknowledgement.js';
-import type {HeldBytes} from './answer-hold.js';
-import {AnswerHold} from './answer-hold.js';
+import type {BufferedBytes} from './answer-buffer.js';
+import {AnswerBuffer} from './answer-buffer.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
 /** How a request cycle went; the answer, or its end, is still held. */
 export type StatementOutcome = {
 	readonly result: Either<EndpointFault, ExchangeEnd>;
-	readonly answer: AnswerHold;
+	readonly answer: AnswerBuffer;
 	/** The exchange that was given up because its deadline passed, and still runs. */
 	readonly overdue: Promise<unknown> | undefined;
 };
@@ -22,7 +22,7 @@
 export class StatementRunner {
 	private readonly _context: HomeContext;
 	private readonly _acknowledgement: Acknowledgement;
-	private readonly _held: HeldBytes = {totalBytes: 0};
+	private readonly _held: BufferedBytes = {totalBytes: 0};
 	/** Ends the wait for what runs on the primary, by request. */
 	private readonly _giveUps = new Map<RunningRequest, () => void>();
 
@@ -32,7 +32,7 @@
 	}
 
 	/** Bytes of answers that wait for confirmation. */
-	get heldBytes(): number {
+	get bufferedBytes(): number {
 		return this._held.totalBytes;
 	}
 
@@ -97,9 +97,9 @@
 		return result;
 	}
 
-	private _answerFor(run: RunningRequest, connection: EndpointConnection): AnswerHold {
+	private _answerFor(run: RunningRequest, connection: EndpointConnection): AnswerBuffer {
 		const {request, sink} = run;
-		return new AnswerHold({
+		return new AnswerBuffer({
 			sink,
 			held: this._held,
 			options: this._context.options,
@@ -112,6 +112,6 @@
 	}
 
 	private async _gate(run: RunningRequest) {
-		return await this._acknowledgement.proofRefusal(run) ?? this._acknowledgement.refusalSoFar(run);
+		return await this._acknowledgement.awaitProof(run) ?? this._acknowledgement.confirmPartial(run);
 	}
 }
--- a/src/common/homes/testing/fake-endpoint.ts
+++ b/src/common/homes/testing/fake-endpoint.ts
@@ -14,7 +14,7 @@
 import {errorMessage, message, queryOf} from './frames.js';
 
 /** Where in an exchange the connection breaks. */
-export type CutPoint = 'beforeSend' | 'afterSend' | 'midAnswer' | 'afterAnswer';
+export type BreakPoint = 'beforeSend' | 'afterSend' | 'midAnswer' | 'afterAnswer';
 
 const fault = (mayHaveReached: boolean, sqlState?: string): EndpointFault => ({mayHaveReached, detail: 'cut by the test', sqlState});
 
@@ -30,7 +30,7 @@
 	serviceMs = 1;
 	connectMs = 10;
 	isRefusingConnections = false;
-	cutAt: CutPoint | undefined;
+	breakAt: BreakPoint | undefined;
 	/** Row bytes of every answer. */
 	rowBytes = 20;
 	running = 0;
@@ -127,7 +127,7 @@
 
 	async exchange(frames: Uint8Array, sink: AnswerSink): Promise<Either<EndpointFault, ExchangeEnd>> {
 		const endpoint = this._endpoint;
-		if (!this.isOpen || endpoint.cutAt === 'beforeSend') {
+		if (!this.isOpen || endpoint.breakAt === 'beforeSend') {
 			this.breakNow();
 			return Left(fault(false));
 		}
@@ -174,7 +174,7 @@
 
 	private async _answer(sql: string, sink: AnswerSink): Promise<Either<EndpointFault, ExchangeEnd>> {
 		const endpoint = this._endpoint;
-		if (!this.isOpen || endpoint.cutAt === 'afterSend') {
+		if (!this.isOpen || endpoint.breakAt === 'afterSend') {
 			this.breakNow();
 			return Left(fault(true));
 		}
@@ -187,13 +187,13 @@
 
 		this._apply(sql, verb);
 		await sink.push(message('D', 'x'.repeat(endpoint.rowBytes)));
-		if (endpoint.cutAt === 'midAnswer') {
+		if (endpoint.breakAt === 'midAnswer') {
 			this.breakNow();
 			return Left(fault(true));
 		}
 
 		await sink.push(message('C', verb));
-		if (endpoint.cutAt === 'afterAnswer') {
+		if (endpoint.breakAt === 'afterAnswer') {
 			this.breakNow();
 			return Left(fault(true));
 		}
--- a/src/common/homes/testing/home-bench.ts
+++ b/src/common/homes/testing/home-harness.ts
@@ -22,7 +22,7 @@
 export const endpointName = 'stock-1';
 
 /** A sink that keeps what it was given. */
-export class KeptAnswer implements AnswerSink {
+export class RecordedAnswer implements AnswerSink {
 	readonly pieces: Uint8Array[] = [];
 
 	push(frames: Uint8Array): void {
@@ -31,7 +31,7 @@
 }
 
 /** A home with its surroundings. */
-export class HomeBench {
+export class HomeHarness {
 	readonly clock = new VirtualClock();
 	readonly endpoint: FakeEndpoint;
 	readonly group: FakeGroup;
@@ -87,7 +87,7 @@
 		return result.isLeft() ? result.extract().kind : 'ok';
 	}
 
-	async execute(sql: string, change: Partial<HomeRequest> = {}, sink: AnswerSink = new KeptAnswer()): Promise<Either<Refusal, HomeEnd>> {
+	async execute(sql: string, change: Partial<HomeRequest> = {}, sink: AnswerSink = new RecordedAnswer()): Promise<Either<Refusal, HomeEnd>> {
 		return this.homes.execute(this.request(sql, change), sink, new AbortController().signal);
 	}
 
--- a/src/common/homes/waiting.ts
+++ b/src/common/homes/wait-until.ts
@@ -16,7 +16,7 @@
 };
 
 /** Waits for a condition; resolves with whether it holds when the wait ends. */
-export async function until(clock: Clock, options: WaitOptions): Promise<boolean> {
+export async function waitUntil(clock: Clock, options: WaitOptions): Promise<boolean> {
 	const {condition, events, timeoutMs, signal} = options;
 	if (condition() || signal?.aborted === true) {
 		return condition();
--- a/src/common/lifecycle/moment.test.ts
+++ b/src/common/lifecycle/moment.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import type {Clock} from '../services/services.js';
-import {ageMsOf, later, momentOf} from './moment.js';
+import {momentAgeMs, momentAfter, currentMoment} from './moment.js';
 
 /** Both clocks of a host, moved by the test. */
 class TwoClocks implements Clock {
@@ -25,22 +25,22 @@
 	it('grows while the host is suspended, though its steady clock stands still', () => {
 		// A node that froze for ten seconds took what it had heard before for fresh.
 		const clock = new TwoClocks();
-		const moment = momentOf(clock);
+		const moment = currentMoment(clock);
 		clock.wallMs += 10_000;
-		expect(ageMsOf(moment, clock)).toEqual(10_000);
+		expect(momentAgeMs(moment, clock)).toEqual(10_000);
 	});
 
 	it('is never less than what the steady clock says', () => {
 		const clock = new TwoClocks();
-		const moment = momentOf(clock);
+		const moment = currentMoment(clock);
 		clock.steadyMs += 3000;
 		clock.wallMs -= 60_000;
-		expect(ageMsOf(moment, clock)).toEqual(3000);
+		expect(momentAgeMs(moment, clock)).toEqual(3000);
 	});
 
 	it('counts from a later moment', () => {
 		const clock = new TwoClocks();
-		const moment = later(momentOf(clock), -500);
-		expect(ageMsOf(moment, clock)).toEqual(500);
+		const moment = momentAfter(currentMoment(clock), -500);
+		expect(momentAgeMs(moment, clock)).toEqual(500);
 	});
 });
--- a/src/common/lifecycle/moment.ts
+++ b/src/common/lifecycle/moment.ts
@@ -11,12 +11,12 @@
 };
 
 /** This moment. */
-export function momentOf(clock: Clock): Moment {
+export function currentMoment(clock: Clock): Moment {
 	return {steadyMs: clock.nowMs(), wallMs: clock.wallClockMs()};
 }
 
 /** The moment so many milliseconds after another one. */
-export function later({steadyMs, wallMs}: Moment, byMs: number): Moment {
+export function momentAfter({steadyMs, wallMs}: Moment, byMs: number): Moment {
 	return {steadyMs: steadyMs + byMs, wallMs: wallMs + byMs};
 }
 
@@ -25,6 +25,6 @@
  * forward makes a moment older than it is, which costs a proof; one that was set back does no harm
  * unless the host was suspended in between.
  */
-export function ageMsOf({steadyMs, wallMs}: Moment, clock: Clock): number {
+export function momentAgeMs({steadyMs, wallMs}: Moment, clock: Clock): number {
 	return Math.max(clock.nowMs() - steadyMs, clock.wallClockMs() - wallMs);
 }
--- a/src/common/lifecycle/timing.ts
+++ b/src/common/lifecycle/timing.ts
@@ -66,7 +66,7 @@
 }
 
 /** Waits for an event, at most for a time. */
-export async function pauseForEvent(clock: Clock, event: Event<unknown>, longestMs: number): Promise<void> {
+export async function waitForEvent(clock: Clock, event: Event<unknown>, longestMs: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		const timer = clock.setTimer(longestMs, () => {
 			watch.dispose();
--- a/src/common/line-sessions/line-session.ts
+++ b/src/common/line-sessions/line-session.ts
@@ -5,7 +5,7 @@
 import {dispatch} from '../dispatch.js';
 import {Refusal} from '../errors/error-kinds.js';
 import type {Disposable} from '../lifecycle/disposable.js';
-import type {Credential} from '../organisations/access.js';
+import type {Credential} from '../organisations/access-control.js';
 import type {PreparedStatement, SessionState} from '../pools/session-state.js';
 import {emptySessionState} from '../pools/session-state.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -64,7 +64,7 @@
 	}
 
 	/** Whether its caller may not come back to it: the connection ends after the answer. */
-	get isEnded(): boolean {
+	get mustCloseConnection(): boolean {
 		return this._isEnded;
 	}
 
--- a/src/common/line-sessions/session-transaction.ts
+++ b/src/common/line-sessions/session-transaction.ts
@@ -6,15 +6,15 @@
 import {Refusal} from '../errors/error-kinds.js';
 import type {HeldTransaction, StatementFault, TimedAnswer} from '../pools/types.js';
 import {pauseFor} from '../lifecycle/timing.js';
-import type {GroupPrimacy} from '../primacy/group-primacy.js';
+import type {PrimaryTracker} from '../primacy/primary-tracker.js';
 import type {EndpointAnswer, Route, TransactionStatus} from '../services/services.js';
-import type {Place} from './placement.js';
+import type {StatementTarget} from './statement-target-selector.js';
 import {lostLogDetail, refusalKinds} from './statement-runner.js';
 import type {StatementRunner} from './statement-runner.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
 /** How a transaction began. */
-export type TransactionBeginning = {
+export type TransactionStart = {
 	readonly route: Route;
 	/** Organisation on whose connections it runs. */
 	readonly organisation: string | undefined;
@@ -31,7 +31,7 @@
 	private readonly _services: LineSessionServices;
 	private readonly _runner: StatementRunner;
 	private _held: HeldTransaction | undefined;
-	private _place: Place | undefined;
+	private _place: StatementTarget | undefined;
 	/** Term of the primary that it began at; undefined at a replica. */
 	private _term: number | undefined;
 	private _hasWritten = false;
@@ -43,7 +43,7 @@
 	/** Whether its session was told of the failure. */
 	private _isFailureTold = false;
 
-	constructor(beginning: TransactionBeginning, services: LineSessionServices, runner: StatementRunner) {
+	constructor(beginning: TransactionStart, services: LineSessionServices, runner: StatementRunner) {
 		this.route = beginning.route;
 		this.organisation = beginning.organisation;
 		this._isReadOnly = beginning.isReadOnly;
@@ -57,8 +57,8 @@
 		return this._isFailureTold ? 'failed' : 'open';
 	}
 
-	private get _group(): GroupPrimacy {
-		return this._services.primacies.group(this.route.service);
+	private get _group(): PrimaryTracker {
+		return this._services.trackers.group(this.route.service);
 	}
 
 	/** Runs one statement; never rejects. */
@@ -165,17 +165,17 @@
 		return this._held ? undefined : refusal;
 	}
 
-	private async _choosePlace(statement: RunnableStatement, refusedBy: ReadonlySet<string>): Promise<Place | Refusal> {
+	private async _choosePlace(statement: RunnableStatement, refusedBy: ReadonlySet<string>): Promise<StatementTarget | Refusal> {
 		const group = this._group;
 		group.noteUse();
 		if (this._isReadOnly && this.route.kind !== 'primary') {
-			const place = this._runner.placement.read(group, {...statement, arrivedAtMs: this._arrivedAtMs, refusedBy});
+			const place = this._runner.targets.read(group, {...statement, arrivedAtMs: this._arrivedAtMs, refusedBy});
 			if (place) {
 				return place;
 			}
 		}
 
-		const primary = await this._runner.provedPrimary(group, statement);
+		const primary = await this._runner.ensurePrimaryTarget(group, statement);
 		if (!(primary instanceof Refusal) && refusedBy.has(primary.pool.endpoint.id)) {
 			return new Refusal('overloaded', `${primary.pool.endpoint.id} takes no transaction`);
 		}
@@ -183,7 +183,7 @@
 		return primary;
 	}
 
-	private async _beginAt(place: Place, statement: RunnableStatement): Promise<Refusal | undefined> {
+	private async _beginAt(place: StatementTarget, statement: RunnableStatement): Promise<Refusal | undefined> {
 		const group = this._group;
 		const endpointId = place.pool.endpoint.id;
 		const term = place.isPrimary ? group.primary?.term : undefined;
