--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -5,12 +5,12 @@
 import {Refusal} from '../errors/error-kinds.js';
 import type {ErrorKind} from '../errors/error-kinds.js';
 import type {StatementFault, EndpointStatement, TimedAnswer} from '../pools/types.js';
-import type {GroupPrimacy} from '../primacy/group-primacy.js';
+import type {PrimaryTracker} from '../primacy/primary-tracker.js';
 import type {LogPosition} from '../positions/log-position.js';
 import {RetryBudget} from '../routing/retry-budget.js';
 import type {EndpointAnswer, EndpointErrorKind} from '../services/services.js';
-import type {Place} from './placement.js';
-import {Placement} from './placement.js';
+import type {StatementTarget} from './statement-target-selector.js';
+import {StatementTargetSelector} from './statement-target-selector.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
 /** Errors of endpoints that say that nothing ran, so that another attempt is safe. */
@@ -19,7 +19,7 @@
 /** One statement and what has been tried for it. */
 type Progress = {
 	readonly statement: RunnableStatement;
-	readonly group: GroupPrimacy;
+	readonly group: PrimaryTracker;
 	readonly refusedBy: Set<string>;
 	/** Times that it was sent and may have run. */
 	attempts: number;
@@ -33,7 +33,7 @@
 
 /** Runs statements outside of transactions; one for all sessions of a node. */
 export class StatementRunner {
-	readonly placement: Placement;
+	readonly targets: StatementTargetSelector;
 	private readonly _services: LineSessionServices;
 	/** Bounds how many reads are sent again because no answer came. */
 	private readonly _repeats: RetryBudget;
@@ -41,12 +41,12 @@
 	constructor(services: LineSessionServices) {
 		this._services = services;
 		this._repeats = new RetryBudget(services.options.repeatShare, services.options.repeatBurst);
-		this.placement = new Placement(services);
+		this.targets = new StatementTargetSelector(services);
 	}
 
 	/** Runs a statement; never rejects. */
 	async run(statement: RunnableStatement): Promise<Answer> {
-		const group = this._services.primacies.group(statement.route.service);
+		const group = this._services.trackers.group(statement.route.service);
 		group.noteUse();
 		const progress: Progress = {
 			statement, group, refusedBy: new Set(), attempts: 0, detours: 0, lastRefusal: undefined,
@@ -55,22 +55,22 @@
 	}
 
 	/** The primary's place, once it is proved that it still is the primary; else why not. */
-	async provedPrimary(group: GroupPrimacy, {organisation, deadlineMs}: Pick<RunnableStatement, 'organisation' | 'deadlineMs'>): Promise<Place | Refusal> {
-		const place = this.placement.primary(group, organisation);
+	async ensurePrimaryTarget(group: PrimaryTracker, {organisation, deadlineMs}: Pick<RunnableStatement, 'organisation' | 'deadlineMs'>): Promise<StatementTarget | Refusal> {
+		const place = this.targets.primary(group, organisation);
 		if (place && group.isLeased) {
 			return place;
 		}
 
 		// A node that has just started is about to learn who leads: in the tenth of a second that
 		// takes, it would turn away who could still be answered in time.
-		const isKnown = group.primary !== undefined || group.isExplored;
+		const isKnown = group.primary !== undefined || group.hasEndpointReport;
 		if (!place && isKnown) {
 			return this._noPrimary(group);
 		}
 
 		const {leaseWaitMs} = group.options;
 		const isLeased = await group.ensureLease(Math.min(leaseWaitMs, deadlineMs - this._services.clock.nowMs()));
-		const current = this.placement.primary(group, organisation);
+		const current = this.targets.primary(group, organisation);
 		return isLeased && current ? current : this._noPrimary(group);
 	}
 
@@ -79,7 +79,7 @@
 	 * replaced when it committed. A moment is waited for a replica that has received it, so that
 	 * it outlasts the primary; without one it stands as long as the primary does.
 	 */
-	async mayAcknowledge(statement: RunnableStatement, group: GroupPrimacy, term: number, position: LogPosition | undefined): Promise<boolean> {
+	async mayAcknowledge(statement: RunnableStatement, group: PrimaryTracker, term: number, position: LogPosition | undefined): Promise<boolean> {
 		const {clock, metrics} = this._services;
 		if (group.primary?.term !== term) {
 			return false;
@@ -115,7 +115,7 @@
 	}
 
 	/** Takes in what an answer says about its endpoint; resolves to whether the answer counts. */
-	noteAnswer(group: GroupPrimacy, endpointId: string, {answer, sentAtMs}: TimedAnswer): boolean {
+	noteAnswer(group: PrimaryTracker, endpointId: string, {answer, sentAtMs}: TimedAnswer): boolean {
 		const doesCount = group.noteAnswer(endpointId, answer.position, sentAtMs);
 		if (answer.error?.kind === 'readOnly') {
 			group.noteNotPrimary(endpointId);
@@ -125,7 +125,7 @@
 	}
 
 	/** Takes in that an endpoint, or the node on the way to it, gave no answer. */
-	noteFault(group: GroupPrimacy, endpointId: string, fault: StatementFault): void {
+	noteFault(group: PrimaryTracker, endpointId: string, fault: StatementFault): void {
 		if (fault.refusal.kind === 'peerUnavailable') {
 			this._services.relays.forget(group.service);
 		}
@@ -138,7 +138,7 @@
 	private async _write(progress: Progress): Promise<Answer> {
 		const {statement, group} = progress;
 		while (this._mayTry(progress)) {
-			const place = await this.provedPrimary(group, statement);
+			const place = await this.ensurePrimaryTarget(group, statement);
 			if (place instanceof Refusal) {
 				return this._refuse(progress, place);
 			}
@@ -156,7 +156,7 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _onWriteAnswer(progress: Progress, place: Place, timed: TimedAnswer, term: number): Promise<AttemptResult> {
+	private async _onWriteAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer, term: number): Promise<AttemptResult> {
 		const {statement, group} = progress;
 		const {answer} = timed;
 		const doesCount = this.noteAnswer(group, place.pool.endpoint.id, timed);
@@ -175,7 +175,7 @@
 		return {text: answer.text, position: answer.position, mark: answer.position};
 	}
 
-	private _onWriteFault(progress: Progress, place: Place, fault: StatementFault): AttemptResult {
+	private _onWriteFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
 		this.noteFault(progress.group, place.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			return this._refuse(progress, new Refusal('outcomeUnknown', fault.refusal.detail));
@@ -206,18 +206,18 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _readPlace(progress: Progress): Promise<Place | Refusal> {
+	private async _readPlace(progress: Progress): Promise<StatementTarget | Refusal> {
 		const {statement, group, refusedBy} = progress;
 		if (statement.route.kind === 'primary') {
-			return this.provedPrimary(group, statement);
+			return this.ensurePrimaryTarget(group, statement);
 		}
 
-		const place = this.placement.read(group, {...statement, refusedBy});
+		const place = this.targets.read(group, {...statement, refusedBy});
 		if (place) {
 			return place;
 		}
 
-		const primary = await this.provedPrimary(group, statement);
+		const primary = await this.ensurePrimaryTarget(group, statement);
 		if (!(primary instanceof Refusal) && refusedBy.has(primary.pool.endpoint.id)) {
 			return progress.lastRefusal ?? new Refusal('overloaded');
 		}
@@ -225,7 +225,7 @@
 		return primary;
 	}
 
-	private _onReadAnswer(progress: Progress, place: Place, timed: TimedAnswer): AttemptResult {
+	private _onReadAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer): AttemptResult {
 		const {answer} = timed;
 		if (!this.noteAnswer(progress.group, place.pool.endpoint.id, timed)) {
 			return this._turnedAway(progress, place, new Refusal('noPrimary', lostLogDetail(place.pool.endpoint.id)));
@@ -240,7 +240,7 @@
 	}
 
 	/** A read that was not answered does no harm when it is sent again. */
-	private _onReadFault(progress: Progress, place: Place, fault: StatementFault): AttemptResult {
+	private _onReadFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
 		this.noteFault(progress.group, place.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			progress.attempts += 1;
@@ -252,7 +252,7 @@
 	}
 
 	/** An error in the endpoint's own words: tried elsewhere if nothing ran, passed on otherwise. */
-	private _onError(progress: Progress, place: Place, answer: EndpointAnswer): AttemptResult {
+	private _onError(progress: Progress, place: StatementTarget, answer: EndpointAnswer): AttemptResult {
 		const error = answer.error!;
 		const mayRepeat = notRunErrors.has(error.kind) || (progress.statement.access === 'read' && error.kind === 'failed');
 		if (!mayRepeat) {
@@ -266,7 +266,7 @@
 		return this._turnedAway(progress, place, new Refusal(refusalKinds[error.kind] ?? 'endpointUnavailable', error.text));
 	}
 
-	private _turnedAway(progress: Progress, place: Place, refusal: Refusal): AttemptResult {
+	private _turnedAway(progress: Progress, place: StatementTarget, refusal: Refusal): AttemptResult {
 		const {statement, refusedBy, group} = progress;
 		progress.detours += 1;
 		progress.lastRefusal = refusal;
@@ -286,14 +286,14 @@
 	}
 
 	/** How long a read waits for an answer before it is sent elsewhere; undefined where it is not. */
-	private _silenceMs({statement, group, attempts}: Progress, place: Place): number | undefined {
+	private _silenceMs({statement, group, attempts}: Progress, place: StatementTarget): number | undefined {
 		const hasOther = statement.route.kind !== 'primary' && group.endpoints().length > 1;
 		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._repeats.isEmpty;
-		return mayRepeat ? place.pool.times.suspiciousMs : undefined;
+		return mayRepeat ? place.pool.answerTimes.silenceThresholdMs : undefined;
 	}
 
-	private _noPrimary(group: GroupPrimacy): Refusal {
-		const {primary, isLeased, loss} = group;
+	private _noPrimary(group: PrimaryTracker): Refusal {
+		const {primary, isLeased, promotionReason: loss} = group;
 		const detail = primary ? `${primary.endpointId} of term ${primary.term}, ${loss ?? (isLeased ? 'not reachable' : 'not proved')}` : 'none known';
 		return new Refusal('noPrimary', detail, {retryAfterMs: this._services.options.retryAfterMs});
 	}
--- a/src/common/line-sessions/placement.ts
+++ b/src/common/line-sessions/statement-target-selector.ts
@@ -3,7 +3,7 @@
  * enough and have not turned it away.
  */
 import type {StatementPool} from '../pools/types.js';
-import type {GroupPrimacy} from '../primacy/group-primacy.js';
+import type {PrimaryTracker} from '../primacy/primary-tracker.js';
 import type {LogPosition} from '../positions/log-position.js';
 import {hasReached, laterPosition} from '../positions/log-position.js';
 import {hashText, highestWeight} from '../membership/rendezvous.js';
@@ -11,7 +11,7 @@
 import type {LineSessionServices} from './types.js';
 
 /** An endpoint for a statement. */
-export type Place = {
+export type StatementTarget = {
 	readonly pool: StatementPool;
 	readonly isPrimary: boolean;
 	/** Position that the endpoint must have for the answer to be fresh enough. */
@@ -37,7 +37,7 @@
 };
 
 /** Chooses places. */
-export class Placement {
+export class StatementTargetSelector {
 	private readonly _services: LineSessionServices;
 
 	constructor(services: LineSessionServices) {
@@ -45,28 +45,28 @@
 	}
 
 	/** The primary's place; undefined when there is none that could be reached a moment ago. */
-	primary(group: GroupPrimacy, organisation: string | undefined): Place | undefined {
+	primary(group: PrimaryTracker, organisation: string | undefined): StatementTarget | undefined {
 		const endpoint = group.primaryEndpoint;
 		if (!endpoint) {
 			return undefined;
 		}
 
-		const own = this._services.ways.pool(endpoint, organisation);
+		const own = this._services.endpointPools.pool(endpoint, organisation);
 		const isSilent = group.silentForMs >= this._services.options.silentPrimaryMs;
-		const isOutOfReach = own.isAvoided || own.isShutOut || isSilent || group.loss === 'crashed';
+		const isOutOfReach = own.isAvoided || own.isOutOfConnections || isSilent || group.promotionReason === 'crashed';
 		const pool = isOutOfReach ? this._services.relays.primaryPool(group) : own;
 		return pool && {pool, isPrimary: true, floor: undefined};
 	}
 
 	/** The best place for a read that accepts data of some age; undefined when none is fresh enough. */
-	read(group: GroupPrimacy, request: ReadRequest): Place | undefined {
+	read(group: PrimaryTracker, request: ReadRequest): StatementTarget | undefined {
 		const {route, refusedBy, mark, arrivedAtMs, organisation} = request;
 		const proved = group.floor(arrivedAtMs, route.maximumAgeMs);
-		const places: Place[] = [];
+		const places: StatementTarget[] = [];
 		if (proved) {
 			const floor = mark ? laterPosition(proved, mark) : proved;
 			for (const endpoint of group.replicas()) {
-				const pool = this._services.ways.pool(endpoint, organisation);
+				const pool = this._services.endpointPools.pool(endpoint, organisation);
 				if (!refusedBy.has(endpoint.id) && this._isEligible(group, {endpoint, pool, floor})) {
 					places.push({pool, isPrimary: false, floor});
 				}
@@ -82,8 +82,8 @@
 	}
 
 	/** A pool knows the registration with which it was made: whether its endpoint leaves, the newest one says. */
-	private _isEligible(group: GroupPrimacy, {endpoint, pool, floor}: ReplicaChoice): boolean {
-		const {isAvoided, isShutOut} = pool;
+	private _isEligible(group: PrimaryTracker, {endpoint, pool, floor}: ReplicaChoice): boolean {
+		const {isAvoided, isOutOfConnections: isShutOut} = pool;
 		if (endpoint.isDraining || isAvoided || isShutOut) {
 			return false;
 		}
@@ -93,9 +93,9 @@
 			|| this._services.clock.nowMs() - applied.atMs > this._services.options.positionOldMs;
 	}
 
-	private _fastest(places: readonly Place[], {route, organisation}: ReadRequest): Place | undefined {
+	private _fastest(places: readonly StatementTarget[], {route, organisation}: ReadRequest): StatementTarget | undefined {
 		const preferred = preferredReplica(places, organisation);
-		let best: Place | undefined;
+		let best: StatementTarget | undefined;
 		let bestMs = Number.POSITIVE_INFINITY;
 		for (const place of places) {
 			const strangeMs = preferred === undefined || place === preferred ? 0 : this._services.options.otherReplicaMs;
@@ -109,7 +109,7 @@
 		return best;
 	}
 
-	private _expectedMs({pool, isPrimary}: Place, priority: number): number {
+	private _expectedMs({pool, isPrimary}: StatementTarget, priority: number): number {
 		const {availabilityZone, options, random} = this._services;
 		const awayMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
 		const primaryMs = isPrimary ? options.primaryReadMs : 0;
@@ -122,7 +122,7 @@
  * The replica on which an organisation's reads meet: each connection belongs to one organisation,
  * and an endpoint takes fewer than there are organisations.
  */
-function preferredReplica(places: readonly Place[], organisation: string | undefined): Place | undefined {
+function preferredReplica(places: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
 	if (organisation === undefined) {
 		return undefined;
 	}
--- a/src/common/line-sessions/types.ts
+++ b/src/common/line-sessions/types.ts
@@ -5,11 +5,11 @@
 import type {PreparedStatement, SessionState} from '../pools/session-state.js';
 import type {LogPosition} from '../positions/log-position.js';
 import type {RouteCatalog} from '../catalog/route-catalog.js';
-import type {Access} from '../organisations/access.js';
+import type {AccessControl} from '../organisations/access-control.js';
 import type {UsageLimits} from '../organisations/usage-limits.js';
-import type {GroupPrimacies} from '../primacy/group-primacies.js';
+import type {PrimaryTrackers} from '../primacy/primary-trackers.js';
 import type {StatementPool} from '../pools/types.js';
-import type {GroupPrimacy} from '../primacy/group-primacy.js';
+import type {PrimaryTracker} from '../primacy/primary-tracker.js';
 import type {
 	Clock, LineWire, Log, Metrics, Random, RegisteredEndpoint, Route,
 } from '../services/services.js';
@@ -17,13 +17,13 @@
 
 /** Ways to primaries that this node cannot reach itself. */
 export type PrimaryRelays = {
-	primaryPool(group: GroupPrimacy): StatementPool | undefined;
+	primaryPool(group: PrimaryTracker): StatementPool | undefined;
 	/** The way of a group did not serve. */
 	forget(service: string): void;
 };
 
 /** The ways that statements to endpoints take. */
-export type StatementWays = {
+export type EndpointPools = {
 	pool(endpoint: RegisteredEndpoint, organisation: string | undefined): StatementPool;
 };
 
@@ -35,10 +35,10 @@
 	readonly metrics: Metrics;
 	readonly wire: LineWire;
 	readonly catalog: RouteCatalog;
-	readonly access: Access;
+	readonly access: AccessControl;
 	readonly usage: UsageLimits;
-	readonly ways: StatementWays;
-	readonly primacies: GroupPrimacies;
+	readonly endpointPools: EndpointPools;
+	readonly trackers: PrimaryTrackers;
 	readonly relays: PrimaryRelays;
 	readonly availabilityZone: string;
 	readonly options: LineSessionOptions;
--- a/src/common/membership/constants.ts
+++ b/src/common/membership/constants.ts
@@ -39,7 +39,7 @@
 export const fanOutDegree = 8;
 
 /** Growth of the read interval at which a registration is renewed at once; it lasts for several times the interval between renewals. */
-export const registrationSlack = 1.5;
+export const renewalIntervalGrowth = 1.5;
 
 /** Share of the read interval after which a failed registration is repeated. */
-export const unregisteredShare = 0.1;
+export const unregisteredIntervalShare = 0.1;
--- a/src/common/membership/home-map.ts
+++ b/src/common/membership/home-map.ts
@@ -5,7 +5,7 @@
 import {hashText, highestWeight, type Candidate} from './rendezvous.js';
 
 /** An endpoint as far as its home depends on it. */
-export type PlacedEndpoint = {readonly name: string; readonly availabilityZone: string};
+export type EndpointInZone = {readonly name: string; readonly availabilityZone: string};
 
 /** Finds homes among the hosts that may be one; remembers them until it is replaced. */
 export class HomeMap {
@@ -27,7 +27,7 @@
 	}
 
 	/** The home of an endpoint; undefined when no host may be one. */
-	homeOf(endpoint: PlacedEndpoint): Host | undefined {
+	homeOf(endpoint: EndpointInZone): Host | undefined {
 		const key = `${endpoint.availabilityZone}/${endpoint.name}`;
 		const known = this._homes.get(key);
 		if (known) {
--- a/src/common/membership/directory.test.ts
+++ b/src/common/membership/host-directory.test.ts
@@ -6,7 +6,7 @@
 import type {Host} from '../services/services.js';
 import {RecordingLog, silentMetrics} from '../testing/observers.js';
 import {VirtualClock} from '../testing/virtual-clock.js';
-import {Directory} from './directory.js';
+import {HostDirectory} from './host-directory.js';
 import {FakeHostList, listedHost} from './testing/hosts.js';
 
 const self = listedHost('h1');
@@ -16,7 +16,7 @@
 	let clock = new VirtualClock();
 	let list = new FakeHostList();
 	let log = new RecordingLog();
-	let directory: Directory;
+	let directory: HostDirectory;
 	let changes = 0;
 
 	function names(): string[] {
@@ -38,7 +38,7 @@
 		clock = new VirtualClock();
 		list = new FakeHostList();
 		log = new RecordingLog();
-		directory = new Directory(self, {
+		directory = new HostDirectory(self, {
 			hostList: list, clock, random: new SeededRandom(1), log, metrics: silentMetrics,
 		});
 		changes = 0;
@@ -53,14 +53,14 @@
 	});
 
 	it('leaves endpoints to the others of its zone while it starts, but not when the last of them leaves', async () => {
-		directory.beginStart();
+		directory.beginStartUp();
 		await startWith(self, listedHost('h2'), {...listedHost('h9'), availabilityZone: 'b'});
 		expect(homes()).toEqual(['h2']);
 		directory.learn({...listedHost('h2'), isLeaving: true});
 		expect([homes(), homes('c')]).toEqual([['h1'], ['h9']]);
 		directory.learn({...listedHost('h2'), incarnation: 'again'});
 		expect(homes()).toEqual(['h2']);
-		directory.endStart();
+		directory.endStartUp();
 		expect(homes()).toEqual(['h1', 'h2']);
 	});
 
--- a/src/common/membership/directory.ts
+++ b/src/common/membership/host-directory.ts
@@ -9,13 +9,13 @@
 	Clock, Host, HostList, Log, Membership, Metrics, PlatformFault, Random,
 } from '../services/services.js';
 import {
-	membershipDefaults, registrationSlack, unregisteredShare, type MembershipOptions,
+	membershipDefaults, renewalIntervalGrowth, unregisteredIntervalShare, type MembershipOptions,
 } from './constants.js';
-import {HomeMap, type PlacedEndpoint} from './home-map.js';
+import {HomeMap, type EndpointInZone} from './home-map.js';
 import {KnownHost} from './known-host.js';
 
 /** Services that the directory uses. */
-export type DirectoryServices = {
+export type HostDirectoryServices = {
 	readonly hostList: HostList;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -24,7 +24,7 @@
 };
 
 /** Who is there, as far as this node knows. */
-export class Directory implements Membership, Disposable {
+export class HostDirectory implements Membership, Disposable {
 	private readonly _onChange = new Emitter<void>();
 	private readonly _onRetryDue = new Emitter<Host>();
 	private readonly _known = new Map<string, KnownHost>();
@@ -47,7 +47,7 @@
 
 	constructor(
 		self: Host,
-		private readonly _services: DirectoryServices,
+		private readonly _services: HostDirectoryServices,
 		options: Partial<MembershipOptions> = {},
 	) {
 		this._self = self;
@@ -69,13 +69,13 @@
 	}
 
 	/** Counts this host as no home, in its own view only, until it knows enough of the others. */
-	beginStart(): void {
+	beginStartUp(): void {
 		this._isStarting = true;
 		this._changed();
 	}
 
 	/** Counts this host as a home like others. */
-	endStart(): void {
+	endStartUp(): void {
 		this._isStarting = false;
 		this._changed();
 	}
@@ -100,7 +100,7 @@
 		return this._known.get(name)?.isSuspected ?? false;
 	}
 
-	homeOf(endpoint: PlacedEndpoint): Host | undefined {
+	homeOf(endpoint: EndpointInZone): Host | undefined {
 		this._homes ??= this._mapHomes();
 		return this._homes.homeOf(endpoint);
 	}
@@ -167,7 +167,7 @@
 		this._rounds++;
 		await Promise.all([this._read(), isRegistrationDue ? this._register() : undefined]);
 		// A registration lasts for some intervals. Made before many hosts were known, it would lapse too early.
-		if (!this._isDisposed && this._intervalMs() > this._registeredIntervalMs * registrationSlack) {
+		if (!this._isDisposed && this._intervalMs() > this._registeredIntervalMs * renewalIntervalGrowth) {
 			await this._register();
 		}
 	}
@@ -187,7 +187,7 @@
 		const factor = 1 + (jitter * ((2 * this._services.random.next()) - 1));
 		// A host that the list lacks, or shows in an older state, does not wait as long as a mere reader.
 		const hasRegistered = this._registered === this._self;
-		const intervalMs = hasRegistered ? this._intervalMs() : Math.max(readIntervalMs, this._intervalMs() * unregisteredShare);
+		const intervalMs = hasRegistered ? this._intervalMs() : Math.max(readIntervalMs, this._intervalMs() * unregisteredIntervalShare);
 		this._timer = this._services.clock.setTimer(intervalMs * factor, () => {
 			void this.start();
 		});
@@ -254,8 +254,8 @@
 
 		let isChanged = added.length > 0;
 		for (const [name, known] of this._known) {
-			isChanged = known.listed(shown.get(name), nowMs) || isChanged;
-			if (!known.isKept(nowMs)) {
+			isChanged = known.applyListing(shown.get(name), nowMs) || isChanged;
+			if (!known.isRetained(nowMs)) {
 				this._known.delete(name);
 				isChanged = true;
 			}
@@ -319,13 +319,13 @@
 	private _retry(): void {
 		const nowMs = this._services.clock.nowMs();
 		for (const known of [...this._known.values()].filter(known => known.isSuspected && known.retryAtMs <= nowMs)) {
-			if (known.isSuspicionOver(nowMs)) {
+			if (known.isSuspicionExpired(nowMs)) {
 				this._reached(known);
 				continue;
 			}
 
 			// The next report, good or bad, decides; without one the suspicion ends in time.
-			known.retryAsked(nowMs);
+			known.recordRetry(nowMs);
 			this._onRetryDue.fire(known.host);
 		}
 
--- a/src/common/membership/known-host.ts
+++ b/src/common/membership/known-host.ts
@@ -50,7 +50,7 @@
 	}
 
 	/** Takes in what a read of the list showed; true when it changes anything. */
-	listed(shown: Host | undefined, nowMs: number): boolean {
+	applyListing(shown: Host | undefined, nowMs: number): boolean {
 		if (shown) {
 			this._missedReads = 0;
 			return !this._isOutdated(shown, nowMs) && this._merge(shown, nowMs);
@@ -64,7 +64,7 @@
 	}
 
 	/** Whether there is still a reason to believe in the host: the list, or that it spoke not long ago. */
-	isKept(nowMs: number): boolean {
+	isRetained(nowMs: number): boolean {
 		const isListed = this._missedReads !== undefined && this._missedReads < this._options.missedReadsToDrop;
 		return isListed || this._isWithinLag(this._heardAtMs, nowMs);
 	}
@@ -92,7 +92,7 @@
 	}
 
 	/** Notes that the host is being asked again; without a report it is asked anew after a while. */
-	retryAsked(nowMs: number): void {
+	recordRetry(nowMs: number): void {
 		this._isRetryAsked = true;
 		this._retryAtMs = nowMs + this._retryMs;
 	}
@@ -106,7 +106,7 @@
 	}
 
 	/** Whether the suspicion has not been confirmed for so long that it ends. */
-	isSuspicionOver(nowMs: number): boolean {
+	isSuspicionExpired(nowMs: number): boolean {
 		return this._suspectedAtMs !== undefined && nowMs - this._suspectedAtMs >= this._options.maximumSuspicionMs;
 	}
 
--- a/src/common/membership/rendezvous.ts
+++ b/src/common/membership/rendezvous.ts
@@ -34,11 +34,11 @@
 
 /** The candidate of the highest weight; equal weights fall to the smaller name. */
 export function highestWeight<T>(candidates: ReadonlyArray<Candidate<T>>, endpointName: string): T | undefined {
-	return heaviest(candidates, endpointName, 1).at(0);
+	return highestWeights(candidates, endpointName, 1).at(0);
 }
 
 /** The candidates of the highest weights, the heaviest first; equal weights fall to the smaller name. */
-export function heaviest<T>(candidates: ReadonlyArray<Candidate<T>>, endpointName: string, count: number): T[] {
+export function highestWeights<T>(candidates: ReadonlyArray<Candidate<T>>, endpointName: string, count: number): T[] {
 	const endpointHash = hashText(endpointName);
 	const best: Array<{readonly candidate: Candidate<T>; readonly weight: number}> = [];
 	for (const candidate of candidates) {
--- a/src/common/node-core.ts
+++ b/src/common/node-core.ts
@@ -17,7 +17,7 @@
 import type {Disposable} from './lifecycle/disposable.js';
 import {DisposableStore} from './lifecycle/disposable.js';
 import type {MembershipOptions} from './membership/constants.js';
-import {Directory} from './membership/directory.js';
+import {HostDirectory} from './membership/host-directory.js';
 import type {RoutingOptions} from './routing/constants.js';
 import {routingDefaults} from './routing/constants.js';
 import {StatementRouter} from './routing/statement-router.js';
@@ -53,7 +53,7 @@
 
 /** One node, without its listeners. */
 export class NodeCore implements Disposable {
-	readonly membership: Directory;
+	readonly membership: HostDirectory;
 	readonly peers: Peers;
 	readonly history: ChangeHistory;
 	readonly configuration: LiveConfiguration;
@@ -68,7 +68,7 @@
 	private readonly _owned = new DisposableStore();
 
 	constructor(self: Host, services: NodeServices, options: NodeOptions = {}) {
-		this.membership = this._owned.register(new Directory(self, services, options.membership));
+		this.membership = this._owned.register(new HostDirectory(self, services, options.membership));
 		this.peers = this._owned.register(services.createPeers(this.membership));
 		this.history = this._owned.register(new ChangeHistory(services.invariants, services.log));
 		this.configuration = this._owned.register(new LiveConfiguration(this.history));
@@ -110,11 +110,11 @@
 	 * send it work for endpoints from then on: it knows by the configuration who has them.
 	 */
 	async start(meetOthers?: () => Promise<void>): Promise<void> {
-		this.membership.beginStart();
+		this.membership.beginStartUp();
 		await this.membership.start();
 		this.sync.start();
 		await meetOthers?.();
-		this.membership.endStart();
+		this.membership.endStartUp();
 		await this.sync.loaded;
 	}
 
--- a/src/common/organisations/access.ts
+++ b/src/common/organisations/access-control.ts
@@ -23,7 +23,7 @@
 const anonymous = 'anonymous';
 
 /** Decides by the configuration in force. */
-export class Access {
+export class AccessControl {
 	private readonly _catalog: RouteCatalog;
 
 	constructor(catalog: RouteCatalog) {
@@ -43,7 +43,7 @@
 		}
 
 		// The proof comes first: the question for it may bring a configuration that takes the key away.
-		const areKeysProved = await this._catalog.areKeysProved();
+		const areKeysProved = await this._catalog.areKeysCurrent();
 		const holder = areKeysProved ? await this._catalog.findOrganisation(keyDigest) : undefined;
 		if (holder) {
 			return Right(holder.name);
--- a/src/common/organisations/organisations.ts
+++ b/src/common/organisations/organisations.ts
@@ -14,7 +14,7 @@
 	}
 
 	/** The organisation of a name. */
-	named(name: string): Organisation | undefined {
+	findByName(name: string): Organisation | undefined {
 		return this._byName.get(name);
 	}
 
--- a/src/common/organisations/usage-budgets.test.ts
+++ b/src/common/organisations/usage-budgets.test.ts
@@ -4,7 +4,7 @@
 import {VirtualClock} from '../testing/virtual-clock.js';
 import {usageDefaults} from './constants.js';
 import {UsageBudgets} from './usage-budgets.js';
-import type {KeeperRole} from './usage-budgets.js';
+import type {HolderRole} from './usage-budgets.js';
 
 const rule = {windowS: 5, overshootShare: 0.1, slack: 20};
 
@@ -29,7 +29,7 @@
 		};
 	}
 
-	function takeAll(budgets: UsageBudgets, role: KeeperRole): number {
+	function takeAll(budgets: UsageBudgets, role: HolderRole): number {
 		let taken = 0;
 		while ((budgets.take('shop', role)?.operations ?? 0) > 0) {
 			taken += 1;
--- a/src/common/organisations/usage-budgets.ts
+++ b/src/common/organisations/usage-budgets.ts
@@ -25,11 +25,11 @@
 };
 
 /** Whether a budget is kept as the first choice, or in place of nodes that do not answer. */
-export type KeeperRole = 'firstChoice' | 'standIn';
+export type HolderRole = 'firstChoice' | 'standIn';
 
 type KeptBudget = {
 	readonly budget: UsageBudget;
-	readonly role: KeeperRole;
+	readonly role: HolderRole;
 	/** Before this nothing is given out. */
 	readonly fromMs: number;
 	limit: UsageLimit;
@@ -56,7 +56,7 @@
 	}
 
 	/** Takes one operation; undefined where no limit of the organisation is known. */
-	take(organisation: string, role: KeeperRole): UsageGrant | undefined {
+	take(organisation: string, role: HolderRole): UsageGrant | undefined {
 		return this._from(organisation, role, (budget, nowMs) => {
 			const waitMs = budget.take(nowMs);
 			return {operations: waitMs === 0 ? 1 : 0, retryAfterMs: waitMs};
@@ -64,17 +64,17 @@
 	}
 
 	/** Takes operations for the budget of another zone. */
-	lend(organisation: string, role: KeeperRole): UsageGrant | undefined {
+	lend(organisation: string, role: HolderRole): UsageGrant | undefined {
 		const {loanShare, loanRetryMs} = this._services.options;
 		return this._from(organisation, role, (budget, nowMs) => ({operations: budget.takeShare(loanShare, nowMs), retryAfterMs: loanRetryMs}));
 	}
 
 	/** Adds what another zone lent, less the operation for which it was asked. */
-	noteLoan(organisation: string, operations: number): void {
+	addLoan(organisation: string, operations: number): void {
 		this._kept.get(organisation)?.budget.add(operations);
 	}
 
-	private _from(organisation: string, role: KeeperRole, take: (budget: UsageBudget, nowMs: number) => UsageGrant): UsageGrant | undefined {
+	private _from(organisation: string, role: HolderRole, take: (budget: UsageBudget, nowMs: number) => UsageGrant): UsageGrant | undefined {
 		const limit = this._services.limitOf(organisation);
 		if (!limit) {
 			this._kept.delete(organisation);
@@ -87,7 +87,7 @@
 		return {operations, retryAfterMs: Math.min(retryAfterMs, longestRetryMs)};
 	}
 
-	private _budget(organisation: string, limit: UsageLimit, role: KeeperRole): KeptBudget {
+	private _budget(organisation: string, limit: UsageLimit, role: HolderRole): KeptBudget {
 		const {clock, rule, zones, membershipChangedAtMs, options} = this._services;
 		const nowMs = clock.nowMs();
 		const known = this._kept.get(organisation);
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -4,28 +4,28 @@
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {Event} from '../lifecycle/emitter.js';
-import {pauseForEvent} from '../lifecycle/timing.js';
+import {waitForEvent} from '../lifecycle/timing.js';
 import type {
-	Clock, Log, Metrics, PeerCalls, PeerNode, UsageAsk, UsageGrant,
+	Clock, Log, Metrics, PeerCalls, PeerNode, BudgetRequest, UsageGrant,
 } from '../services/services.js';
 import type {UsageOptions} from './constants.js';
-import type {KeeperRole, UsageBudgets} from './usage-budgets.js';
+import type {HolderRole, UsageBudgets} from './usage-budgets.js';
 
 /** Who keeps budgets, as far as the choice matters here. */
 export type UsageHolders = {
 	/** Whether this node knows who else is there. */
-	readonly hasLooked: boolean;
-	readonly onLook: Event<void>;
+	readonly isDiscoveryDone: boolean;
+	readonly onDiscoveryDone: Event<void>;
 	/** Whether another node was heard a moment ago, or there is none in the zone. */
-	readonly isInTouch: boolean;
+	readonly hasRecentContact: boolean;
 	/** The nodes of the zone in the order in which they keep an organisation's budget. */
-	ranked(organisation: string): readonly PeerNode[];
+	rankedHolders(organisation: string): readonly PeerNode[];
 	/** One node of each other zone that keeps its budget and answers. */
-	elsewhere(organisation: string): readonly PeerNode[];
+	inOtherZones(organisation: string): readonly PeerNode[];
 	/** Whether a node answered lately, or was not asked. */
-	isAnswering(name: string): boolean;
+	isReachable(name: string): boolean;
 	/** Notes whether a node answered. */
-	noteAnswer(name: string, isAnswered: boolean): void;
+	reportReachability(name: string, isAnswered: boolean): void;
 };
 
 /** What limits are kept with. */
@@ -86,7 +86,7 @@
 	}
 
 	/** A new configuration may give an organisation more: who was over its limit is looked at again. */
-	noteNewLimits(): void {
+	onLimitsChanged(): void {
 		this._emptyUntilMs.clear();
 		this._lentOutUntilMs.clear();
 	}
@@ -96,13 +96,13 @@
 	 * none says anything. A node that others ask does the same first: what one of them cannot reach,
 	 * this one may.
 	 */
-	async ask({organisation, isLoan}: UsageAsk): Promise<UsageGrant | undefined> {
+	async ask({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {clock, self, holders, options} = this._services;
-		if (!holders.hasLooked) {
-			await pauseForEvent(clock, holders.onLook, options.lookTimeoutMs);
+		if (!holders.isDiscoveryDone) {
+			await waitForEvent(clock, holders.onDiscoveryDone, options.lookTimeoutMs);
 		}
 
-		const ranked = holders.ranked(organisation);
+		const ranked = holders.rankedHolders(organisation);
 		let tried = 0;
 		for (const holder of ranked) {
 			if (holder.name === self.name) {
@@ -110,7 +110,7 @@
 				return isLoan ? this._lend(organisation, role) : this._takeHere(organisation, role);
 			}
 
-			if (tried < options.holdersTried && holders.isAnswering(holder.name)) {
+			if (tried < options.holdersTried && holders.isReachable(holder.name)) {
 				tried += 1;
 				const grant = await this._askHolder(holder, {organisation, isLoan});
 				if (grant) {
@@ -122,7 +122,7 @@
 		return undefined;
 	}
 
-	private async _askHolder(holder: PeerNode, ask: UsageAsk): Promise<UsageGrant | undefined> {
+	private async _askHolder(holder: PeerNode, ask: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {calls, holders, log, options} = this._services;
 		const answer = await calls.takeUsage(holder, ask, options.askTimeoutMs);
 		if (answer.isRight()) {
@@ -130,20 +130,20 @@
 		}
 
 		const reason = answer.extract();
-		holders.noteAnswer(holder.name, reason === noBudgetHere);
+		holders.reportReachability(holder.name, reason === noBudgetHere);
 		log.event('usageHolderLost', {organisation: ask.organisation, holder: holder.name, reason});
 		return undefined;
 	}
 
-	private _lend(organisation: string, role: KeeperRole): UsageGrant | undefined {
+	private _lend(organisation: string, role: HolderRole): UsageGrant | undefined {
 		const {holders, budgets} = this._services;
-		return holders.isInTouch ? budgets.lend(organisation, role) : undefined;
+		return holders.hasRecentContact ? budgets.lend(organisation, role) : undefined;
 	}
 
 	/** Takes out of the budget that this node keeps; where that is empty, out of what other zones lend it. */
-	private async _takeHere(organisation: string, role: KeeperRole): Promise<UsageGrant | undefined> {
+	private async _takeHere(organisation: string, role: HolderRole): Promise<UsageGrant | undefined> {
 		const {holders, budgets} = this._services;
-		const own = holders.isInTouch ? budgets.take(organisation, role) : undefined;
+		const own = holders.hasRecentContact ? budgets.take(organisation, role) : undefined;
 		if (!own || own.operations > 0) {
 			return own;
 		}
@@ -153,14 +153,14 @@
 			return own;
 		}
 
-		budgets.noteLoan(organisation, lent - 1);
+		budgets.addLoan(organisation, lent - 1);
 		return {operations: 1, retryAfterMs: 0};
 	}
 
 	/** Asks one zone after the other; resolves with what the first gives that has something. */
 	private async _borrow(organisation: string): Promise<number> {
 		const {clock, holders, options} = this._services;
-		for (const holder of holders.elsewhere(organisation)) {
+		for (const holder of holders.inOtherZones(organisation)) {
 			const key = `${organisation} ${holder.name}`;
 			const isOver = (untilMs: number | undefined): boolean => clock.nowMs() >= (untilMs ?? 0);
 			if (!isOver(this._lentOutUntilMs.get(key)) || !isOver(this._silentUntilMs.get(holder.availabilityZone))) {
--- a/src/common/peering/shared-rows.test.ts
+++ b/src/common/peering/delegating-row-store.test.ts
@@ -4,18 +4,18 @@
 import type {PeerCalls} from '../services/services.js';
 import {storeVersion} from '../store/store-version.js';
 import {Fleet} from './fleet.js';
-import {notFollowed, SharedRows} from './shared-rows.js';
+import {notFollowedReason, DelegatingRowStore} from './delegating-row-store.js';
 import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
 
 /** A node that is not the asker of its zone, which has the most cores. */
-function shared(calls: PeerCalls, others = 29): {rows: SharedRows; peering: ReturnType<typeof fakePeering>} {
+function shared(calls: PeerCalls, others = 29): {rows: DelegatingRowStore; peering: ReturnType<typeof fakePeering>} {
 	const peering = fakePeering(calls);
 	for (let index = 1; index <= others; index++) {
 		peering.directory.learn(peerNode(`n${index}`, 'a', index === 1 ? 4 : 1));
 	}
 
 	peering.store.put('things', 'a', 'from the store');
-	return {peering, rows: new SharedRows(peering.store, {...peering, fleet: new Fleet(peering, peering.directory)})};
+	return {peering, rows: new DelegatingRowStore(peering.store, {...peering, fleet: new Fleet(peering, peering.directory)})};
 }
 
 const answering: PeerCalls = {
@@ -47,7 +47,7 @@
 		const {rows, peering} = shared(unreachable);
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
-		expect(peering.directory.answering().some(({name}) => name === 'n1')).toEqual(false);
+		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(false);
 	});
 
 	it('asks the store where the node has not noticed that it came back from a copy', async () => {
@@ -58,10 +58,10 @@
 	});
 
 	it('asks the store where the node lost it, and goes on asking that node for the rest', async () => {
-		const {rows, peering} = shared({...unreachable, rows: async () => Left(notFollowed)});
+		const {rows, peering} = shared({...unreachable, rows: async () => Left(notFollowedReason)});
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
-		expect(peering.directory.answering().some(({name}) => name === 'n1')).toEqual(true);
+		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(true);
 	});
 
 	it('asks one other node of the zone where the store turns the asker away, and that one alone asks the store', async () => {
@@ -72,7 +72,7 @@
 			...answering,
 			async rows(peer, ...question) {
 				asked.push(peer.name);
-				return peer.name === 'n1' ? Left(notFollowed) : answering.rows(peer, ...question);
+				return peer.name === 'n1' ? Left(notFollowedReason) : answering.rows(peer, ...question);
 			},
 		});
 		for (let count = 0; count < 10; count++) {
--- a/src/common/peering/shared-rows.ts
+++ b/src/common/peering/delegating-row-store.ts
@@ -10,53 +10,53 @@
 import type {
 	ConditionalWrite, PeerNode, PlatformFault, RowStore, StoredRows,
 } from '../services/services.js';
-import {pauseFor, pauseForEvent} from '../lifecycle/timing.js';
+import {pauseFor, waitForEvent} from '../lifecycle/timing.js';
 import {eraOf} from '../store/store-version.js';
 import type {Fleet} from './fleet.js';
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
-const awayLately: PlatformFault = {kind: 'unavailable', detail: 'neither the asked nodes nor the store answered a moment ago'};
+const recentlyUnavailable: PlatformFault = {kind: 'unavailable', detail: 'neither the asked nodes nor the store answered a moment ago'};
 
-type RowQuestion = {
+type RowQuery = {
 	readonly table: string;
 	readonly afterVersion: number;
 	readonly waitMs: number;
 };
 
-type SharedRowServices = Pick<PeeringServices, 'calls' | 'clock' | 'self' | 'options' | 'restores'> & {
+type DelegatingRowStoreServices = Pick<PeeringServices, 'calls' | 'clock' | 'self' | 'options' | 'restores'> & {
 	readonly directory: PeerDirectory;
 	readonly fleet: Fleet;
 };
 
 /** Reads and follows tables over another node where one does so for all. */
-export class SharedRows implements RowStore {
+export class DelegatingRowStore implements RowStore {
 	private readonly _store: RowStore;
-	private readonly _services: SharedRowServices;
+	private readonly _services: DelegatingRowStoreServices;
 	/** Until when a node that does not follow a table is passed over for it, by table and node. */
-	private readonly _notFollowingUntilMs = new Map<string, number>();
+	private readonly _peerBackoffUntilMs = new Map<string, number>();
 	/** Until when the store itself is not asked for a table, as it gave no answer a moment ago. */
-	private readonly _storeAwayUntilMs = new Map<string, number>();
+	private readonly _storeBackoffUntilMs = new Map<string, number>();
 
-	constructor(store: RowStore, services: SharedRowServices) {
+	constructor(store: RowStore, services: DelegatingRowStoreServices) {
 		this._store = store;
 		this._services = services;
 	}
 
 	async read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>> {
-		const shared = await this._shared(table, 0, 0) ?? await this._sharedAfterAsker(table);
-		return shared ? Right(shared) : this._ownAnswer(table, async () => this._store.read(table, partition));
+		const shared = await this._askCoordinators(table, 0, 0) ?? await this._readAfterCoordinator(table);
+		return shared ? Right(shared) : this._askStore(table, async () => this._store.read(table, partition));
 	}
 
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
 		const {clock, directory, options} = this._services;
-		if (!directory.hasLooked) {
+		if (!directory.isDiscoveryDone) {
 			// Every node of a large fleet that starts would ask the store once before it knows its asker.
-			await pauseForEvent(clock, directory.onLook, options.lookBeforeFollowMs);
+			await waitForEvent(clock, directory.onDiscoveryDone, options.lookBeforeFollowMs);
 		}
 
-		const shared = await this._shared(table, afterVersion, Math.min(waitMs, this._services.options.sharedFollowMs));
-		return shared ? Right(shared) : this._ownAnswer(table, async () => this._store.follow(table, afterVersion, waitMs));
+		const shared = await this._askCoordinators(table, afterVersion, Math.min(waitMs, this._services.options.sharedFollowMs));
+		return shared ? Right(shared) : this._askStore(table, async () => this._store.follow(table, afterVersion, waitMs));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {version: number; storeNowMs: number}>> {
@@ -64,50 +64,50 @@
 	}
 
 	/** Whether no other node follows tables for this one. */
-	private get _asksForItself(): boolean {
+	private get _usesStoreDirectly(): boolean {
 		const {fleet, self} = this._services;
-		return !fleet.isLarge || fleet.asker().name === self.name;
+		return !fleet.isLarge || fleet.coordinator().name === self.name;
 	}
 
 	/** Whether the store gave this node no answer a moment ago. */
-	private _isStoreAway(table: string): boolean {
-		return this._services.clock.nowMs() < (this._storeAwayUntilMs.get(table) ?? 0);
+	private _isStoreInBackoff(table: string): boolean {
+		return this._services.clock.nowMs() < (this._storeBackoffUntilMs.get(table) ?? 0);
 	}
 
 	/** Asks once more where the store is just back: the nodes of a zone need not all read the table. */
-	private async _sharedAfterAsker(table: string): Promise<StoredRows | undefined> {
+	private async _readAfterCoordinator(table: string): Promise<StoredRows | undefined> {
 		const {clock, fleet, options} = this._services;
-		const awayUntilMs = this._storeAwayUntilMs.get(table);
+		const awayUntilMs = this._storeBackoffUntilMs.get(table);
 		const isJustBack = awayUntilMs !== undefined && clock.nowMs() >= awayUntilMs;
-		if (!isJustBack || this._asksForItself) {
+		if (!isJustBack || this._usesStoreDirectly) {
 			return undefined;
 		}
 
-		this._storeAwayUntilMs.delete(table);
+		this._storeBackoffUntilMs.delete(table);
 		await pauseFor(clock, options.readAfterAskerMs);
-		this._notFollowingUntilMs.delete(keyOf(table, fleet.asker()));
-		return this._shared(table, 0, 0);
+		this._peerBackoffUntilMs.delete(keyOf(table, fleet.coordinator()));
+		return this._askCoordinators(table, 0, 0);
 	}
 
 	/** Asks the store itself, unless it gave no answer a moment ago and another node asks it too. */
-	private async _ownAnswer(table: string, ask: () => Promise<Either<PlatformFault, StoredRows>>): Promise<Either<PlatformFault, StoredRows>> {
+	private async _askStore(table: string, ask: () => Promise<Either<PlatformFault, StoredRows>>): Promise<Either<PlatformFault, StoredRows>> {
 		const {clock, options} = this._services;
-		if (this._asksForItself) {
+		if (this._usesStoreDirectly) {
 			return ask();
 		}
 
-		if (this._isStoreAway(table)) {
-			return Left(awayLately);
+		if (this._isStoreInBackoff(table)) {
+			return Left(recentlyUnavailable);
 		}
 
 		const answer = await ask();
 		return answer.ifLeft(() => {
-			this._storeAwayUntilMs.set(table, clock.nowMs() + options.storeAwayMs);
+			this._storeBackoffUntilMs.set(table, clock.nowMs() + options.storeAwayMs);
 		});
 	}
 
 	/** What the asking node says; undefined where the store itself must be asked. */
-	private async _shared(table: string, afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
+	private async _askCoordinators(table: string, afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
 		const {fleet, self, clock, options} = this._services;
 		if (!fleet.isLarge) {
 			return undefined;
@@ -120,8 +120,8 @@
 			}
 
 			const key = keyOf(table, asker);
-			if (this._isStoreAway(table) || clock.nowMs() >= (this._notFollowingUntilMs.get(key) ?? 0)) {
-				const rows = await this._ask(asker, key, {table, afterVersion, waitMs});
+			if (this._isStoreInBackoff(table) || clock.nowMs() >= (this._peerBackoffUntilMs.get(key) ?? 0)) {
+				const rows = await this._askPeer(asker, key, {table, afterVersion, waitMs});
 				if (rows) {
 					return rows;
 				}
@@ -131,13 +131,13 @@
 		return undefined;
 	}
 
-	private async _ask(asker: PeerNode, key: string, {table, afterVersion, waitMs}: RowQuestion): Promise<StoredRows | undefined> {
+	private async _askPeer(asker: PeerNode, key: string, {table, afterVersion, waitMs}: RowQuery): Promise<StoredRows | undefined> {
 		const {calls, clock, directory, options, restores} = this._services;
 		const answer = await calls.rows(asker, table, afterVersion, waitMs);
 		return answer
 			.ifLeft(reason => {
-				directory.noteAnswer(asker.name, reason === notFollowed);
-				this._notFollowingUntilMs.set(key, clock.nowMs() + options.notFollowingMs);
+				directory.reportReachability(asker.name, reason === notFollowedReason);
+				this._peerBackoffUntilMs.set(key, clock.nowMs() + options.notFollowingMs);
 			})
 			.ifRight(({version}) => {
 				restores.note(version);
@@ -150,7 +150,7 @@
 }
 
 /** Reason of a peer that lives and does not follow the table at the moment. */
-export const notFollowed = 'the peer does not follow the table';
+export const notFollowedReason = 'the peer does not follow the table';
 
 function keyOf(table: string, {name}: PeerNode): string {
 	return `${table} ${name}`;
--- a/src/common/peering/endpoint-ways.ts
+++ b/src/common/peering/endpoint-pool-selector.ts
@@ -13,7 +13,7 @@
 import {RemotePool} from './remote-pool.js';
 import type {PeeringServices} from './types.js';
 
-type WayServices = PeeringServices & {
+type SelectorServices = PeeringServices & {
 	readonly directory: PeerDirectory;
 	readonly fleet: Fleet;
 	readonly pools: PoolSet;
@@ -21,12 +21,12 @@
 };
 
 /** Chooses ways. */
-export class EndpointWays {
-	private readonly _services: WayServices;
+export class EndpointPoolSelector {
+	private readonly _services: SelectorServices;
 	/** Ways over homes, by endpoint and node. */
-	private readonly _remotes = new Map<string, RemotePool>();
+	private readonly _remotePools = new Map<string, RemotePool>();
 
-	constructor(services: WayServices) {
+	constructor(services: SelectorServices) {
 		this._services = services;
 	}
 
@@ -41,7 +41,7 @@
 			return pools.pool(endpoint);
 		}
 
-		const ways = homes.map(home => this._remote(endpoint, home));
+		const ways = homes.map(home => this._remotePool(endpoint, home));
 		const usable = ways.filter(({isAvoided}) => !isAvoided);
 		if (organisation !== undefined && usable.length > 0) {
 			return highestWeight(usable.map(way => ({name: way.via, hash: hashText(way.via), value: way})), `${organisation} ${endpoint.id}`)!;
@@ -69,10 +69,10 @@
 		return nodes.some(({name}) => name === this._services.self.name);
 	}
 
-	private _remote(endpoint: RegisteredEndpoint, home: PeerNode): RemotePool {
+	private _remotePool(endpoint: RegisteredEndpoint, home: PeerNode): RemotePool {
 		const {clock, calls, directory, poolOptions, options} = this._services;
 		const key = `${endpoint.id} ${home.name} ${home.incarnation}`;
-		const known = this._remotes.get(key);
+		const known = this._remotePools.get(key);
 		if (known?.endpoint === endpoint) {
 			return known;
 		}
@@ -85,10 +85,10 @@
 			times: new AnswerTimes(clock, poolOptions),
 			avoidMs: options.homeAvoidMs,
 			onPeerLost() {
-				directory.noteAnswer(home.name, false);
+				directory.reportReachability(home.name, false);
 			},
 		});
-		this._remotes.set(key, remote);
+		this._remotePools.set(key, remote);
 		return remote;
 	}
 }
--- a/src/common/peering/budget-keepers.ts
+++ b/src/common/peering/fleet-usage-holders.ts
@@ -7,49 +7,49 @@
 import type {PeerNode} from '../services/services.js';
 import type {Fleet} from './fleet.js';
 import type {PeerDirectory} from './peer-directory.js';
-import type {ProofSharing} from './proof-sharing.js';
+import type {OverviewPoller} from './overview-poller.js';
 
-type KeeperSources = {
+type UsageHolderSources = {
 	readonly directory: PeerDirectory;
 	readonly fleet: Fleet;
 	/** Undefined until this node shares proofs. */
-	readonly sharing: () => ProofSharing | undefined;
+	readonly sharing: () => OverviewPoller | undefined;
 	/** Time in milliseconds since another node was heard up to which this one counts as in touch. */
 	readonly touchMs: number;
 };
 
 /** Knows who keeps budgets. */
-export class BudgetKeepers implements UsageHolders {
-	readonly onLook: Event<void>;
-	private readonly _sources: KeeperSources;
+export class FleetUsageHolders implements UsageHolders {
+	readonly onDiscoveryDone: Event<void>;
+	private readonly _sources: UsageHolderSources;
 
-	constructor(sources: KeeperSources) {
-		this.onLook = sources.directory.onLook;
+	constructor(sources: UsageHolderSources) {
+		this.onDiscoveryDone = sources.directory.onDiscoveryDone;
 		this._sources = sources;
 	}
 
-	get hasLooked(): boolean {
-		return this._sources.directory.hasLooked;
+	get isDiscoveryDone(): boolean {
+		return this._sources.directory.isDiscoveryDone;
 	}
 
-	get isInTouch(): boolean {
+	get hasRecentContact(): boolean {
 		const {fleet, sharing, touchMs} = this._sources;
 		return fleet.isAloneInZone || (sharing()?.heardAgoMs ?? Number.POSITIVE_INFINITY) <= touchMs;
 	}
 
-	ranked(organisation: string): readonly PeerNode[] {
+	rankedHolders(organisation: string): readonly PeerNode[] {
 		return this._sources.fleet.usageHolders(organisation);
 	}
 
-	elsewhere(organisation: string): readonly PeerNode[] {
-		return this._sources.fleet.usageHoldersElsewhere(organisation);
+	inOtherZones(organisation: string): readonly PeerNode[] {
+		return this._sources.fleet.usageHoldersInOtherZones(organisation);
 	}
 
-	isAnswering(name: string): boolean {
-		return this._sources.directory.isAnswering(name);
+	isReachable(name: string): boolean {
+		return this._sources.directory.isReachable(name);
 	}
 
-	noteAnswer(name: string, isAnswered: boolean): void {
-		this._sources.directory.noteAnswer(name, isAnswered);
+	reportReachability(name: string, isAnswered: boolean): void {
+		this._sources.directory.reportReachability(name, isAnswered);
 	}
 }
--- a/src/common/peering/fleet.test.ts
+++ b/src/common/peering/fleet.test.ts
@@ -44,7 +44,7 @@
 	it('replaces only the home that does not answer, and takes it back later', async () => {
 		const {fleet, peering: {directory, clock}} = fleetOf(29);
 		const [first, second] = fleet.homes(endpoint('i-1', 'b')).map(({name}) => name);
-		directory.noteAnswer(first, false);
+		directory.reportReachability(first, false);
 		const later = fleet.homes(endpoint('i-1', 'b')).map(({name}) => name);
 		expect([later.includes(first), later[0]]).toEqual([false, second]);
 		await clock.advance(peeringDefaults.passOverMs + 250);
@@ -56,7 +56,7 @@
 		for (let tries = 0; tries < peeringDefaults.homeCandidates; tries++) {
 			const [home] = fleet.homes(endpoint('i-1', 'b'));
 			expect(home.availabilityZone).toEqual('b');
-			directory.noteAnswer(home.name, false);
+			directory.reportReachability(home.name, false);
 		}
 
 		expect(fleet.homes(endpoint('i-1', 'b')).every(({availabilityZone}) => availabilityZone !== 'b')).toEqual(true);
@@ -76,36 +76,36 @@
 
 	it('has one asker in each zone act and be asked', () => {
 		const {fleet} = fleetOf(29);
-		expect(fleet.actors().map(({availabilityZone}) => availabilityZone).toSorted((a, b) => a.localeCompare(b))).toEqual(['a', 'b', 'c']);
+		expect(fleet.promotionCandidates().map(({availabilityZone}) => availabilityZone).toSorted((a, b) => a.localeCompare(b))).toEqual(['a', 'b', 'c']);
 		expect(fleet.observers().some(({name}) => name === 'n0')).toEqual(false);
-		expect(fleet.asker().availabilityZone).toEqual('a');
+		expect(fleet.coordinator().availabilityZone).toEqual('a');
 	});
 
 	it('lets nobody ask who has not looked for others yet', () => {
 		const {fleet} = fleetOf(0);
-		expect([fleet.isAsker, fleet.isExclusive]).toEqual([false, true]);
+		expect([fleet.isCoordinator, fleet.isCoordinatorOnly]).toEqual([false, true]);
 	});
 
 	it('names the same node of a zone for an organisation\'s budget, whoever of the zone asks and whoever answers', () => {
 		const {fleet, peering: {directory}} = fleetOf(29);
 		const before = fleet.usageHolders('shop').map(({name}) => name);
 		expect(before.length).toEqual(10);
-		directory.noteAnswer(before.find(name => name !== 'n0')!, false);
+		directory.reportReachability(before.find(name => name !== 'n0')!, false);
 		expect(fleet.usageHolders('shop').map(({name}) => name)).toEqual(before);
 	});
 
 	it('names one node of each other zone that answers, for loans', () => {
 		const {fleet, peering: {directory}} = fleetOf(29);
-		const elsewhere = fleet.usageHoldersElsewhere('shop');
+		const elsewhere = fleet.usageHoldersInOtherZones('shop');
 		expect(elsewhere.map(({availabilityZone}) => availabilityZone).toSorted()).toEqual(['b', 'c']);
-		directory.noteAnswer(elsewhere[0].name, false);
-		expect(fleet.usageHoldersElsewhere('shop').some(({name}) => name === elsewhere[0].name)).toEqual(false);
+		directory.reportReachability(elsewhere[0].name, false);
+		expect(fleet.usageHoldersInOtherZones('shop').some(({name}) => name === elsewhere[0].name)).toEqual(false);
 	});
 
 	it('has those follow tables first who would be asker next', () => {
 		const {fleet} = fleetOf(29);
 		const askers = fleet.rowAskers(3);
-		expect([askers.length, askers[0].name]).toEqual([3, fleet.asker().name]);
+		expect([askers.length, askers[0].name]).toEqual([3, fleet.coordinator().name]);
 		expect(askers.every(({availabilityZone}) => availabilityZone === 'a')).toEqual(true);
 	});
 });
--- a/src/common/peering/fleet.ts
+++ b/src/common/peering/fleet.ts
@@ -6,18 +6,18 @@
  * disagree cost connections or a hop more, never a wrong answer: endpoints bound what all of
  * them open, and a transaction stays on the connection on which it began.
  */
-import {hashText, heaviest} from '../membership/rendezvous.js';
-import type {Holding} from '../pools/types.js';
+import {hashText, highestWeights} from '../membership/rendezvous.js';
+import type {ConnectionRole} from '../pools/types.js';
 import type {PeerNode, RegisteredEndpoint} from '../services/services.js';
 import {NodeRanking} from './node-ranking.js';
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
 /** What the choice of the asking node is made by. */
-const askerShare = 'proofs';
+const coordinatorTask = 'proofs';
 
 /** The same for the node that keeps an organisation's budget. */
-const usageShare = 'usage';
+const usageTask = 'usage';
 
 /** Time for which a choice is kept: nodes that did not answer come back by time alone. */
 const choiceKeptMs = 250;
@@ -33,7 +33,7 @@
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
 	private readonly _homes = new Map<string, Choice>();
-	private readonly _askers = new Map<string, Choice>();
+	private readonly _coordinators = new Map<string, Choice>();
 	private _ranking: {readonly nodes: NodeRanking; readonly membershipRevision: number} | undefined;
 
 	constructor(services: PeeringServices, directory: PeerDirectory) {
@@ -52,42 +52,42 @@
 	}
 
 	/** Whether this node asks endpoints for all nodes that share with it; not before it looked for others. */
-	get isAsker(): boolean {
-		return this._directory.hasLooked && this.asker().name === this._services.self.name;
+	get isCoordinator(): boolean {
+		return this._directory.isDiscoveryDone && this.coordinator().name === this._services.self.name;
 	}
 
 	/** Whether only askers may ask endpoints; so too as long as this node does not know who else is there. */
-	get isExclusive(): boolean {
-		return this.isLarge || !this._directory.hasLooked;
+	get isCoordinatorOnly(): boolean {
+		return this.isLarge || !this._directory.isDiscoveryDone;
 	}
 
 	/** For whom this node holds connections to an endpoint. */
-	holding(endpoint: RegisteredEndpoint): Holding {
+	holding(endpoint: RegisteredEndpoint): ConnectionRole {
 		const homes = this.homes(endpoint);
 		if (homes.length === 0) {
 			return 'forItself';
 		}
 
-		return this.isAsker || homes.some(({name}) => name === this._services.self.name) ? 'forAll' : 'forNone';
+		return this.isCoordinator || homes.some(({name}) => name === this._services.self.name) ? 'forAll' : 'forNone';
 	}
 
 	/** This node's share of what each endpoint accepts from all nodes that connect to it. */
-	connectionShare(limit: number): number {
-		return this.isLarge ? limit : Math.max(1, Math.floor(limit / this._answering().length));
+	connectionQuota(limit: number): number {
+		return this.isLarge ? limit : Math.max(1, Math.floor(limit / this._reachableNodes().length));
 	}
 
 	/** The node that asks endpoints for this one: large zones share within, so that no node answers for too many. */
-	asker(): PeerNode {
+	coordinator(): PeerNode {
 		const {self, options} = this._services;
-		const [asker] = this._kept(this._askers, '', () => {
-			const all = this._answering();
+		const [asker] = this._kept(this._coordinators, '', () => {
+			const all = this._reachableNodes();
 			const near = all.filter(({availabilityZone}) => availabilityZone === self.availabilityZone);
 			const isShared = near.length >= options.zoneSharingFrom;
 			if (this.isLarge) {
-				return this._firstAnswering(isShared ? this._zoneOrder(self.availabilityZone) : this._ranked.everywhere(askerShare));
+				return this._firstReachable(isShared ? this._zoneOrder(self.availabilityZone) : this._ranked.everywhere(coordinatorTask));
 			}
 
-			return heaviest((isShared ? near : all).map(node => ({name: node.name, hash: hashText(node.name), value: node})), askerShare, 1);
+			return highestWeights((isShared ? near : all).map(node => ({name: node.name, hash: hashText(node.name), value: node})), coordinatorTask, 1);
 		});
 		return asker ?? self;
 	}
@@ -97,17 +97,17 @@
 		const {self, options} = this._services;
 		const order = this._zoneOrder(self.availabilityZone);
 		const isShared = order.length >= options.zoneSharingFrom;
-		return (isShared ? order : this._ranked.everywhere(askerShare)).filter(node => this._isAnswering(node)).slice(0, count);
+		return (isShared ? order : this._ranked.everywhere(coordinatorTask)).filter(node => this._isReachable(node)).slice(0, count);
 	}
 
 	/** Nodes other than this one whose opinion on a primary counts: all, or the askers of all zones. */
 	observers(): readonly PeerNode[] {
-		return this.isLarge ? this._zoneAskers().filter(({name}) => name !== this._services.self.name) : this._directory.others();
+		return this.isLarge ? this._zoneCoordinators().filter(({name}) => name !== this._services.self.name) : this._directory.others();
 	}
 
 	/** Nodes that may act for a group: all that answer, or the askers of all zones. */
-	actors(): readonly PeerNode[] {
-		return this.isLarge ? this._zoneAskers() : this._answering();
+	promotionCandidates(): readonly PeerNode[] {
+		return this.isLarge ? this._zoneCoordinators() : this._reachableNodes();
 	}
 
 	/** Nodes that hold connections to an endpoint, the first choice first; empty where every node does. */
@@ -118,26 +118,26 @@
 
 		return this._kept(this._homes, id, () => {
 			const {options} = this._services;
-			const homes = this._ranked.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isAnswering(node));
+			const homes = this._ranked.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isReachable(node));
 			// A zone in which none of these answers is cut off: its other nodes would be tried in vain, one after the other.
 			const chosen = homes.length > 0
 				? homes
-				: this._ranked.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isAnswering(node));
+				: this._ranked.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isReachable(node));
 			return chosen.slice(0, options.homesPerEndpoint);
 		});
 	}
 
 	/** The nodes of this zone in the order in which they keep an organisation's budget, whether they answer or not. */
 	usageHolders(organisation: string): readonly PeerNode[] {
-		return this._zoneOrder(this._services.self.availabilityZone, `${usageShare} ${organisation}`);
+		return this._zoneOrder(this._services.self.availabilityZone, `${usageTask} ${organisation}`);
 	}
 
 	/** One node of each other zone that keeps an organisation's budget there and answers. */
-	usageHoldersElsewhere(organisation: string): readonly PeerNode[] {
+	usageHoldersInOtherZones(organisation: string): readonly PeerNode[] {
 		const {self} = this._services;
 		return this._ranked.zones
 			.filter(zone => zone !== self.availabilityZone)
-			.flatMap(zone => this._firstAnswering(this._zoneOrder(zone, `${usageShare} ${organisation}`)));
+			.flatMap(zone => this._firstReachable(this._zoneOrder(zone, `${usageTask} ${organisation}`)));
 	}
 
 	/** Who is there, in order for any work; kept until a node comes or goes. */
@@ -151,25 +151,25 @@
 		return this._ranking.nodes;
 	}
 
-	private _zoneAskers(): readonly PeerNode[] {
-		return this._ranked.zones.flatMap(zone => this._firstAnswering(this._zoneOrder(zone)));
+	private _zoneCoordinators(): readonly PeerNode[] {
+		return this._ranked.zones.flatMap(zone => this._firstReachable(this._zoneOrder(zone)));
 	}
 
-	private _zoneOrder(zone: string, work = askerShare): readonly PeerNode[] {
+	private _zoneOrder(zone: string, work = coordinatorTask): readonly PeerNode[] {
 		return this._ranked.inZone(zone, work, Number.POSITIVE_INFINITY);
 	}
 
-	private _firstAnswering(nodes: readonly PeerNode[]): readonly PeerNode[] {
-		const first = nodes.find(node => this._isAnswering(node));
+	private _firstReachable(nodes: readonly PeerNode[]): readonly PeerNode[] {
+		const first = nodes.find(node => this._isReachable(node));
 		return first ? [first] : [];
 	}
 
-	private _isAnswering({name}: PeerNode): boolean {
-		return name === this._services.self.name || this._directory.isAnswering(name);
+	private _isReachable({name}: PeerNode): boolean {
+		return name === this._services.self.name || this._directory.isReachable(name);
 	}
 
-	private _answering(): readonly PeerNode[] {
-		return [this._services.self, ...this._directory.answering()];
+	private _reachableNodes(): readonly PeerNode[] {
+		return [this._services.self, ...this._directory.reachablePeers()];
 	}
 
 	private _kept(choices: Map<string, Choice>, key: string, choose: () => readonly PeerNode[]): readonly PeerNode[] {
--- a/src/common/peering/node-ranking.ts
+++ b/src/common/peering/node-ranking.ts
@@ -8,7 +8,7 @@
  */
 import {groupBy} from '../configuration/group-by.js';
 import type {Candidate} from '../membership/rendezvous.js';
-import {hashText, heaviest} from '../membership/rendezvous.js';
+import {hashText, highestWeights} from '../membership/rendezvous.js';
 import type {PeerNode} from '../services/services.js';
 
 /** Nodes in their order for any work; the same whoever works it out, and in whichever order it got to know them. */
@@ -42,7 +42,7 @@
 	private _ranked(candidates: ReadonlyArray<Candidate<PeerNode>>, work: string, count: number): readonly PeerNode[] {
 		const mostCores = Math.max(...candidates.map(({value}) => value.cores));
 		const bySize = groupBy(candidates, ({value}) => value.cores >= mostCores * this._largeHostShare);
-		return [true, false].flatMap(isLarge => heaviest(bySize.get(isLarge) ?? [], work, count)).slice(0, count);
+		return [true, false].flatMap(isLarge => highestWeights(bySize.get(isLarge) ?? [], work, count)).slice(0, count);
 	}
 
 	private _kept(key: string, rank: () => readonly PeerNode[]): readonly PeerNode[] {
--- a/src/common/peering/proof-sharing.ts
+++ b/src/common/peering/overview-poller.ts
@@ -5,26 +5,26 @@
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
-import type {GroupPrimacies} from '../primacy/group-primacies.js';
+import type {PrimaryTrackers} from '../primacy/primary-trackers.js';
 import type {PeerNode} from '../services/services.js';
 import type {Fleet} from './fleet.js';
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
 /** Asks the node that asks for all, unless that is this node. */
-export class ProofSharing implements Disposable {
+export class OverviewPoller implements Disposable {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
 	private readonly _fleet: Fleet;
-	private readonly _primacies: GroupPrimacies;
+	private readonly _primacies: PrimaryTrackers;
 	private readonly _sleep: WakeableSleep;
-	private _question: Promise<void> | undefined;
-	private _asksForOthers = false;
-	private _renewedAtMs = Number.NEGATIVE_INFINITY;
-	private _heardAtMs = Number.NEGATIVE_INFINITY;
+	private _pendingPoll: Promise<void> | undefined;
+	private _isCoordinating = false;
+	private _checksRenewedAtMs = Number.NEGATIVE_INFINITY;
+	private _lastContactAtMs = Number.NEGATIVE_INFINITY;
 	private _isDisposed = false;
 
-	constructor(services: PeeringServices, directory: PeerDirectory, fleet: Fleet, primacies: GroupPrimacies) {
+	constructor(services: PeeringServices, directory: PeerDirectory, fleet: Fleet, primacies: PrimaryTrackers) {
 		this._services = services;
 		this._directory = directory;
 		this._fleet = fleet;
@@ -34,12 +34,12 @@
 
 	/** Time since another node answered this one or asked it, in milliseconds. */
 	get heardAgoMs(): number {
-		return this._services.clock.nowMs() - this._heardAtMs;
+		return this._services.clock.nowMs() - this._lastContactAtMs;
 	}
 
 	/** Another node asked this one. */
-	noteAsked(): void {
-		this._heardAtMs = this._services.clock.nowMs();
+	recordIncomingPoll(): void {
+		this._lastContactAtMs = this._services.clock.nowMs();
 	}
 
 	/** Shares until disposed. */
@@ -47,7 +47,7 @@
 		const {options} = this._services;
 		while (!this._isDisposed) {
 			await this.refresh();
-			this._noteRole();
+			this._updateRole();
 			this._renewChecks();
 			await this._sleep.wait(options.shareEveryMs);
 		}
@@ -55,15 +55,15 @@
 
 	/** Asks the asking node now, unless that is this node; all who wait share the question. */
 	async refresh(): Promise<void> {
-		const asker = this._fleet.asker();
+		const asker = this._fleet.coordinator();
 		if (asker.name === this._services.self.name) {
 			return;
 		}
 
-		this._question ??= this._ask(asker).finally(() => {
-			this._question = undefined;
+		this._pendingPoll ??= this._poll(asker).finally(() => {
+			this._pendingPoll = undefined;
 		});
-		await this._question;
+		await this._pendingPoll;
 	}
 
 	dispose(): void {
@@ -72,32 +72,32 @@
 	}
 
 	/** A node that begins to ask endpoints for others looks at the groups at once: it was told of them until now. */
-	private _noteRole(): void {
-		const asksForOthers = this._fleet.isExclusive && this._fleet.isAsker;
-		if (asksForOthers && !this._asksForOthers) {
+	private _updateRole(): void {
+		const asksForOthers = this._fleet.isCoordinatorOnly && this._fleet.isCoordinator;
+		if (asksForOthers && !this._isCoordinating) {
 			this._primacies.wake();
 		}
 
-		this._asksForOthers = asksForOthers;
+		this._isCoordinating = asksForOthers;
 	}
 
 	/** A node that starts takes what the store said to the asking node, and asks the store only for changes since. */
 	private _renewChecks(): void {
 		const {clock, options} = this._services;
-		if (this._asksForOthers && clock.nowMs() - this._renewedAtMs >= options.renewChecksMs) {
-			this._renewedAtMs = clock.nowMs();
+		if (this._isCoordinating && clock.nowMs() - this._checksRenewedAtMs >= options.renewChecksMs) {
+			this._checksRenewedAtMs = clock.nowMs();
 			void this._primacies.checkReplacements();
 		}
 	}
 
-	private async _ask(asker: PeerNode): Promise<void> {
+	private async _poll(asker: PeerNode): Promise<void> {
 		const {clock, calls, options} = this._services;
 		const sentAtMs = clock.nowMs();
 		const answer = await calls.overview(asker, '', options.overviewTimeoutMs);
-		this._directory.noteAnswer(asker.name, answer.isRight());
-		this._noteRole();
+		this._directory.reportReachability(asker.name, answer.isRight());
+		this._updateRole();
 		answer.ifRight(overviews => {
-			this._heardAtMs = Math.max(this._heardAtMs, sentAtMs);
+			this._lastContactAtMs = Math.max(this._lastContactAtMs, sentAtMs);
 			for (const overview of overviews) {
 				this._primacies.existing(overview.service)?.noteOverview(overview, sentAtMs, asker.name);
 			}
--- a/src/common/peering/peer-directory.test.ts
+++ b/src/common/peering/peer-directory.test.ts
@@ -70,7 +70,7 @@
 		register(peerNode('n1', 'a'));
 		void directory.run();
 		await clock.advance(peeringDefaults.meetAfterMs);
-		directory.forget('n1');
+		directory.markLeaving('n1');
 		await clock.advanceUntil(directory.refresh());
 		const left = directory.others().length;
 		register({...peerNode('n1', 'a'), incarnation: '2'});
--- a/src/common/peering/peer-directory.ts
+++ b/src/common/peering/peer-directory.ts
@@ -31,7 +31,7 @@
 /** Knows the nodes, and registers this one. */
 export class PeerDirectory implements Disposable {
 	/** Fires once the registrations were read for the first time, or could not be. */
-	readonly onLook: Event<void>;
+	readonly onDiscoveryDone: Event<void>;
 	/** Fires once the store holds this node's registration. */
 	readonly onRegistered: Event<void>;
 
@@ -39,36 +39,36 @@
 	private readonly _sleep: WakeableSleep;
 	private readonly _nodes = new Map<string, PeerNode>();
 	/** Nodes that did not answer, by name: until when they are passed over, and for how long. */
-	private readonly _passedOver = new Map<string, {readonly untilMs: number; readonly forMs: number}>();
+	private readonly _unreachable = new Map<string, {readonly untilMs: number; readonly forMs: number}>();
 	/** Nodes that said that they leave, by name, and when: they finish what is in progress, and their registrations stay. */
-	private readonly _left = new Map<string, {readonly node: PeerNode; readonly sinceMs: number}>();
+	private readonly _leavingPeers = new Map<string, {readonly node: PeerNode; readonly sinceMs: number}>();
 	private _revision = 0;
 	private _membershipRevision = 0;
 	private _membershipChangedAtMs: number;
 	private _registeredAtMs: number | undefined;
 	/** Era of the store in which it was known to hold the registration. */
 	private _registeredEra: number | undefined;
-	private readonly _onLook = new Emitter<void>();
+	private readonly _onDiscoveryDone = new Emitter<void>();
 	private readonly _onRegistered = new Emitter<void>();
 	/** The first read, until this node registers on it. */
 	private _firstRead: Promise<Either<PlatformFault, StoredRows>> | undefined;
-	private _hasLooked = false;
+	private _isDiscoveryDone = false;
 	private _isRegistering = false;
 	private _isDisposed = false;
 	private readonly _restoreRecord: RestoreRecord;
-	private readonly _restores: Disposable;
+	private readonly _restoreListener: Disposable;
 
 	constructor(services: PeeringServices) {
-		this.onLook = this._onLook.event;
+		this.onDiscoveryDone = this._onDiscoveryDone.event;
 		this.onRegistered = this._onRegistered.event;
 		this._services = services;
 		this._membershipChangedAtMs = services.clock.nowMs();
 		this._sleep = new WakeableSleep(services.clock);
 		this._restoreRecord = new RestoreRecord(services, () => this.others());
-		this._restores = services.restores.onRestore(() => {
+		this._restoreListener = services.restores.onRestore(() => {
 			// A large fleet follows the registrations, which are read anew at once.
 			this._sleep.wake();
-			this._restoreRecord.keep();
+			this._restoreRecord.scheduleWrite();
 		});
 	}
 
@@ -78,8 +78,8 @@
 	}
 
 	/** Whether the registrations were read, or could not be. */
-	get hasLooked(): boolean {
-		return this._hasLooked;
+	get isDiscoveryDone(): boolean {
+		return this._isDiscoveryDone;
 	}
 
 	/** Counts changes of who is known and who answers. */
@@ -113,26 +113,26 @@
 	}
 
 	/** Nodes that said that they leave so short a time ago that they may still serve. */
-	leaving(): readonly PeerNode[] {
+	leavingPeers(): readonly PeerNode[] {
 		const {clock, options} = this._services;
-		return [...this._left.values()].flatMap(({node, sinceMs}) => clock.nowMs() - sinceMs < options.leavingMs ? [node] : []);
+		return [...this._leavingPeers.values()].flatMap(({node, sinceMs}) => clock.nowMs() - sinceMs < options.leavingMs ? [node] : []);
 	}
 
 	/** The other nodes that answered lately, or were not asked. */
-	answering(): readonly PeerNode[] {
-		return this.others().filter(({name}) => this.isAnswering(name));
+	reachablePeers(): readonly PeerNode[] {
+		return this.others().filter(({name}) => this.isReachable(name));
 	}
 
 	/** Whether a node answered lately, or was not asked. */
-	isAnswering(name: string): boolean {
-		return (this._passedOver.get(name)?.untilMs ?? 0) <= this._services.clock.nowMs();
+	isReachable(name: string): boolean {
+		return (this._unreachable.get(name)?.untilMs ?? 0) <= this._services.clock.nowMs();
 	}
 
 	/** Reads who is there, before this node can be called and registers. */
-	async look(): Promise<void> {
+	async discover(): Promise<void> {
 		this._firstRead ??= this._services.store.read(nodeTable, '');
 		const read = await this._firstRead;
-		this._takeFirstRead(read);
+		this._applyFirstRead(read);
 	}
 
 	/**
@@ -144,14 +144,14 @@
 		const {options} = this._services;
 		let retryMs = options.registerRetryMs;
 		while (!this._isDisposed && !await this._register()) {
-			this._noteLook();
+			this._finishDiscovery();
 			await this._sleep.wait(retryMs);
 			retryMs = Math.min(retryMs * 2, options.longestRegisterRetryMs);
 		}
 
 		// A fleet that was large before a loss of power is known as one from the first read.
 		if (this.isLarge) {
-			this._noteLook();
+			this._finishDiscovery();
 			return;
 		}
 
@@ -160,13 +160,13 @@
 		let pauseMs = options.firstReadAfterMs;
 		while (!this._isDisposed) {
 			await this.refresh();
-			this._noteLook();
+			this._finishDiscovery();
 			if (this.isLarge) {
 				return;
 			}
 
 			const unmet = this.others().filter(({name}) => !known.has(name));
-			await this._meet(unmet);
+			await this._announceJoin(unmet);
 			pauseMs = unmet.length > 0 ? options.firstReadAfterMs : Math.min(pauseMs * 2, options.readEveryMs);
 			await this._sleep.wait(pauseMs);
 			// Others that joined meanwhile have told this node themselves.
@@ -184,24 +184,24 @@
 		}
 
 		const {rows, storeNowMs} = read.unsafeCoerce();
-		this._restoreRecord.take(rows, storeNowMs);
-		this.learnAll(rows);
+		this._restoreRecord.applySnapshot(rows, storeNowMs);
+		this.applySnapshot(rows);
 		return Right(this.others());
 	}
 
 	/** Takes in every registration that the store holds; this node's is written again where it is lost. */
-	learnAll(rows: readonly StoredRow[]): void {
-		this.learnRows(rows);
+	applySnapshot(rows: readonly StoredRow[]): void {
+		this.applyRows(rows);
 		const own = rows.find(({key}) => key === this._services.self.name);
 		// Rows of the era of the registration may be older than it: another node's view lags.
-		if (this._registeredEra !== undefined && this._services.restores.era > this._registeredEra && !this._isOwn(own)) {
-			void this._repeatRegistration(own?.version ?? 0);
+		if (this._registeredEra !== undefined && this._services.restores.era > this._registeredEra && !this._isOwnRegistration(own)) {
+			void this._restoreRegistration(own?.version ?? 0);
 		}
 	}
 
 	/** Takes in registrations. A row of another form is no node that can be called. */
-	learnRows(rows: readonly StoredRow[]): void {
-		this._restoreRecord.noteChanges(rows);
+	applyRows(rows: readonly StoredRow[]): void {
+		this._restoreRecord.applyChanges(rows);
 		for (const {value} of rows) {
 			const node = parseNode(value);
 			if (node) {
@@ -218,71 +218,71 @@
 		}
 
 		const known = this._nodes.get(node.name);
-		if (known?.incarnation !== node.incarnation && this._left.get(node.name)?.node.incarnation !== node.incarnation) {
-			this._left.delete(node.name);
+		if (known?.incarnation !== node.incarnation && this._leavingPeers.get(node.name)?.node.incarnation !== node.incarnation) {
+			this._leavingPeers.delete(node.name);
 			this._nodes.set(node.name, node);
-			this._passedOver.delete(node.name);
-			this._noteMembership();
+			this._unreachable.delete(node.name);
+			this._recordMembershipChange();
 			log.event('peerLearned', {peer: node.name, availabilityZone: node.availabilityZone});
 		}
 	}
 
 	/** Takes in that a node leaves. Its registration stays until it starts again, and is not taken for its return. */
-	forget(name: string): void {
+	markLeaving(name: string): void {
 		const known = this._nodes.get(name);
 		if (known) {
 			this._nodes.delete(name);
-			this._left.set(name, {node: known, sinceMs: this._services.clock.nowMs()});
-			this._noteMembership();
+			this._leavingPeers.set(name, {node: known, sinceMs: this._services.clock.nowMs()});
+			this._recordMembershipChange();
 		}
 	}
 
 	/** Takes in whether a node answered. */
-	noteAnswer(name: string, hasAnswered: boolean): void {
-		const wasPassedOver = this._passedOver.has(name);
+	reportReachability(name: string, hasAnswered: boolean): void {
+		const wasPassedOver = this._unreachable.has(name);
 		if (wasPassedOver === hasAnswered) {
 			this._services.log.event(hasAnswered ? 'hostTrusted' : 'hostSuspected', {peer: name});
 		}
 
 		if (hasAnswered) {
-			this._revision += this._passedOver.delete(name) ? 1 : 0;
+			this._revision += this._unreachable.delete(name) ? 1 : 0;
 		} else {
-			this._passOver(name);
+			this._markUnreachable(name);
 		}
 	}
 
 	/** Tells all others that this node leaves; only in small fleets, where each is linked to each. */
 	async leave(): Promise<void> {
 		const {calls, self, options} = this._services;
-		await Promise.all(this.answering().map(async peer => calls.tell(peer, {kind: 'left', name: self.name}, options.fenceTimeoutMs)));
+		await Promise.all(this.reachablePeers().map(async peer => calls.tell(peer, {kind: 'left', name: self.name}, options.fenceTimeoutMs)));
 	}
 
 	dispose(): void {
 		this._isDisposed = true;
 		this._sleep.dispose();
-		this._restores.dispose();
+		this._restoreListener.dispose();
 		this._restoreRecord.dispose();
-		this._onLook.dispose();
+		this._onDiscoveryDone.dispose();
 		this._onRegistered.dispose();
 	}
 
-	private _noteMembership(): void {
+	private _recordMembershipChange(): void {
 		this._revision += 1;
 		this._membershipRevision += 1;
 		this._membershipChangedAtMs = this._services.clock.nowMs();
 	}
 
 	/** A node that is gone for good stays registered: it is tried less and less often. */
-	private _passOver(name: string): void {
+	private _markUnreachable(name: string): void {
 		const {clock, options} = this._services;
 		const nowMs = clock.nowMs();
-		const known = this._passedOver.get(name);
+		const known = this._unreachable.get(name);
 		if (known && nowMs < known.untilMs) {
 			return;
 		}
 
 		const forMs = Math.min(known ? known.forMs * 2 : options.passOverMs, options.longestPassOverMs);
-		this._passedOver.set(name, {untilMs: nowMs + forMs, forMs});
+		this._unreachable.set(name, {untilMs: nowMs + forMs, forMs});
 		this._revision += 1;
 	}
 
@@ -290,7 +290,7 @@
 		const {store, self, log, clock, restores} = this._services;
 		const read = await (this._firstRead ?? store.read(nodeTable, ''));
 		this._firstRead = undefined;
-		this._takeFirstRead(read);
+		this._applyFirstRead(read);
 		if (read.isLeft()) {
 			return false;
 		}
@@ -298,7 +298,7 @@
 		const {rows} = read.unsafeCoerce();
 		const own = rows.find(({key}) => key === self.name);
 		// An answer that was lost is found by the next read.
-		if (!this._isOwn(own) && !await this._writeRegistration(own?.version ?? 0)) {
+		if (!this._isOwnRegistration(own) && !await this._writeRegistration(own?.version ?? 0)) {
 			return false;
 		}
 
@@ -309,7 +309,7 @@
 		return true;
 	}
 
-	private _isOwn(row: StoredRow | undefined): boolean {
+	private _isOwnRegistration(row: StoredRow | undefined): boolean {
 		return parseNode(row?.value)?.incarnation === this._services.self.incarnation;
 	}
 
@@ -322,7 +322,7 @@
 	}
 
 	/** Promoters count on the registration of every node that may hold a lease. */
-	private async _repeatRegistration(expectedVersion: number): Promise<void> {
+	private async _restoreRegistration(expectedVersion: number): Promise<void> {
 		if (this._isRegistering) {
 			return;
 		}
@@ -348,29 +348,29 @@
 	 * be, and it looks again a moment after it registered. 195 new nodes that all took the fleet for
 	 * a small one each asked every endpoint, and the store for each group.
 	 */
-	private _takeFirstRead(read: Either<PlatformFault, StoredRows>): void {
+	private _applyFirstRead(read: Either<PlatformFault, StoredRows>): void {
 		const rows = read.map(found => found.rows).orDefault([]);
 		read.ifRight(({storeNowMs}) => {
-			this._restoreRecord.take(rows, storeNowMs);
+			this._restoreRecord.applySnapshot(rows, storeNowMs);
 		});
-		this.learnRows(rows);
+		this.applyRows(rows);
 		if (read.isLeft() || rows.some(({key}) => key === this._services.self.name)) {
-			this._noteLook();
+			this._finishDiscovery();
 		}
 	}
 
-	private _noteLook(): void {
-		if (!this._hasLooked) {
-			this._hasLooked = true;
-			this._onLook.fire();
+	private _finishDiscovery(): void {
+		if (!this._isDiscoveryDone) {
+			this._isDiscoveryDone = true;
+			this._onDiscoveryDone.fire();
 		}
 	}
 
-	private async _meet(peers: readonly PeerNode[]): Promise<void> {
+	private async _announceJoin(peers: readonly PeerNode[]): Promise<void> {
 		const {calls, self, options} = this._services;
 		await Promise.all(peers.map(async peer => {
 			const met = await calls.tell(peer, {kind: 'joined', node: self}, options.joinTimeoutMs);
-			this.noteAnswer(peer.name, met.isRight());
+			this.reportReachability(peer.name, met.isRight());
 			met.ifRight(node => {
 				this.learn(node);
 			});
--- a/src/common/peering/primacy-peers.test.ts
+++ b/src/common/peering/primacy-peers.test.ts
@@ -4,7 +4,7 @@
 import {restoreDefaults} from '../store/constants.js';
 import {storeVersion} from '../store/store-version.js';
 import {Fleet} from './fleet.js';
-import {DirectoryPeers} from './primacy-peers.js';
+import {FleetPrimacyPeers} from './primacy-peers.js';
 import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
 
 describe('DirectoryPeers', () => {
@@ -12,7 +12,7 @@
 		const told = peerNode('n1', 'a');
 		const peering = fakePeering({...unreachable, tell: async () => Right(told)});
 		peering.directory.learn(told);
-		const peers = new DirectoryPeers(peering, peering.directory, new Fleet(peering, peering.directory));
+		const peers = new FleetPrimacyPeers(peering, peering.directory, new Fleet(peering, peering.directory));
 		const fence = async (): Promise<string> => peering.clock.advanceUntil(peers.fence('svc', 1, {holder: 'n0', epoch: 1}));
 		const outcomes = [await fence()];
 		peering.restores.note(storeVersion(1, 1));
--- a/src/common/peering/primacy-peers.ts
+++ b/src/common/peering/primacy-peers.ts
@@ -3,7 +3,7 @@
  */
 import {hashText, weight} from '../membership/rendezvous.js';
 import type {
-	FenceOutcome, Opinions, Primary, PrimacyPeers, PromoterName,
+	FenceOutcome, Opinions, Primary, PrimacyPeers, PromoterId,
 } from '../primacy/types.js';
 import type {GroupOverview, PeerNode} from '../services/services.js';
 import type {Fleet} from './fleet.js';
@@ -15,14 +15,14 @@
 	readonly overview: GroupOverview | undefined;
 };
 
-type FenceNotice = PromoterName & {
+type FenceNotice = PromoterId & {
 	readonly service: string;
 	readonly term: number;
 	readonly isFenced: boolean;
 };
 
 /** Asks and tells every node that is known; the askers alone in a large fleet. */
-export class DirectoryPeers implements PrimacyPeers {
+export class FleetPrimacyPeers implements PrimacyPeers {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
 	private readonly _fleet: Fleet;
@@ -39,9 +39,9 @@
 
 	rank(service: string, avoidedZone: string | undefined): number {
 		const {self} = this._services;
-		const nodes = this._fleet.actors().toSorted((a, b) =>
+		const nodes = this._fleet.promotionCandidates().toSorted((a, b) =>
 			Number(a.availabilityZone === avoidedZone) - Number(b.availabilityZone === avoidedZone)
-			|| weightOf(b, service) - weightOf(a, service));
+			|| promotionWeight(b, service) - promotionWeight(a, service));
 		const place = nodes.findIndex(({name}) => name === self.name);
 		return place === -1 ? nodes.length : place;
 	}
@@ -49,13 +49,13 @@
 	async opinions(service: string, primary: Primary): Promise<Opinions> {
 		const {options} = this._services;
 		const others = this._fleet.observers();
-		const answering = new Set(this._directory.answering().map(({name}) => name));
-		const answered = await this._ask(service, others.filter(({name}) => answering.has(name)));
+		const answering = new Set(this._directory.reachablePeers().map(({name}) => name));
+		const answered = await this._collectOpinions(service, others.filter(({name}) => answering.has(name)));
 		// Nodes that did not answer a moment ago would keep a promotion waiting until their time
 		// runs out. They are asked where the others are no majority: a node that comes back from
 		// behind a cut has passed over all of them, and each of them hears the primary.
 		if ((answered.length + 1) * 2 <= others.length + 1) {
-			answered.push(...await this._ask(service, others.filter(({name}) => !answering.has(name))));
+			answered.push(...await this._collectOpinions(service, others.filter(({name}) => !answering.has(name))));
 		}
 
 		const isAlike = (overview: {primaryId: string; term: number} | undefined): boolean =>
@@ -85,7 +85,7 @@
 	 * large fleet that is waited for and nobody is told: one node that does not answer leads to the
 	 * wait in any case, and a link to each of 194 others takes a promoter longer than the 0.8 s.
 	 */
-	async fence(service: string, term: number, promoter: PromoterName): Promise<FenceOutcome> {
+	async fence(service: string, term: number, promoter: PromoterId): Promise<FenceOutcome> {
 		if (this._fleet.isLarge) {
 			return 'partly';
 		}
@@ -98,7 +98,7 @@
 		return areAllKnown && isToldAll ? 'everywhere' : 'partly';
 	}
 
-	async removeFence(service: string, term: number, promoter: PromoterName): Promise<void> {
+	async removeFence(service: string, term: number, promoter: PromoterId): Promise<void> {
 		if (this._fleet.isLarge) {
 			// Who was told while the fleet was small asks the store before it believes a proof again.
 			return;
@@ -109,11 +109,11 @@
 		});
 	}
 
-	private async _ask(service: string, peers: readonly PeerNode[]): Promise<Opinion[]> {
+	private async _collectOpinions(service: string, peers: readonly PeerNode[]): Promise<Opinion[]> {
 		const {calls, options} = this._services;
 		const answers = await Promise.all(peers.map(async peer => {
 			const answer = await calls.overview(peer, service, options.opinionTimeoutMs);
-			this._directory.noteAnswer(peer.name, answer.isRight());
+			this._directory.reportReachability(peer.name, answer.isRight());
 			return answer.map(overviews => ({peer, overview: overviews.at(0)})).toMaybe().extract();
 		}));
 		return answers.filter(answer => answer !== undefined);
@@ -122,12 +122,12 @@
 	private async _tellFence(fence: FenceNotice): Promise<boolean> {
 		const {calls, options} = this._services;
 		// A node that leaves acknowledges writes under its lease until its sessions have ended.
-		const peers = [...this._directory.others(), ...this._directory.leaving()];
+		const peers = [...this._directory.others(), ...this._directory.leavingPeers()];
 		const told = await Promise.all(peers.map(async peer => calls.tell(peer, {kind: 'fence', ...fence}, options.fenceTimeoutMs)));
 		return told.every(answer => answer.isRight());
 	}
 }
 
-function weightOf({name}: PeerNode, service: string): number {
+function promotionWeight({name}: PeerNode, service: string): number {
 	return weight(hashText(service), hashText(name));
 }
--- a/src/common/peering/registrations.ts
+++ b/src/common/peering/registrations.ts
@@ -2,7 +2,7 @@
  * Who is there, in a fleet too large for every node to tell every other one: the table of the
  * registrations is followed, over the node that follows tables for the zone.
  */
-import type {FollowedTable, FollowerServices, TableReader} from '../catalog/table-follower.js';
+import type {FollowedTable, FollowerServices, TableSubscriber} from '../catalog/table-follower.js';
 import {TableFollower} from '../catalog/table-follower.js';
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {StoredRow} from '../services/services.js';
@@ -10,7 +10,7 @@
 import {nodeTable} from './constants.js';
 
 /** Registers this node and keeps the directory up to date. */
-export class Registrations implements TableReader, Disposable {
+export class Registrations implements TableSubscriber, Disposable {
 	private readonly _directory: PeerDirectory;
 	private readonly _follower: TableFollower;
 	private _isDisposed = false;
@@ -33,12 +33,12 @@
 		}
 	}
 
-	takeSnapshot(rows: readonly StoredRow[]): void {
-		this._directory.learnAll(rows);
+	applySnapshot(rows: readonly StoredRow[]): void {
+		this._directory.applySnapshot(rows);
 	}
 
-	takeRow(row: StoredRow): void {
-		this._directory.learnRows([row]);
+	applyRow(row: StoredRow): void {
+		this._directory.applyRows([row]);
 	}
 
 	dispose(): void {
--- a/src/common/peering/relays.ts
+++ b/src/common/peering/relays.ts
@@ -6,8 +6,8 @@
 import {AnswerTimes} from '../pools/answer-times.js';
 import type {PoolOptions} from '../pools/constants.js';
 import type {StatementPool} from '../pools/types.js';
-import type {GroupPrimacies} from '../primacy/group-primacies.js';
-import type {GroupPrimacy} from '../primacy/group-primacy.js';
+import type {PrimaryTrackers} from '../primacy/primary-trackers.js';
+import type {PrimaryTracker} from '../primacy/primary-tracker.js';
 import type {Opinions, PrimacyPeers} from '../primacy/types.js';
 import type {PeerCalls, PeerNode, RegisteredEndpoint} from '../services/services.js';
 import {RemotePool} from './remote-pool.js';
@@ -16,7 +16,7 @@
 type Relay = {
 	readonly pool: RemotePool;
 	readonly term: number;
-	untilMs: number;
+	refreshAtMs: number;
 };
 
 type RelayServices = PeeringServices & {
@@ -30,9 +30,9 @@
 	private readonly _services: RelayServices;
 	private readonly _relays = new Map<string, Relay>();
 	private readonly _searches = new Map<string, Promise<void>>();
-	private readonly _noneUntilMs = new Map<string, number>();
+	private readonly _noRelayUntilMs = new Map<string, number>();
 
-	constructor(services: RelayServices, primacies: GroupPrimacies) {
+	constructor(services: RelayServices, primacies: PrimaryTrackers) {
 		this._services = services;
 		primacies.onPrimaryFault(group => {
 			this._searchIfDue(group);
@@ -40,7 +40,7 @@
 	}
 
 	/** The way to a group's primary over another node; undefined where none is known. */
-	primaryPool(group: GroupPrimacy): StatementPool | undefined {
+	primaryPool(group: PrimaryTracker): StatementPool | undefined {
 		const relay = this._relays.get(group.service);
 		const nowMs = this._services.clock.nowMs();
 		if (!relay || relay.term !== group.primary?.term) {
@@ -48,12 +48,12 @@
 			return undefined;
 		}
 
-		if (nowMs >= relay.untilMs) {
+		if (nowMs >= relay.refreshAtMs) {
 			// It goes on being used while a newer one is looked for.
 			this._searchIfDue(group);
 		}
 
-		return nowMs < relay.untilMs + this._services.options.relayForMs ? relay.pool : undefined;
+		return nowMs < relay.refreshAtMs + this._services.options.relayForMs ? relay.pool : undefined;
 	}
 
 	/** A relay did not answer or does not reach the primary either. */
@@ -65,11 +65,11 @@
 		this._relays.clear();
 	}
 
-	private _searchIfDue(group: GroupPrimacy): void {
+	private _searchIfDue(group: PrimaryTracker): void {
 		const {service, primary} = group;
 		const nowMs = this._services.clock.nowMs();
-		const isKnown = (this._relays.get(service)?.untilMs ?? 0) > nowMs;
-		if (!primary || isKnown || this._searches.has(service) || (this._noneUntilMs.get(service) ?? 0) > nowMs) {
+		const isKnown = (this._relays.get(service)?.refreshAtMs ?? 0) > nowMs;
+		if (!primary || isKnown || this._searches.has(service) || (this._noRelayUntilMs.get(service) ?? 0) > nowMs) {
 			return;
 		}
 
@@ -78,7 +78,7 @@
 		}));
 	}
 
-	private async _search(group: GroupPrimacy): Promise<void> {
+	private async _search(group: PrimaryTracker): Promise<void> {
 		const {clock, peers, options, log} = this._services;
 		const {service, primary} = group;
 		if (!primary) {
@@ -91,10 +91,10 @@
 		}
 
 		const endpoint = group.primaryEndpoint;
-		const peer = this._best(opinions, endpoint?.availabilityZone);
+		const peer = this._chooseRelay(opinions, endpoint?.availabilityZone);
 		if (!peer || !endpoint || group.primary?.term !== primary.term) {
 			this._relays.delete(service);
-			this._noneUntilMs.set(service, clock.nowMs() + options.relayRetryMs);
+			this._noRelayUntilMs.set(service, clock.nowMs() + options.relayRetryMs);
 			return;
 		}
 
@@ -102,13 +102,13 @@
 			group: service, primary: endpoint.id, term: primary.term, peer: peer.name, heard: opinions.heard.length, asked: opinions.asked,
 		});
 		this._relays.set(service, {
-			pool: this._wayOver(peer, endpoint),
+			pool: this._createRelayPool(peer, endpoint),
 			term: primary.term,
-			untilMs: clock.nowMs() + options.relayForMs,
+			refreshAtMs: clock.nowMs() + options.relayForMs,
 		});
 	}
 
-	private _wayOver(peer: PeerNode, endpoint: RegisteredEndpoint): RemotePool {
+	private _createRelayPool(peer: PeerNode, endpoint: RegisteredEndpoint): RemotePool {
 		const {clock, calls, poolOptions} = this._services;
 		return new RemotePool({
 			endpoint,
@@ -125,7 +125,7 @@
 	}
 
 	/** One near the primary or near this node, chosen by chance so that load spreads. */
-	private _best({heard}: Opinions, primaryZone: string | undefined): PeerNode | undefined {
+	private _chooseRelay({heard}: Opinions, primaryZone: string | undefined): PeerNode | undefined {
 		const {random, self} = this._services;
 		const near = heard.filter(({availabilityZone}) => availabilityZone === self.availabilityZone || availabilityZone === primaryZone);
 		const candidates = near.length > 0 ? near : heard;
--- a/src/common/peering/remote-pool.ts
+++ b/src/common/peering/remote-pool.ts
@@ -26,7 +26,7 @@
 /** Sends statements for one endpoint to one peer. */
 export class RemotePool implements StatementPool {
 	readonly endpoint: RegisteredEndpoint;
-	readonly times: AnswerTimes;
+	readonly answerTimes: AnswerTimes;
 	readonly via: string;
 	private readonly _services: RemotePoolServices;
 	private _load = 0;
@@ -34,7 +34,7 @@
 
 	constructor(services: RemotePoolServices) {
 		this.endpoint = services.endpoint;
-		this.times = services.times;
+		this.answerTimes = services.times;
 		this.via = services.peer.name;
 		this._services = services;
 	}
@@ -45,7 +45,7 @@
 	}
 
 	/** Whether the peer has a connection, its answer says. */
-	get isShutOut(): boolean {
+	get isOutOfConnections(): boolean {
 		return false;
 	}
 
@@ -55,7 +55,7 @@
 
 	/** What waits at the peer is not known here: statements of this node that are on their way stand for it. */
 	estimateMs(): number {
-		return this.times.averageMs * (1 + (this._load / this.endpoint.slots));
+		return this.answerTimes.averageMs * (1 + (this._load / this.endpoint.slots));
 	}
 
 	async run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
@@ -101,7 +101,7 @@
 		this._load += 1;
 		try {
 			const result = await work();
-			this.times.note(clock.nowMs() - startedAtMs);
+			this.answerTimes.note(clock.nowMs() - startedAtMs);
 			result.ifLeft(fault => {
 				this._noteFault(fault);
 			});
--- a/src/common/peering/restore-record.test.ts
+++ b/src/common/peering/restore-record.test.ts
@@ -2,15 +2,15 @@
 import {expect} from 'earl';
 import {storeVersion} from '../store/store-version.js';
 import {nodeTable} from './constants.js';
-import {restoreKey} from './restore-record.js';
+import {restoreRecordKey} from './restore-record.js';
 import {fakePeering} from './testing/peering-fakes.js';
 
 describe('RestoreRecord', () => {
 	it('has a node that starts after a restore read the registrations once where the time stands among them', async () => {
 		const {clock, directory, restores, store} = fakePeering();
-		store.put(nodeTable, restoreKey, JSON.stringify({era: 1, atMs: 0}));
+		store.put(nodeTable, restoreRecordKey, JSON.stringify({era: 1, atMs: 0}));
 		restores.note(storeVersion(1, 1));
-		await directory.look();
+		await directory.discover();
 		await clock.advance(5000);
 		expect([restores.isSettled, store.reads.get(nodeTable)]).toEqual([true, 1]);
 	});
@@ -18,9 +18,9 @@
 	it('is written where it is not there', async () => {
 		const {clock, directory, restores, store} = fakePeering();
 		restores.note(storeVersion(1, 1));
-		await directory.look();
+		await directory.discover();
 		await clock.advance(5000);
 		const read = await store.read(nodeTable, '');
-		expect(restores.isRecordedIn(read.unsafeCoerce().rows.find(({key}) => key === restoreKey)?.value)).toEqual(true);
+		expect(restores.isRecordedIn(read.unsafeCoerce().rows.find(({key}) => key === restoreRecordKey)?.value)).toEqual(true);
 	});
 });
--- a/src/common/peering/restore-record.ts
+++ b/src/common/peering/restore-record.ts
@@ -9,7 +9,7 @@
 import type {PeeringServices} from './types.js';
 
 /** Key of the row; no node has such a name. */
-export const restoreKey = '*restored';
+export const restoreRecordKey = '*restored';
 
 /** Writes the row, and takes it in. */
 export class RestoreRecord implements Disposable {
@@ -23,29 +23,29 @@
 	}
 
 	/** Takes in the registrations as the store said them at a time on its clock. */
-	take(rows: readonly StoredRow[], storeNowMs: number): void {
+	applySnapshot(rows: readonly StoredRow[], storeNowMs: number): void {
 		const {restores} = this._services;
 		if (restores.era === 0) {
 			return;
 		}
 
-		const row = rows.find(({key}) => key === restoreKey);
-		restores.takeRecord(row?.value, storeNowMs);
+		const row = rows.find(({key}) => key === restoreRecordKey);
+		restores.applyRecord(row?.value, storeNowMs);
 		if (!restores.isRecordedIn(row?.value)) {
-			this.keep();
+			this.scheduleWrite();
 		}
 	}
 
 	/** Takes in changes of the registrations: whoever waits for its turn need not write a row that is there. */
-	noteChanges(rows: readonly StoredRow[]): void {
-		const row = rows.find(({key}) => key === restoreKey);
+	applyChanges(rows: readonly StoredRow[]): void {
+		const row = rows.find(({key}) => key === restoreRecordKey);
 		if (row && this._services.restores.isRecordedIn(row.value)) {
 			this._timer?.dispose();
 		}
 	}
 
 	/** Has the row written, by whichever node's turn comes first. */
-	keep(): void {
+	scheduleWrite(): void {
 		const {clock, self, restores} = this._services;
 		const hash = hashText(self.name);
 		const rank = this._others().filter(({name}) => hashText(name) < hash).length;
@@ -68,13 +68,13 @@
 		}
 
 		const {rows, storeNowMs} = read.unsafeCoerce();
-		const row = rows.find(({key}) => key === restoreKey);
+		const row = rows.find(({key}) => key === restoreRecordKey);
 		if (restores.isRecordedIn(row?.value)) {
 			return;
 		}
 
 		const written = await store.write({
-			table: nodeTable, partition: '', key: restoreKey, value: restores.recordAt(storeNowMs), expectedVersion: row?.version ?? 0,
+			table: nodeTable, partition: '', key: restoreRecordKey, value: restores.recordAt(storeNowMs), expectedVersion: row?.version ?? 0,
 		});
 		written.ifLeft(fault => {
 			log.event('restoreNotRecorded', fault);
--- a/src/common/pools/answer-times.ts
+++ b/src/common/pools/answer-times.ts
@@ -28,7 +28,7 @@
 	}
 
 	/** Silence of a running statement after which its connection may be dead. */
-	get suspiciousMs(): number {
+	get silenceThresholdMs(): number {
 		return Math.max(this._options.leastSilenceMs, this.averageMs * this._options.silenceFactor);
 	}
 
--- a/src/common/pools/carried-state.ts
+++ b/src/common/pools/connection-session-state.ts
@@ -5,16 +5,16 @@
  * Prepared statements are known to endpoints by names of this node's own, made of what they
  * are. So sessions that prepared the same thing share it, and none clashes with another's.
  */
-import type {OwnStatement} from '../services/services.js';
+import type {InternalStatement} from '../services/services.js';
 import type {PreparedStatement, SessionState} from './session-state.js';
 
 /** Name under which endpoints know a prepared statement. */
-export function sharedName({access, shape}: PreparedStatement): string {
+export function preparedStatementName({access, shape}: PreparedStatement): string {
 	return `${access}_${shape}`;
 }
 
 /** Follows one connection. */
-export class CarriedState {
+export class ConnectionSessionState {
 	private readonly _values = new Map<string, string>();
 	private readonly _prepared = new Set<string>();
 	private readonly _maximumPrepared: number;
@@ -24,7 +24,7 @@
 	}
 
 	/** Whether a statement of the session needs nothing first. */
-	fits(session: SessionState): boolean {
+	isAppliedFor(session: SessionState): boolean {
 		return this._values.size === session.values.size && this._differing(session).length === 0;
 	}
 
@@ -33,8 +33,8 @@
 	 * its statement. What they change is noted at once: a connection on which one of them
 	 * fails is not used again.
 	 */
-	adopt(session: SessionState, prepared: PreparedStatement | undefined): OwnStatement[] {
-		const statements: OwnStatement[] = [];
+	statementsToApply(session: SessionState, prepared: PreparedStatement | undefined): InternalStatement[] {
+		const statements: InternalStatement[] = [];
 		const hasForeignValue = [...this._values.keys()].some(name => !session.values.has(name));
 		if (hasForeignValue || this._prepared.size >= this._maximumPrepared) {
 			statements.push({kind: 'discard'});
@@ -47,8 +47,8 @@
 			this._values.set(name, value);
 		}
 
-		if (prepared && !this._prepared.has(sharedName(prepared))) {
-			const name = sharedName(prepared);
+		if (prepared && !this._prepared.has(preparedStatementName(prepared))) {
+			const name = preparedStatementName(prepared);
 			statements.push({kind: 'prepare', name, ...prepared});
 			this._prepared.add(name);
 		}
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -15,7 +15,7 @@
 import {toDisposable} from '../lifecycle/disposable.js';
 import type {LogPosition} from '../positions/log-position.js';
 import type {
-	ConnectionFault, OwnStatement, RegisteredEndpoint,
+	ConnectionFault, InternalStatement, RegisteredEndpoint,
 } from '../services/services.js';
 import {AnswerTimes} from './answer-times.js';
 import type {PoolOptions} from './constants.js';
@@ -23,7 +23,7 @@
 import {OpenConnections} from './open-connections.js';
 import {PooledConnection} from './pooled-connection.js';
 import type {
-	BegunTransaction, EndpointStatement, Holding, PoolServices, ReportedStatus, StatementFault, StatementPool, TimedAnswer,
+	BegunTransaction, EndpointStatement, ConnectionRole, PoolServices, ReportedStatus, StatementFault, StatementPool, TimedAnswer,
 } from './types.js';
 
 /** Kind of refusal for a connection that could not be had, by fault. */
@@ -54,7 +54,7 @@
 	readonly kept: number;
 };
 
-const limits: Record<Holding, (options: PoolOptions) => ConnectionLimits> = {
+const limits: Record<ConnectionRole, (options: PoolOptions) => ConnectionLimits> = {
 	forItself: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnections}),
 	forAll: options => ({held: options.heldConnectionsForAll, idle: options.idleConnectionsForAll, kept: options.keptConnections}),
 	forNone: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnectionsForNone}),
@@ -68,7 +68,7 @@
 /** Runs statements at one endpoint. */
 export class EndpointPool implements StatementPool, Disposable {
 	readonly endpoint: RegisteredEndpoint;
-	readonly times: AnswerTimes;
+	readonly answerTimes: AnswerTimes;
 	readonly via = undefined;
 
 	private readonly _services: PoolServices;
@@ -88,7 +88,7 @@
 		this.endpoint = endpoint;
 		this._services = services;
 		const {options} = services;
-		this.times = new AnswerTimes(services.clock, options);
+		this.answerTimes = new AnswerTimes(services.clock, options);
 		this._connections = new OpenConnections(services.clock, options);
 		this._modestUntilMs = startedAtMs + options.modestAfterStartMs;
 		const queueServices = {...services, options: services.queueOptions};
@@ -108,19 +108,19 @@
 	}
 
 	/** Whether the endpoint takes no connection of this node, which has none. */
-	get isShutOut(): boolean {
+	get isOutOfConnections(): boolean {
 		return this._services.clock.nowMs() < this._fullUntilMs && this._connections.size + this._opening === 0;
 	}
 
 	private get _limits(): ConnectionLimits {
-		const {holding, options, isByOrganisation} = this._services;
+		const {connectionRole: holding, options, areConnectionsPerOrganisation: isByOrganisation} = this._services;
 		const kind = holding(this.endpoint);
 		return isByOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limits[kind](options);
 	}
 
 	/** How many connections this node may have open. */
 	private get _share(): number {
-		const {clock, options, connectionShare, isByOrganisation} = this._services;
+		const {clock, options, connectionShare, areConnectionsPerOrganisation: isByOrganisation} = this._services;
 		const all = connectionShare(this.endpoint);
 		// Homes that each filled the endpoint would shut each other out: all keep what they have.
 		const share = isByOrganisation() ? Math.floor(all * options.organisationsShare) : all;
@@ -130,7 +130,7 @@
 	/** Time until a new statement would be answered, by what is known here. */
 	estimateMs(access: 'read' | 'write', priority: number): number {
 		const waitMs = this._queue.estimateWaitMs({caller: '', priority, lane: access});
-		return waitMs + this.times.averageMs;
+		return waitMs + this.answerTimes.averageMs;
 	}
 
 	/** Runs one statement on any connection. */
@@ -188,14 +188,14 @@
 		const sentAtMs = clock.nowMs();
 		const timeoutMs = Math.min(this._timeoutMs(statement), statement.silenceMs ?? Number.POSITIVE_INFINITY);
 		const result = await connection.run(statement, timeoutMs);
-		this.times.note(clock.nowMs() - sentAtMs);
+		this.answerTimes.note(clock.nowMs() - sentAtMs);
 		return result
 			.map(answer => ({answer, sentAtMs}))
 			.mapLeft(fault => ({...this._faultOf(fault, true), sinceMs: sentAtMs}));
 	}
 
 	/** Sends a statement of the node's own ahead of the queue; resolves with the endpoint's status. */
-	async control(statement: OwnStatement, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
+	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const {clock, wire} = this._services;
 		const connection = await this._take(clock.nowMs() + timeoutMs);
 		if (connection.isLeft()) {
@@ -255,7 +255,7 @@
 		lane: SlotLane,
 		work: () => Promise<Either<StatementFault, T>>,
 	): Promise<Either<StatementFault, T>> {
-		const grant = await this._queue.enter({
+		const grant = await this._queue.acquire({
 			caller: statement.caller,
 			priority: statement.priority,
 			lane,
@@ -282,7 +282,7 @@
 	private _passOnWhenSilent(grant: Disposable): Disposable {
 		const {clock, options} = this._services;
 		let isPassedBy = false;
-		const timer = clock.setTimer(this.times.suspiciousMs, () => {
+		const timer = clock.setTimer(this.answerTimes.silenceThresholdMs, () => {
 			if (this._passedBy < options.passedBy) {
 				isPassedBy = true;
 				this._passedBy += 1;
@@ -303,7 +303,7 @@
 	private async _take(untilMs: number, statement?: EndpointStatement, least = 1): Promise<Either<StatementFault, PooledConnection>> {
 		const {clock, options} = this._services;
 		for (;;) {
-			const idle = this._connections.take(statement);
+			const idle = this._connections.acquire(statement);
 			if (idle) {
 				return Right(idle);
 			}
@@ -316,7 +316,7 @@
 				return opened;
 			}
 
-			await this._connections.whenReturned(Math.min(leftMs, options.tooManyPauseMs));
+			await this._connections.waitForRelease(Math.min(leftMs, options.tooManyPauseMs));
 		}
 	}
 
@@ -328,7 +328,7 @@
 		const {clock, metrics} = this._services;
 		const isEndpointFull = clock.nowMs() < this._fullUntilMs;
 		const isShareUsed = this._connections.size + this._opening >= Math.max(least, this._share);
-		if ((isEndpointFull || isShareUsed) && this._connections.closeLeastUsed()) {
+		if ((isEndpointFull || isShareUsed) && this._connections.closeLeastRecentlyUsed()) {
 			metrics.count('poolEvictionsTotal');
 			// What was closed leaves room at the endpoint for one.
 			this._fullUntilMs = Number.NEGATIVE_INFINITY;
@@ -374,7 +374,7 @@
 	}
 
 	private _giveBack(connection: PooledConnection): void {
-		this._connections.giveBack(connection, this._limits);
+		this._connections.release(connection, this._limits);
 	}
 
 	private _timeoutMs(statement: EndpointStatement): number {
--- a/src/common/pools/held-connection.ts
+++ b/src/common/pools/held-connection.ts
@@ -35,7 +35,7 @@
 		}
 
 		this._isReleased = true;
-		const result = await this._connection.runOwn([{kind: 'rollback'}], timeoutMs);
+		const result = await this._connection.runInternal([{kind: 'rollback'}], timeoutMs);
 		const isClean = result.map(([{status}]) => status === 'idle').orDefault(false);
 		this._pool.release(this._connection, isClean);
 	}
--- a/src/common/pools/open-connections.ts
+++ b/src/common/pools/open-connections.ts
@@ -54,19 +54,19 @@
 	 * An idle connection on which a statement may run: one that fits its session before any other.
 	 * Statements of the node's own run on any: on one of its own, else on the one that is least missed.
 	 */
-	take(statement?: EndpointStatement): PooledConnection | undefined {
+	acquire(statement?: EndpointStatement): PooledConnection | undefined {
 		if (!statement) {
 			const own = this._idle.findLastIndex(({organisation}) => organisation === undefined);
 			return own === -1 ? this._idle.shift() : this._idle.splice(own, 1)[0];
 		}
 
-		const fitting = this._idle.findLastIndex(connection => connection.mayServe(statement) && connection.fits(statement));
-		const index = fitting === -1 ? this._idle.findLastIndex(connection => connection.mayServe(statement)) : fitting;
+		const fitting = this._idle.findLastIndex(connection => connection.isUsableFor(statement) && connection.hasStateOf(statement));
+		const index = fitting === -1 ? this._idle.findLastIndex(connection => connection.isUsableFor(statement)) : fitting;
 		return index === -1 ? undefined : this._idle.splice(index, 1)[0];
 	}
 
 	/** Waits until a connection is given back or ends, at most for a time. */
-	async whenReturned(waitMs: number): Promise<void> {
+	async waitForRelease(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const waiting: Waiting = () => {
 				timer.dispose();
@@ -82,7 +82,7 @@
 	}
 
 	/** Closes the idle connection that was not used for longest; whether there was one. */
-	closeLeastUsed(): boolean {
+	closeLeastRecentlyUsed(): boolean {
 		const [least] = this._idle;
 		if (!least) {
 			return false;
@@ -93,7 +93,7 @@
 	}
 
 	/** Takes a connection back from its user. */
-	giveBack(connection: PooledConnection, limits: IdleLimits): void {
+	release(connection: PooledConnection, limits: IdleLimits): void {
 		if (!connection.isOpen) {
 			this._forget(connection);
 			return;
@@ -107,7 +107,7 @@
 		this._keep(connection);
 		this._waiting.shift()?.();
 		if (this._idle.length > limits.idle) {
-			this.closeLeastUsed();
+			this.closeLeastRecentlyUsed();
 		}
 	}
 
--- a/src/common/pools/pool-set.ts
+++ b/src/common/pools/pool-set.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Drops the pools of a service's endpoints that are not among those registered. */
-	retain(service: string, endpoints: readonly RegisteredEndpoint[]): void {
+	disposeUnregistered(service: string, endpoints: readonly RegisteredEndpoint[]): void {
 		const present = new Set(endpoints.map(({id}) => id));
 		for (const [id, pool] of this._pools) {
 			if (pool.endpoint.service === service && !present.has(id)) {
--- a/src/common/pools/pooled-connection.ts
+++ b/src/common/pools/pooled-connection.ts
@@ -5,11 +5,11 @@
 import {Left, Right} from 'purify-ts';
 import {withTimeout} from '../lifecycle/timing.js';
 import type {
-	Clock, ConnectionFault, EndpointAnswer, LineConnection, LineWire, OwnStatement,
+	Clock, ConnectionFault, EndpointAnswer, LineConnection, LineWire, InternalStatement,
 } from '../services/services.js';
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {LogPosition} from '../positions/log-position.js';
-import {CarriedState, sharedName} from './carried-state.js';
+import {ConnectionSessionState, preparedStatementName} from './connection-session-state.js';
 import type {EndpointStatement} from './types.js';
 
 type ConnectionServices = {
@@ -28,7 +28,7 @@
 	private readonly _connection: LineConnection;
 	private readonly _wire: LineWire;
 	private readonly _clock: Clock;
-	private readonly _carried: CarriedState;
+	private readonly _carried: ConnectionSessionState;
 	private _isClosed = false;
 
 	constructor(connection: LineConnection, organisation: string | undefined, {wire, clock, maximumPrepared}: ConnectionServices) {
@@ -36,7 +36,7 @@
 		this.organisation = organisation;
 		this._wire = wire;
 		this._clock = clock;
-		this._carried = new CarriedState(maximumPrepared);
+		this._carried = new ConnectionSessionState(maximumPrepared);
 		this.usedAtMs = clock.nowMs();
 		connection.onClose(() => {
 			this._isClosed = true;
@@ -49,13 +49,13 @@
 	}
 
 	/** Whether a statement may run on it: an endpoint is told the organisation when a connection begins. */
-	mayServe({organisation}: EndpointStatement): boolean {
+	isUsableFor({organisation}: EndpointStatement): boolean {
 		return this.organisation === organisation;
 	}
 
 	/** Whether it carries a session's state already. */
-	fits(statement: EndpointStatement): boolean {
-		return this._carried.fits(statement.session);
+	hasStateOf(statement: EndpointStatement): boolean {
+		return this._carried.isAppliedFor(statement.session);
 	}
 
 	/** Calls back when the connection has ended. */
@@ -68,8 +68,8 @@
 	 * Where no answer comes in time the connection is closed: what runs on it is not known.
 	 */
 	async run(statement: EndpointStatement, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
-		const own = this._carried.adopt(statement.session, statement.call?.prepared);
-		const requests = [...own.map(item => this._wire.encodeOwn(item)), this._encode(statement)];
+		const own = this._carried.statementsToApply(statement.session, statement.call?.prepared);
+		const requests = [...own.map(item => this._wire.encodeInternal(item)), this._encode(statement)];
 		const result = await this._exchange(requests, timeoutMs);
 		return result.chain(answers => {
 			const failed = answers.slice(0, -1).find(({error}) => error);
@@ -82,21 +82,21 @@
 	 * an endpoint that refuses to begin would run it outside of any transaction.
 	 */
 	async begin(isReadOnly: boolean, floor: LogPosition | undefined, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
-		const result = await this.runOwn([{kind: 'begin', isReadOnly, floor}], timeoutMs);
+		const result = await this.runInternal([{kind: 'begin', isReadOnly, floor}], timeoutMs);
 		return result.map(answers => answers[0]);
 	}
 
 	/** Asks for the endpoint's state, or changes it: no use that keeps an organisation's connection. */
-	async control(statement: OwnStatement, timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
+	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
 		const {usedAtMs} = this;
-		const result = await this.runOwn([statement], timeoutMs);
+		const result = await this.runInternal([statement], timeoutMs);
 		this.usedAtMs = this.organisation === undefined ? this.usedAtMs : usedAtMs;
 		return result;
 	}
 
 	/** Runs statements of the node's own. */
-	async runOwn(statements: readonly OwnStatement[], timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
-		return this._exchange(statements.map(item => this._wire.encodeOwn(item)), timeoutMs);
+	async runInternal(statements: readonly InternalStatement[], timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
+		return this._exchange(statements.map(item => this._wire.encodeInternal(item)), timeoutMs);
 	}
 
 	dispose(): void {
@@ -106,7 +106,7 @@
 
 	private _encode({id, text, call, floor}: EndpointStatement): string {
 		return call
-			? this._wire.encodeExecute(id, sharedName(call.prepared), call.parameters, floor)
+			? this._wire.encodeExecute(id, preparedStatementName(call.prepared), call.parameters, floor)
 			: this._wire.encodeStatement(id, text, floor);
 	}
 
--- a/src/common/pools/types.ts
+++ b/src/common/pools/types.ts
@@ -21,11 +21,11 @@
 	readonly invariants: Invariants;
 	readonly connector: LineConnector;
 	readonly wire: LineWire;
-	readonly holding: (endpoint: RegisteredEndpoint) => Holding;
+	readonly connectionRole: (endpoint: RegisteredEndpoint) => ConnectionRole;
 	/** This node's share of the connections that an endpoint accepts; no bound where that is not known. */
 	readonly connectionShare: (endpoint: RegisteredEndpoint) => number;
 	/** Whether connections belong to organisations. */
-	readonly isByOrganisation: () => boolean;
+	readonly areConnectionsPerOrganisation: () => boolean;
 	readonly options: PoolOptions;
 	readonly queueOptions: HomeOptions;
 };
@@ -34,7 +34,7 @@
  * For whom a node holds connections to an endpoint: for itself, as every node does; for all
  * nodes, as one of a few; or for none but a question now and then, where others hold them.
  */
-export type Holding = 'forItself' | 'forAll' | 'forNone';
+export type ConnectionRole = 'forItself' | 'forAll' | 'forNone';
 
 /** One statement on its way to an endpoint. */
 export type EndpointStatement = {
@@ -87,7 +87,7 @@
 /** Where statements for one endpoint are run: this node's own connections, or another node's. */
 export type StatementPool = {
 	readonly endpoint: RegisteredEndpoint;
-	readonly times: AnswerTimes;
+	readonly answerTimes: AnswerTimes;
 	/** Name of the node over which it goes; undefined where this node connects itself. */
 	readonly via: string | undefined;
 	/** Statements of this node that are on their way to the endpoint. */
@@ -95,7 +95,7 @@
 	/** Whether it could not be reached a moment ago. */
 	readonly isAvoided: boolean;
 	/** Whether the endpoint takes no connection of this node, which has none. */
-	readonly isShutOut: boolean;
+	readonly isOutOfConnections: boolean;
 	/** Time until a new statement would be answered, by what is known here. */
 	estimateMs(access: 'read' | 'write', priority: number): number;
 	/** Runs one statement. */
--- a/src/common/primacy/constants.ts
+++ b/src/common/primacy/constants.ts
@@ -104,6 +104,6 @@
  * node, in milliseconds: leases granted before the fences have run out when it takes effect.
  * Proofs further apart than that are no chain, since a promotion may lie between them.
  */
-export function untoldWaitMs({leaseMs, promotionMinimumMs}: PrimacyOptions): number {
+export function leaseExpiryWaitMs({leaseMs, promotionMinimumMs}: PrimacyOptions): number {
 	return leaseMs - promotionMinimumMs;
 }
--- a/src/common/primacy/duty-changes.test.ts
+++ b/src/common/primacy/duty-changes.test.ts
@@ -31,9 +31,9 @@
 
 	it('says nothing where the store is away, or has dropped the history', async () => {
 		const {clock, store, changes} = make();
-		store.isAway = true;
+		store.isUnavailable = true;
 		const away = await clock.advanceUntil(changes.unchangedSince(10));
-		store.isAway = false;
+		store.isUnavailable = false;
 		store.dropHistory();
 		store.put('other', 'row', 'x');
 		expect([away, await clock.advanceUntil(changes.unchangedSince(5))]).toEqual([undefined, undefined]);
--- a/src/common/primacy/endpoint-reports.test.ts
+++ b/src/common/primacy/endpoint-reports.test.ts
@@ -52,15 +52,15 @@
 		expect(reports.mayProve('i-1')).toEqual(true);
 		reports.forget('i-1');
 		expect(reports.mayProve('i-1')).toEqual(false);
-		reports.clear('i-1', reports.returns('i-1'));
+		reports.clearMissedFence('i-1', reports.returnCount('i-1'));
 		expect(reports.mayProve('i-1')).toEqual(true);
 	});
 
 	it('is not cleared by a look that began before the endpoint started once more', () => {
 		reports.forget('i-1');
-		const returns = reports.returns('i-1');
+		const returns = reports.returnCount('i-1');
 		reports.forget('i-1');
-		reports.clear('i-1', returns);
+		reports.clearMissedFence('i-1', returns);
 		expect(reports.mayProve('i-1')).toEqual(false);
 	});
 });
--- a/src/common/primacy/endpoint-reports.ts
+++ b/src/common/primacy/endpoint-reports.ts
@@ -58,12 +58,12 @@
 	}
 
 	/** Counts the returns of an endpoint, so that a look that began before the last one clears nothing. */
-	returns(endpointId: string): number {
+	returnCount(endpointId: string): number {
 		return this._known.get(endpointId)?.returns ?? 0;
 	}
 
 	/** No promotion has begun without the endpoint: its word counts again, unless it returned once more. */
-	clear(endpointId: string, returns: number): void {
+	clearMissedFence(endpointId: string, returns: number): void {
 		const known = this._known.get(endpointId);
 		if (known?.returns === returns) {
 			known.isBarred = false;
@@ -104,7 +104,7 @@
 
 	/** An endpoint started again, or came back: nothing of before counts. */
 	forget(endpointId: string): void {
-		this._known.set(endpointId, {returns: this.returns(endpointId) + 1, isBarred: true});
+		this._known.set(endpointId, {returns: this.returnCount(endpointId) + 1, isBarred: true});
 	}
 
 	/** Positions count anew: those of a term that ended may have been rolled back. */
--- a/src/common/primacy/failover.ts
+++ b/src/common/primacy/failover.ts
@@ -4,9 +4,9 @@
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
-import type {GroupPrimacy} from './group-primacy.js';
+import type {PrimaryTracker} from './primary-tracker.js';
 import {Promoter} from './promoter.js';
-import type {GroupServices, LossReason, Primary} from './types.js';
+import type {GroupServices, PromotionReason, Primary} from './types.js';
 
 /** Time between two looks at a primary that something speaks against. */
 const lookEveryMs = 50;
@@ -18,12 +18,12 @@
 const calmLookEveryMs = 500;
 
 /** Losses that the endpoints themselves showed, or the store, so that other nodes need not be asked. */
-const evident: ReadonlySet<LossReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
+const evident: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
 
 /** Watches over one group. */
 export class Failover implements Disposable {
 	private readonly _services: GroupServices;
-	private readonly _group: GroupPrimacy;
+	private readonly _group: PrimaryTracker;
 	private readonly _promoter: Promoter;
 	/** Waits within a replacement, which nothing cuts short. */
 	private readonly _sleep: WakeableSleep;
@@ -34,7 +34,7 @@
 	private _fencesSinceMs = new Map<string, number>();
 	private _isDisposed = false;
 
-	constructor(group: GroupPrimacy, services: GroupServices) {
+	constructor(group: PrimaryTracker, services: GroupServices) {
 		this._services = services;
 		this._group = group;
 		this._promoter = new Promoter(group, services);
@@ -62,16 +62,16 @@
 
 	private async _run(): Promise<void> {
 		while (!this._isDisposed) {
-			this._isCalm = !this._group.mayAsk || !(this._group.isUneasy || this._group.loss !== undefined);
+			this._isCalm = !this._group.mayPollEndpoints || !(this._group.isUnhealthy || this._group.promotionReason !== undefined);
 			await this._pause.wait(this._isCalm ? calmLookEveryMs : lookEveryMs);
-			if (!this._isDisposed && this._group.mayAsk) {
+			if (!this._isDisposed && this._group.mayPollEndpoints) {
 				await this._look();
 			}
 		}
 	}
 
 	private async _look(): Promise<void> {
-		const reason = this._group.loss;
+		const reason = this._group.promotionReason;
 		if (reason) {
 			await this._replace(reason);
 		}
@@ -79,12 +79,12 @@
 		await this._removeOrphanedFences();
 	}
 
-	private async _replace(reason: LossReason): Promise<void> {
+	private async _replace(reason: PromotionReason): Promise<void> {
 		const {clock, peers, options} = this._services;
 		const {service, primary} = this._group;
 		const rank = peers.rank(service, this._group.primaryEndpoint?.availabilityZone);
 		await this._sleep.wait(rank * options.staggerMs);
-		if (this._group.loss !== reason || this._group.primary?.term !== primary?.term) {
+		if (this._group.promotionReason !== reason || this._group.primary?.term !== primary?.term) {
 			return;
 		}
 
@@ -102,7 +102,7 @@
 	}
 
 	/** Whether no other node hears the primary, and most of them could be asked. */
-	private async _isLostEverywhere(primary: Primary, reason: LossReason): Promise<boolean> {
+	private async _isLostEverywhere(primary: Primary, reason: PromotionReason): Promise<boolean> {
 		const {peers, log} = this._services;
 		const {service} = this._group;
 		const opinions = await peers.opinions(service, primary);
@@ -146,7 +146,7 @@
 					group: this._group.service, endpoint: endpoint.id, seenForMs: Math.round(clock.nowMs() - sinceMs),
 				});
 				await pools.pool(endpoint).control({kind: 'resume'}, options.statusTimeoutMs);
-				await this._group.ask(endpoint);
+				await this._group.refreshStatus(endpoint);
 			}
 		}
 	}
--- a/src/common/primacy/group-inquiry.ts
+++ b/src/common/primacy/group-poller.ts
@@ -5,7 +5,7 @@
 import {Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Event} from '../lifecycle/emitter.js';
-import {pauseForEvent, WakeableSleep, withTimeout} from '../lifecycle/timing.js';
+import {waitForEvent, WakeableSleep, withTimeout} from '../lifecycle/timing.js';
 import type {ReportedStatus, StatementFault} from '../pools/types.js';
 import type {RegisteredEndpoint} from '../services/services.js';
 import type {Primary, PrimacyServices} from './types.js';
@@ -14,16 +14,16 @@
 const leastPauseMs = 1;
 
 /** What is known of the group, and takes in what is found out. */
-export type InquiredGroup = {
+export type PolledGroup = {
 	/** Fires when a proof of the primary's term has come. */
 	readonly onProof: Event<void>;
 	readonly primary: Primary | undefined;
 	readonly primaryEndpoint: RegisteredEndpoint | undefined;
 	readonly primaryHeardAtMs: number;
-	readonly mayAsk: boolean;
+	readonly mayPollEndpoints: boolean;
 	readonly isLeased: boolean;
 	/** Whether the primary may have been replaced. */
-	readonly isDoubted: boolean;
+	readonly isPossiblyReplaced: boolean;
 	/** Whether attempts to reach the primary failed since it was last heard. */
 	readonly isFailing: boolean;
 	/** When the question was sent that proved the primary's term. */
@@ -41,15 +41,15 @@
 };
 
 /** One task for the group, and questions of others beside it. */
-export class GroupInquiry implements Disposable {
-	private readonly _group: InquiredGroup;
+export class GroupPoller implements Disposable {
+	private readonly _group: PolledGroup;
 	private readonly _services: PrimacyServices;
 	private readonly _sleep: WakeableSleep;
 	private _usedAtMs: number;
 	private _proof: Promise<void> | undefined;
 	private _isDisposed = false;
 
-	constructor(group: InquiredGroup, services: PrimacyServices) {
+	constructor(group: PolledGroup, services: PrimacyServices) {
 		this._group = group;
 		this._services = services;
 		this._sleep = new WakeableSleep(services.clock);
@@ -86,7 +86,7 @@
 			});
 			await withTimeout(clock, this._proof, endMs - clock.nowMs());
 			if (!this._group.isLeased) {
-				await pauseForEvent(clock, this._group.onProof, Math.min(options.searchMs / 4, Math.max(1, endMs - clock.nowMs())));
+				await waitForEvent(clock, this._group.onProof, Math.min(options.searchMs / 4, Math.max(1, endMs - clock.nowMs())));
 			}
 		}
 
@@ -98,22 +98,22 @@
 		const {clock, options} = this._services;
 		const {primaryEndpoint, primaryHeardAtMs} = this._group;
 		if (primaryEndpoint && clock.nowMs() - primaryHeardAtMs > options.opinionFreshMs) {
-			await withTimeout(clock, this.ask(primaryEndpoint), options.opinionLookMs);
+			await withTimeout(clock, this.refreshStatus(primaryEndpoint), options.opinionLookMs);
 		}
 	}
 
 	/** Asks one endpoint for its state and takes the answer in. */
-	async ask(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
+	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
 		const result = await this._question(endpoint);
 		return result.toMaybe().extract();
 	}
 
 	/** Asks the nearest replica, and at least a millisecond passes: a replica may receive a moment later. */
-	async askNearestReplica(): Promise<void> {
+	async pollNearestReplica(): Promise<void> {
 		const [replica] = this._replicasByDistance();
 		await Promise.all([
-			replica && this.ask(replica),
-			pauseForEvent(this._services.clock, this._group.onProof, leastPauseMs),
+			replica && this.refreshStatus(replica),
+			waitForEvent(this._services.clock, this._group.onProof, leastPauseMs),
 		]);
 	}
 
@@ -143,7 +143,7 @@
 	 */
 	private get _everyMs(): number {
 		const {options} = this._services;
-		const {isDoubted, isFailing, primary, mayAsk} = this._group;
+		const {isPossiblyReplaced: isDoubted, isFailing, primary, mayPollEndpoints: mayAsk} = this._group;
 		if (isDoubted || isFailing || !primary) {
 			return options.searchMs;
 		}
@@ -152,9 +152,9 @@
 	}
 
 	private async _question(endpoint: RegisteredEndpoint): Promise<Either<StatementFault, ReportedStatus>> {
-		const {clock, pools, ways, options} = this._services;
+		const {clock, pools, endpointPools: ways, options} = this._services;
 		const startedAtMs = clock.nowMs();
-		const result = await (this._group.mayAsk
+		const result = await (this._group.mayPollEndpoints
 			? pools.pool(endpoint).control({kind: 'status'}, options.statusTimeoutMs)
 			: ways.status(endpoint, options.statusTimeoutMs));
 		return result
@@ -167,7 +167,7 @@
 	}
 
 	private async _look(): Promise<void> {
-		const {isDoubted, primary, mayAsk} = this._group;
+		const {isPossiblyReplaced: isDoubted, primary, mayPollEndpoints: mayAsk} = this._group;
 		if (primary && !isDoubted) {
 			await (mayAsk ? this._askWhatIsDue() : undefined);
 			return;
@@ -186,13 +186,13 @@
 		const {primaryEndpoint, provedAtMs, sampledAtMs, isFailing, primaryHeardAtMs} = this._group;
 		const nowMs = clock.nowMs();
 		// What the asking node shares arrives a little later than it would ask again itself.
-		const patienceMs = sharing.isAsker ? 0 : options.leasePollMs;
+		const patienceMs = sharing.isCoordinator ? 0 : options.leasePollMs;
 		const isProofDue = nowMs - provedAtMs >= (options.leasePollMs / 2) + patienceMs;
 		const isSampleDue = nowMs - sampledAtMs >= options.sampleEveryMs + patienceMs;
 		const isCheckDue = isFailing || nowMs - primaryHeardAtMs >= options.primaryCheckMs + patienceMs;
 		await Promise.all([
 			isProofDue ? this._pollReplicas() : undefined,
-			primaryEndpoint && (isSampleDue || isCheckDue) ? this.ask(primaryEndpoint) : undefined,
+			primaryEndpoint && (isSampleDue || isCheckDue) ? this.refreshStatus(primaryEndpoint) : undefined,
 		]);
 	}
 
@@ -204,13 +204,13 @@
 
 	/** Looks for a proof of the primary's term: here, or at the node that asks for all. */
 	private async _seekProof(): Promise<void> {
-		await (this._group.mayAsk ? this._pollReplicas() : this._services.sharing.refresh());
+		await (this._group.mayPollEndpoints ? this._pollReplicas() : this._services.sharing.refresh());
 	}
 
 	/** Asks replicas, those nearby first, until one has proved the term. */
 	private async _pollReplicas(): Promise<void> {
 		for (const replica of this._replicasByDistance()) {
-			const report = await this.ask(replica);
+			const report = await this.refreshStatus(replica);
 			if (report && this._group.provedAtMs >= report.sentAtMs) {
 				return;
 			}
--- a/src/common/primacy/freshness-samples.test.ts
+++ b/src/common/primacy/position-samples.test.ts
@@ -1,12 +1,12 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
-import {FreshnessSamples} from './freshness-samples.js';
+import {PositionSamples} from './position-samples.js';
 
 const at = (offset: number) => ({term: 1, offset});
 
 describe('FreshnessSamples', () => {
 	it('gives the lowest position that holds all before a moment', () => {
-		const samples = new FreshnessSamples(0, 10_000);
+		const samples = new PositionSamples(0, 10_000);
 		for (const [sentAtMs, offset] of [[100, 1], [200, 5], [300, 9]] as const) {
 			samples.add(sentAtMs, at(offset));
 		}
@@ -17,13 +17,13 @@
 	});
 
 	it('gives nothing for a moment after the newest sample', () => {
-		const samples = new FreshnessSamples(0, 10_000);
+		const samples = new PositionSamples(0, 10_000);
 		samples.add(100, at(1));
 		expect(samples.floor(101)).toEqual(undefined);
 	});
 
 	it('takes no sample that is older than the newest, and drops old ones', () => {
-		const samples = new FreshnessSamples(20, 1000);
+		const samples = new PositionSamples(20, 1000);
 		samples.add(100, at(1));
 		samples.add(90, at(7));
 		samples.add(110, at(8));
--- a/src/common/primacy/freshness-samples.ts
+++ b/src/common/primacy/position-samples.ts
@@ -11,7 +11,7 @@
 };
 
 /** Samples of one term, oldest first. */
-export class FreshnessSamples {
+export class PositionSamples {
 	private readonly _spacingMs: number;
 	private readonly _keptMs: number;
 	private _samples: Sample[] = [];
--- a/src/common/primacy/primary-health.ts
+++ b/src/common/primacy/primary-health.ts
@@ -4,7 +4,7 @@
  */
 import type {StatementFault} from '../pools/types.js';
 import type {PrimacyOptions} from './constants.js';
-import type {LossReason} from './types.js';
+import type {PromotionReason} from './types.js';
 
 type HealthOptions = Pick<PrimacyOptions, 'crashRefusals' | 'silentAfterMs'>;
 
@@ -74,7 +74,7 @@
 	 * Why it is taken to be lost; undefined while it is not. Silence counts from the first
 	 * attempt that failed: a primary that nobody asked has not been silent.
 	 */
-	loss(nowMs: number): LossReason | undefined {
+	loss(nowMs: number): PromotionReason | undefined {
 		if (this._hasLostLog) {
 			return 'emptied';
 		}
--- a/src/common/primacy/group-primacy.ts
+++ b/src/common/primacy/primary-tracker.ts
@@ -12,13 +12,13 @@
 import type {LogPosition} from '../positions/log-position.js';
 import type {GroupOverview, RegisteredEndpoint} from '../services/services.js';
 import type {PrimacyOptions} from './constants.js';
-import {untoldWaitMs} from './constants.js';
+import {leaseExpiryWaitMs} from './constants.js';
 import type {AppliedPosition} from './endpoint-reports.js';
 import type {DutyChanges} from './duty-changes.js';
 import {EndpointReports, hasRoleChanged} from './endpoint-reports.js';
-import {FreshnessSamples} from './freshness-samples.js';
-import {GroupInquiry} from './group-inquiry.js';
-import type {InquiredGroup} from './group-inquiry.js';
+import {PositionSamples} from './position-samples.js';
+import {GroupPoller} from './group-poller.js';
+import type {PolledGroup} from './group-poller.js';
 import type {LeaseProof, ProofFields} from './lease-proof.js';
 import {proofFields, proofGapMs} from './lease-proof.js';
 import {PrimaryHealth} from './primary-health.js';
@@ -29,12 +29,12 @@
 import type {ReplacementCheck} from './term-lease.js';
 import {TermLease} from './term-lease.js';
 import type {
-	GroupServices, KnownReplacement, LossReason, Primary, PrimaryOrigin, PromoterName,
+	GroupServices, KnownReplacement, PromotionReason, Primary, PrimaryOrigin, PromoterId,
 } from './types.js';
 import {WriteReceipts} from './write-receipts.js';
 
 /** Follows one group. */
-export class GroupPrimacy implements InquiredGroup, Disposable {
+export class PrimaryTracker implements PolledGroup, Disposable {
 	readonly service: string;
 	/** Fires when the primary could not be reached or did not answer. */
 	readonly onPrimaryFault: Event<void>;
@@ -44,8 +44,8 @@
 	readonly onWake: Event<void>;
 
 	private readonly _services: GroupServices;
-	private readonly _inquiry: GroupInquiry;
-	private readonly _samples: FreshnessSamples;
+	private readonly _inquiry: GroupPoller;
+	private readonly _samples: PositionSamples;
 	private readonly _lease: TermLease;
 	private readonly _receipts: WriteReceipts;
 	private readonly _suspension: SuspensionWatch;
@@ -76,16 +76,16 @@
 		this._services = services;
 		this.onProof = this._onProof.event;
 		this.onWake = this._onWake.event;
-		this._inquiry = new GroupInquiry(this, services);
-		this._samples = new FreshnessSamples(options.sampleSpacingMs, options.sampleKeptMs);
-		this._lease = new TermLease(clock, {leaseMs: options.leaseMs, chainMs: untoldWaitMs(options)});
+		this._inquiry = new GroupPoller(this, services);
+		this._samples = new PositionSamples(options.sampleSpacingMs, options.sampleKeptMs);
+		this._lease = new TermLease(clock, {leaseMs: options.leaseMs, chainMs: leaseExpiryWaitMs(options)});
 		this._checks = new ReplacementChecks(this, changes, services);
 		this._reports = new EndpointReports(clock);
 		this._returned = new ReturnedReplicas(this, this._reports, services);
 		this._receipts = new WriteReceipts(clock, options, {
 			reports: () => this.replicas().flatMap(({id}) => this._reports.status(id) ?? []),
 			term: () => this._primary?.term,
-			askNearest: async () => this._inquiry.askNearestReplica(),
+			pollNearest: async () => this._inquiry.pollNearestReplica(),
 		});
 		this._suspension = new SuspensionWatch(clock, options.suspensionMs);
 		this._health = new PrimaryHealth(options, clock.nowMs());
@@ -118,7 +118,7 @@
 	}
 
 	/** Time since the primary was last both heard and proved from here. */
-	get outOfReachForMs(): number {
+	get unreachableForMs(): number {
 		return this._services.clock.nowMs() - Math.min(this._lease.provedAtMs, this._health.heardAtMs);
 	}
 
@@ -128,7 +128,7 @@
 	}
 
 	/** Why the primary needs to be replaced, as far as this node can tell. */
-	get loss(): LossReason | undefined {
+	get promotionReason(): PromotionReason | undefined {
 		const nowMs = this._services.clock.nowMs();
 		if (this._vacantSinceMs !== undefined && nowMs - this._vacantSinceMs >= this._services.options.vacantAfterMs) {
 			return 'vacant';
@@ -147,19 +147,19 @@
 	}
 
 	/** Whether this node may ask endpoints itself, and so may replace a primary. */
-	get mayAsk(): boolean {
-		const {isAsker, isExclusive} = this._services.sharing;
+	get mayPollEndpoints(): boolean {
+		const {isCoordinator: isAsker, isCoordinatorOnly: isExclusive} = this._services.sharing;
 		return isAsker || !isExclusive;
 	}
 
 	/** Whether the primary may have been replaced; whoever has been promoted is then looked for. */
-	get isDoubted(): boolean {
+	get isPossiblyReplaced(): boolean {
 		return this._isDoubted || this._isBeingReplaced;
 	}
 
 	/** Whether anything speaks against the primary, or there is none: time alone may then make it lost. */
-	get isUneasy(): boolean {
-		return this._primary === undefined || this._vacantSinceMs !== undefined || this.isDoubted || this.isFailing
+	get isUnhealthy(): boolean {
+		return this._primary === undefined || this._vacantSinceMs !== undefined || this.isPossiblyReplaced || this.isFailing
 			|| this.endpoints().some(({id}) => (this._reports.status(id)?.status.fencedForTerm ?? 0) > 0);
 	}
 
@@ -179,7 +179,7 @@
 	}
 
 	/** Whether any endpoint has said who it is: before that, nothing speaks against a primary. */
-	get isExplored(): boolean {
+	get hasEndpointReport(): boolean {
 		return this._isExplored;
 	}
 
@@ -242,14 +242,14 @@
 
 	/** Asks the store at once whether the primary is being replaced. */
 	checkReplacement(): void {
-		this._checks.look();
+		this._checks.checkNow();
 	}
 
 	/** Writes again what the store has lost of the group's promotions by coming back from an older copy. */
-	async putBack(): Promise<void> {
-		if (this.mayAsk && this._primary) {
+	async rewriteLostDuty(): Promise<void> {
+		if (this.mayPollEndpoints && this._primary) {
 			const {term: primaryTerm} = this._primary;
-			await this._services.duties.putBack(this.service, {primaryTerm, begunTerm: this._lease.begunTerm});
+			await this._services.duties.rewriteLostRecord(this.service, {primaryTerm, begunTerm: this._lease.begunTerm});
 		}
 	}
 
@@ -264,8 +264,8 @@
 	}
 
 	/** Asks one endpoint for its state and takes the answer in. */
-	async ask(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
-		return this._inquiry.ask(endpoint);
+	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
+		return this._inquiry.refreshStatus(endpoint);
 	}
 
 	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
@@ -307,7 +307,7 @@
 	/** Takes in that an endpoint started again, or came back: it may have missed a fence. */
 	noteReturn(endpointId: string): void {
 		this._reports.forget(endpointId);
-		void this._returned.clear(endpointId);
+		void this._returned.clearWhenSafe(endpointId);
 		if (this._primary?.endpointId === endpointId) {
 			// Whether it still leads its term with all of its log, its answer says.
 			this._isDoubted = true;
@@ -395,7 +395,7 @@
 			this._grant({term: overview.term, provedAtMs: sentAtMs - overview.provedAgoMs, origin: {kind: 'peer', name: peer}});
 		}
 
-		if (!this.mayAsk) {
+		if (!this.mayPollEndpoints) {
 			this._noteHearsay(overview, sentAtMs);
 		}
 
@@ -411,14 +411,14 @@
 	 * Proofs of a term count no more: a promotion is on its way. Or it is said to have been given
 	 * up: a notice that arrives late must not undo a later one, so the store is asked.
 	 */
-	fence(term: number, isFenced: boolean, {holder, epoch}: PromoterName): void {
+	fence(term: number, isFenced: boolean, {holder, epoch}: PromoterId): void {
 		this._services.log.event('termFenced', {
 			group: this.service, term, isFenced, holder, epoch,
 		});
 		if (isFenced) {
-			this._lease.bar(term);
+			this._lease.invalidate(term);
 		} else {
-			this._checks.look();
+			this._checks.checkNow();
 		}
 
 		this.wake();
@@ -432,9 +432,9 @@
 	noteUnproved(): void {
 		const {clock, options} = this._services;
 		const nowMs = clock.nowMs();
-		const isDue = nowMs - Math.max(this._lease.provedAtMs, this._checks.lookedAtMs) >= options.leaseMs / 2;
+		const isDue = nowMs - Math.max(this._lease.provedAtMs, this._checks.lastCheckAtMs) >= options.leaseMs / 2;
 		if (this._primary && !this._health.isFailing && isDue) {
-			this._checks.need();
+			this._checks.checkUnlessRunning();
 		}
 	}
 
@@ -526,7 +526,7 @@
 
 	/** Whether a replacement that somebody began may be brought to its end by this node. */
 	private get _isReplacementFree(): boolean {
-		return this._isBeingReplaced && this._replacement?.isFree === true;
+		return this._isBeingReplaced && this._replacement?.mayTakeOver === true;
 	}
 
 	/** Versions only go up: what a peer says of an earlier one is no news. */
@@ -561,7 +561,7 @@
 			this._health.onHeardBy(sentAtMs - heardAgoMs);
 		}
 
-		if (provedAgoMs !== undefined && this._lease.covers(this._primary?.term, sentAtMs)) {
+		if (provedAgoMs !== undefined && this._lease.isValidAt(this._primary?.term, sentAtMs)) {
 			this._isDoubted = false;
 		}
 	}
@@ -611,7 +611,7 @@
 			return;
 		}
 
-		void this._returned.clear(endpointId);
+		void this._returned.clearWhenSafe(endpointId);
 	}
 
 	private _grant(proof: LeaseProof): void {
@@ -647,7 +647,7 @@
 			this._waitingProof = proof;
 		}
 
-		this._checks.need();
+		this._checks.checkUnlessRunning();
 	}
 
 	private _logLeaseStart(proof: LeaseProof): void {
@@ -691,9 +691,9 @@
 			group: this.service, primary: primary.endpointId, term: primary.term, before: before?.endpointId, from,
 		});
 		metrics.gauge('groupTerm', primary.term, {group: this.service});
-		if (this.mayAsk) {
+		if (this.mayPollEndpoints) {
 			// Beside the first questions to replicas, whose word needs it.
-			this._checks.look();
+			this._checks.checkNow();
 		}
 
 		this.wake();
@@ -701,7 +701,7 @@
 
 	/** Times measured before the machine was suspended say nothing afterwards. */
 	private _forgetAfterSuspension(): boolean {
-		if (!this._suspension.hasHappened()) {
+		if (!this._suspension.checkForSuspension()) {
 			return false;
 		}
 
@@ -713,6 +713,6 @@
 	}
 
 	private _wasLeasedAt(sentAtMs: number): boolean {
-		return this._lease.covers(this._primary?.term, sentAtMs);
+		return this._lease.isValidAt(this._primary?.term, sentAtMs);
 	}
 }
--- a/src/common/primacy/group-primacies.ts
+++ b/src/common/primacy/primary-trackers.ts
@@ -8,21 +8,21 @@
 import type {GroupOverview} from '../services/services.js';
 import {DutyChanges} from './duty-changes.js';
 import {Failover} from './failover.js';
-import {GroupPrimacy} from './group-primacy.js';
+import {PrimaryTracker} from './primary-tracker.js';
 import {PromotionDuties} from './promotion-duty.js';
 import type {GroupServices, Primary, PrimacyServices} from './types.js';
 
-type FollowedGroup = {
-	readonly primacy: GroupPrimacy;
+type TrackedGroup = {
+	readonly primacy: PrimaryTracker;
 	readonly failover: Failover;
 };
 
 /** Keeps what is followed in step with routes and registrations. */
-export class GroupPrimacies implements Disposable {
+export class PrimaryTrackers implements Disposable {
 	private readonly _services: GroupServices;
-	private readonly _groups = new Map<string, FollowedGroup>();
+	private readonly _groups = new Map<string, TrackedGroup>();
 	private readonly _changes: DutyChanges;
-	private readonly _onPrimaryFault = new Emitter<GroupPrimacy>();
+	private readonly _onPrimaryFault = new Emitter<PrimaryTracker>();
 	private readonly _watch: Disposable;
 	private readonly _returns: Disposable;
 	private readonly _restores: Disposable;
@@ -35,7 +35,7 @@
 		this._sleep = new WakeableSleep(services.clock);
 		this._changes = new DutyChanges(services.store);
 		this._watch = services.registry.onChange(service => {
-			services.pools.retain(service, services.registry.ofService(service));
+			services.pools.disposeUnregistered(service, services.registry.ofService(service));
 			this._groups.get(service)?.primacy.wake();
 		});
 		this._returns = services.registry.onReturn(({id, service}) => {
@@ -47,7 +47,7 @@
 	}
 
 	/** Fires with a group whose primary could not be reached or did not answer. */
-	get onPrimaryFault(): Event<GroupPrimacy> {
+	get onPrimaryFault(): Event<PrimaryTracker> {
 		return this._onPrimaryFault.event;
 	}
 
@@ -69,23 +69,23 @@
 	}
 
 	/** The group of a service; followed from now on. */
-	group(service: string): GroupPrimacy {
+	group(service: string): PrimaryTracker {
 		return this._followed(service).primacy;
 	}
 
 	/** The group of a service if it is followed. */
-	existing(service: string): GroupPrimacy | undefined {
+	existing(service: string): PrimaryTracker | undefined {
 		return this._groups.get(service)?.primacy;
 	}
 
 	/** Time for which all groups have been out of this node's reach; zero where none is known. */
-	get outOfReachForMs(): number {
-		const times = [...this._groups.values()].map(({primacy}) => primacy.outOfReachForMs);
+	get unreachableForMs(): number {
+		const times = [...this._groups.values()].map(({primacy}) => primacy.unreachableForMs);
 		return times.length === 0 ? 0 : Math.min(...times);
 	}
 
 	/** Whether attempts to reach a primary failed, and every other group has not been proved for as long as a lease lasts. */
-	get hasFailures(): boolean {
+	get hasUnreachablePrimary(): boolean {
 		const groups = [...this._groups.values()].map(({primacy}) => primacy);
 		return groups.some(({isFailing}) => isFailing) && groups.every(({isFailing, isLeased}) => isFailing || !isLeased);
 	}
@@ -104,14 +104,14 @@
 	 */
 	async checkReplacements(): Promise<void> {
 		const {sharing} = this._services;
-		if (sharing.isExclusive) {
+		if (sharing.isCoordinatorOnly) {
 			// What the asking node was told spares a read of each group's row.
 			await sharing.refresh();
 		}
 
 		for (const {primacy} of this._groups.values()) {
 			// A node that may not ask learns the primary with what the store said, and then asks for changes.
-			if (primacy.mayAsk || primacy.primary) {
+			if (primacy.mayPollEndpoints || primacy.primary) {
 				primacy.checkReplacement();
 			}
 		}
@@ -150,17 +150,17 @@
 		this._isPuttingBack = true;
 		const {restores} = this._services;
 		while (!this._isDisposed && !restores.isSettled) {
-			await Promise.all([...this._groups.values()].map(async ({primacy}) => primacy.putBack()));
+			await Promise.all([...this._groups.values()].map(async ({primacy}) => primacy.rewriteLostDuty()));
 			await this._sleep.wait(restores.options.putBackEveryMs);
 		}
 
 		this._isPuttingBack = false;
 	}
 
-	private _followed(service: string): FollowedGroup {
+	private _followed(service: string): TrackedGroup {
 		let followed = this._groups.get(service);
 		if (!followed) {
-			const primacy = new GroupPrimacy(service, this._services, this._changes);
+			const primacy = new PrimaryTracker(service, this._services, this._changes);
 			const failover = new Failover(primacy, this._services);
 			followed = {primacy, failover};
 			this._groups.set(service, followed);
--- a/src/common/primacy/promoter.ts
+++ b/src/common/primacy/promoter.ts
@@ -14,17 +14,17 @@
 import type {LogPosition} from '../positions/log-position.js';
 import {comparePositions} from '../positions/log-position.js';
 import type {EndpointStatus, RegisteredEndpoint} from '../services/services.js';
-import {untoldWaitMs} from './constants.js';
-import type {GroupPrimacy} from './group-primacy.js';
+import {leaseExpiryWaitMs} from './constants.js';
+import type {PrimaryTracker} from './primary-tracker.js';
 import type {HeldDuty} from './promotion-duty.js';
 import {SuspensionWatch} from './suspension-watch.js';
-import type {GroupServices, LossReason, PromoterName} from './types.js';
+import type {GroupServices, PromotionReason, PromoterId} from './types.js';
 
 /** How a promotion ended. */
 export type PromotionOutcome = 'done' | 'notNeeded' | 'noDuty' | 'noReplica' | 'notFenced' | 'dutyLost' | 'refused' | 'noEffect';
 
 /** Losses that end when the primary answers. */
-const unheard: ReadonlySet<LossReason> = new Set(['silent', 'crashed']);
+const unheard: ReadonlySet<PromotionReason> = new Set(['silent', 'crashed']);
 
 /** Outcomes after which an order may still be carried out, or another node may be at work: nothing is taken back. */
 const unresolved: ReadonlySet<PromotionOutcome> = new Set(['dutyLost', 'noEffect']);
@@ -37,7 +37,7 @@
 /** What a promotion has come to before it is ordered. */
 type FencedGroup = {
 	readonly duty: HeldDuty;
-	readonly reason: LossReason;
+	readonly reason: PromotionReason;
 	readonly fenced: readonly FencedReplica[];
 	readonly fencedAtMs: number;
 };
@@ -45,15 +45,15 @@
 /** Carries out promotions of one group. */
 export class Promoter {
 	private readonly _services: GroupServices;
-	private readonly _group: GroupPrimacy;
+	private readonly _group: PrimaryTracker;
 
-	constructor(group: GroupPrimacy, services: GroupServices) {
+	constructor(group: PrimaryTracker, services: GroupServices) {
 		this._services = services;
 		this._group = group;
 	}
 
 	/** Promotes the best replica if the reason still stands. */
-	async promote(reason: LossReason): Promise<PromotionOutcome> {
+	async promote(reason: PromotionReason): Promise<PromotionOutcome> {
 		const {clock, log, metrics, audit} = this._services;
 		const {service, primary} = this._group;
 		const term = Math.max(this._group.primary?.term ?? 0, this._highestTerm());
@@ -72,13 +72,13 @@
 		return outcome;
 	}
 
-	private async _promote(reason: LossReason, knownTerm: number): Promise<PromotionOutcome> {
+	private async _promote(reason: PromotionReason, knownTerm: number): Promise<PromotionOutcome> {
 		const {service} = this._group;
 		if (reason !== 'abandoned' && !await this._areReplicasInReach()) {
 			return 'notFenced';
 		}
 
-		const taken = await this._services.duties.take(service, knownTerm);
+		const taken = await this._services.duties.acquire(service, knownTerm);
 		if (taken.isLeft()) {
 			this._services.log.event('promotionDutyMissed', {group: service, ...taken.extract()});
 			return 'noDuty';
@@ -117,7 +117,7 @@
 			return duty;
 		}
 
-		const taken = await this._services.duties.take(this._group.service, duty.term + 1);
+		const taken = await this._services.duties.acquire(this._group.service, duty.term + 1);
 		return taken.orDefault(duty);
 	}
 
@@ -141,7 +141,7 @@
 
 		if (await peers.fence(service, term, this._promoterName(duty)) === 'partly') {
 			// No replica has granted a lease since it was fenced, so that time counts from then.
-			await pauseFor(clock, Math.max(0, fencedAtMs + untoldWaitMs(options) - clock.nowMs()));
+			await pauseFor(clock, Math.max(0, fencedAtMs + leaseExpiryWaitMs(options) - clock.nowMs()));
 		}
 
 		const [isFenceLost, areAllFenced] = await Promise.all([
@@ -170,8 +170,8 @@
 			return 'dutyLost';
 		}
 
-		this._group.noteReplacement({begunTerm: duty.term, orderedTerm: duty.term, isFree: true}, startedAtMs);
-		if (suspension.hasHappened() || clock.nowMs() - startedAtMs > options.orderFreshMs) {
+		this._group.noteReplacement({begunTerm: duty.term, orderedTerm: duty.term, mayTakeOver: true}, startedAtMs);
+		if (suspension.checkForSuspension() || clock.nowMs() - startedAtMs > options.orderFreshMs) {
 			// Another node may hold the duty by now; the record has it order the same endpoint.
 			return 'dutyLost';
 		}
@@ -208,7 +208,7 @@
 	private async _giveUp(duty: HeldDuty, fenced: readonly FencedReplica[], outcome: PromotionOutcome, refusedBefore?: HeldDuty): Promise<void> {
 		const {service} = this._group;
 		const promoter = this._promoterName(duty);
-		await this._services.duties.giveUp(service, duty, refusedBefore);
+		await this._services.duties.cancelReplacement(service, duty, refusedBefore);
 		await this._removeFences(fenced, duty, outcome);
 		this._group.fence(duty.term, false, promoter);
 		await this._services.peers.removeFence(service, duty.term, promoter);
@@ -219,7 +219,7 @@
 		const {clock, options, peers} = this._services;
 		const endMs = clock.nowMs() + options.promotionTimeoutMs;
 		while (clock.nowMs() < endMs) {
-			await this._group.ask(endpoint);
+			await this._group.refreshStatus(endpoint);
 			const {primary} = this._group;
 			if (primary && primary.term > duty.term) {
 				peers.announce(this._group.service, primary);
@@ -254,7 +254,7 @@
 		const {clock, options} = this._services;
 		const endMs = clock.nowMs() + options.handOverMs;
 		while (clock.nowMs() < endMs) {
-			const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.ask(endpoint)));
+			const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.refreshStatus(endpoint)));
 			if (reports.some(report => report && comparePositions(report.status.received, last) >= 0)) {
 				return;
 			}
@@ -265,12 +265,12 @@
 
 	/** A fence that cannot be put everywhere would only keep replicas from receiving. */
 	private async _areReplicasInReach(): Promise<boolean> {
-		const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.ask(endpoint)));
+		const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.refreshStatus(endpoint)));
 		return reports.every(report => report !== undefined);
 	}
 
 	/** Stops replicas from receiving and from proving the old term. */
-	private async _fence(term: number, {epoch, why}: {readonly epoch: number; readonly why: LossReason}): Promise<FencedReplica[]> {
+	private async _fence(term: number, {epoch, why}: {readonly epoch: number; readonly why: PromotionReason}): Promise<FencedReplica[]> {
 		const {pools, options, log} = this._services;
 		const {service, primary} = this._group;
 		const lapsed = this._services.registry.lapsed(service).filter(({id}) => id !== primary?.endpointId);
@@ -308,7 +308,7 @@
 	/** A replica that started again meanwhile has forgotten its fence, and may prove the old term; so may one that does not say. */
 	private async _isFenceLost(fenced: readonly FencedReplica[], term: number): Promise<boolean> {
 		// A second question where the first found no slot free.
-		const reports = await Promise.all(fenced.map(async ({endpoint}) => await this._group.ask(endpoint) ?? this._group.ask(endpoint)));
+		const reports = await Promise.all(fenced.map(async ({endpoint}) => await this._group.refreshStatus(endpoint) ?? this._group.refreshStatus(endpoint)));
 		return reports.some(report => report === undefined || (!report.status.isPrimary && report.status.term === term && report.status.fencedForTerm === 0));
 	}
 
@@ -326,12 +326,12 @@
 			}));
 	}
 
-	private _promoterName({epoch}: HeldDuty): PromoterName {
+	private _promoterName({epoch}: HeldDuty): PromoterId {
 		return {holder: this._services.node, epoch};
 	}
 
 	/** Whether a primary that was taken for lost has answered since: it needs not be replaced. */
-	private _isHeardAgain(reason: LossReason): boolean {
+	private _isHeardAgain(reason: PromotionReason): boolean {
 		const {isFailing} = this._group;
 		return unheard.has(reason) && !isFailing;
 	}
--- a/src/common/primacy/promotion-duty.ts
+++ b/src/common/primacy/promotion-duty.ts
@@ -19,7 +19,7 @@
 } from '../services/services.js';
 import {pauseFor} from '../lifecycle/timing.js';
 import {parseJsonWith} from '../configuration/problems.js';
-import type {Restores} from '../store/restore-watch.js';
+import type {RestoreStatus} from '../store/restore-watch.js';
 import {eraOf} from '../store/store-version.js';
 
 /** Table of the duties. */
@@ -67,7 +67,7 @@
 	readonly version: number;
 	readonly storeNowMs: number;
 	/** When the store answered, on this node's clock. */
-	readonly takenAtMs: number;
+	readonly acquiredAtMs: number;
 };
 
 /** Why a duty was not taken. */
@@ -86,7 +86,7 @@
 	/** Highest term whose replacement was ordered. */
 	readonly orderedTerm: number;
 	/** Whether this node may take the duty: it holds it, or nobody has used it for a while. */
-	readonly isFree: boolean;
+	readonly mayTakeOver: boolean;
 	/** The store's version at its answer, where this is one. */
 	readonly storeVersion?: number;
 };
@@ -96,7 +96,7 @@
 	readonly random: Random;
 	readonly log: Log;
 	readonly store: RowStore;
-	readonly restores: Restores;
+	readonly restores: RestoreStatus;
 	readonly node: string;
 };
 
@@ -135,7 +135,7 @@
 	}
 
 	/** Takes the duty for replacing the primary of a term, unless another node used it a moment ago. */
-	async take(service: string, term: number): Promise<Either<DutyRefusal, HeldDuty>> {
+	async acquire(service: string, term: number): Promise<Either<DutyRefusal, HeldDuty>> {
 		const {node, random} = this._services;
 		const read = await this._read(service);
 		if (read.isLeft()) {
@@ -167,7 +167,7 @@
 	 * still was this node's, which the write's condition proves.
 	 */
 	async recordOrder(service: string, duty: HeldDuty, endpointId: string): Promise<Either<DutyRefusal, HeldDuty>> {
-		const storeNowMs = duty.storeNowMs + (this._services.clock.nowMs() - duty.takenAtMs);
+		const storeNowMs = duty.storeNowMs + (this._services.clock.nowMs() - duty.acquiredAtMs);
 		const record: DutyRecord = {
 			...duty.record, usedAtMs: storeNowMs, orderedTerm: duty.term, orderedId: endpointId,
 		};
@@ -191,7 +191,7 @@
 			return Right({
 				begunTerm: begunTermOf(record),
 				orderedTerm: record?.orderedTerm ?? 0,
-				isFree: this._waitMs(record, storeNowMs) <= 0,
+				mayTakeOver: this._waitMs(record, storeNowMs) <= 0,
 				storeVersion,
 			});
 		});
@@ -201,7 +201,7 @@
 	 * Takes back that a term is being replaced: nothing was ordered, or `refusedBefore` says what
 	 * had been ordered before an order that was refused. The duty stays this node's.
 	 */
-	async giveUp(service: string, duty: HeldDuty, refusedBefore?: HeldDuty): Promise<void> {
+	async cancelReplacement(service: string, duty: HeldDuty, refusedBefore?: HeldDuty): Promise<void> {
 		const {orderedTerm, orderedId} = refusedBefore?.record ?? duty.record;
 		const record: DutyRecord = {
 			...duty.record, term: 0, orderedTerm, orderedId,
@@ -221,7 +221,7 @@
 	}
 
 	/** Writes what this node knows of a group's promotions where the store has lost it. */
-	async putBack(service: string, known: KnownTerms): Promise<void> {
+	async rewriteLostRecord(service: string, known: KnownTerms): Promise<void> {
 		const {log} = this._services;
 		const seen = this._seen.get(service);
 		const read = await this._read(service);
@@ -252,7 +252,7 @@
 	private _held(record: DutyRecord, version: number, storeNowMs: number): HeldDuty {
 		const {epoch, term, orderedTerm, orderedId} = record;
 		return {
-			epoch, term, record, version, storeNowMs, orderedId: orderedTerm >= term ? orderedId : undefined, takenAtMs: this._services.clock.nowMs(),
+			epoch, term, record, version, storeNowMs, orderedId: orderedTerm >= term ? orderedId : undefined, acquiredAtMs: this._services.clock.nowMs(),
 		};
 	}
 
--- a/src/common/primacy/replacement-checks.ts
+++ b/src/common/primacy/replacement-checks.ts
@@ -42,12 +42,12 @@
 	}
 
 	/** When the last look began. */
-	get lookedAtMs(): number {
+	get lastCheckAtMs(): number {
 		return this._lookedAtMs;
 	}
 
 	/** Looks now, and again until no proof waits. Without a registration no look would count. */
-	look(): void {
+	checkNow(): void {
 		this._isAsked = true;
 		if (this._isRunning) {
 			this._sleep.wake();
@@ -57,9 +57,9 @@
 	}
 
 	/** Looks now, unless a look is under way or waits for its time. */
-	need(): void {
+	checkUnlessRunning(): void {
 		if (!this._isRunning) {
-			this.look();
+			this.checkNow();
 		}
 	}
 
@@ -104,7 +104,7 @@
 	/** Whether the store says that what is known of this group holds; asked so where many nodes look at one time. */
 	private async _isUnchanged(checkedAtMs: number): Promise<boolean> {
 		const known = this._group.knownReplacement;
-		if (!known || !this._services.sharing.isExclusive) {
+		if (!known || !this._services.sharing.isCoordinatorOnly) {
 			return false;
 		}
 
--- a/src/common/primacy/returned-replicas.ts
+++ b/src/common/primacy/returned-replicas.ts
@@ -13,7 +13,7 @@
 type ReturningGroup = {
 	readonly service: string;
 	readonly primary: Primary | undefined;
-	readonly mayAsk: boolean;
+	readonly mayPollEndpoints: boolean;
 	/** Looks at the group at once. */
 	wake(): void;
 };
@@ -32,13 +32,13 @@
 	}
 
 	/** Looks until the replica's word counts again, or it has returned once more. */
-	async clear(endpointId: string): Promise<void> {
+	async clearWhenSafe(endpointId: string): Promise<void> {
 		const {clock, options} = this._services;
-		const returns = this._reports.returns(endpointId);
+		const returns = this._reports.returnCount(endpointId);
 		let lookMs = options.returnLookMs;
 		while (this._isAwaited(endpointId, returns)) {
-			if (this._group.mayAsk && await this._isUnchallenged()) {
-				this._reports.clear(endpointId, returns);
+			if (this._group.mayPollEndpoints && await this._isUnchallenged()) {
+				this._reports.clearMissedFence(endpointId, returns);
 				this._group.wake();
 				return;
 			}
@@ -53,7 +53,7 @@
 	}
 
 	private _isAwaited(endpointId: string, returns: number): boolean {
-		return !this._isDisposed && this._reports.returns(endpointId) === returns && this._services.registry.endpoint(endpointId) !== undefined;
+		return !this._isDisposed && this._reports.returnCount(endpointId) === returns && this._services.registry.endpoint(endpointId) !== undefined;
 	}
 
 	/** Whether nobody has begun to replace the primary of the term that this node knows. */
--- a/src/common/primacy/suspension-watch.ts
+++ b/src/common/primacy/suspension-watch.ts
@@ -18,7 +18,7 @@
 	}
 
 	/** Whether the clocks moved apart since the last look. */
-	hasHappened(): boolean {
+	checkForSuspension(): boolean {
 		const offsetMs = this._currentOffsetMs();
 		const isApart = Math.abs(offsetMs - this._offsetMs) > this._boundMs;
 		// Slow drift is followed, so that it never adds up to a jump.
--- a/src/common/primacy/term-lease.test.ts
+++ b/src/common/primacy/term-lease.test.ts
@@ -23,9 +23,9 @@
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 100);
 		grant(1, 50);
-		expect([999, 1000].map(atMs => lease.covers(1, atMs))).toEqual([true, false]);
-		expect(lease.covers(2, 200)).toEqual(false);
-		expect(lease.covers(undefined, 200)).toEqual(false);
+		expect([999, 1000].map(atMs => lease.isValidAt(1, atMs))).toEqual([true, false]);
+		expect(lease.isValidAt(2, 200)).toEqual(false);
+		expect(lease.isValidAt(undefined, 200)).toEqual(false);
 	});
 
 	it('takes no proof before the store has said that nobody replaces the term', () => {
@@ -53,8 +53,8 @@
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 0);
 		await clock.advance(10);
-		lease.bar(1);
-		expect(lease.covers(1, 0)).toEqual(false);
+		lease.invalidate(1);
+		expect(lease.isValidAt(1, 0)).toEqual(false);
 		expect(lease.provedAgoMs(1)).toEqual(undefined);
 		expect((['endpoint', 'peer', 'store'] as const).map(kind => grant(1, 10, kind))).toEqual([false, false, false]);
 		await clock.advance(100_000);
@@ -64,7 +64,7 @@
 		expect(grant(1, 100_010)).toEqual(false);
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 100_005});
 		expect(grant(1, 100_010)).toEqual(true);
-		lease.bar(1);
+		lease.invalidate(1);
 		lease.noteCheck({begunTerm: 0, checkedAtMs: clock.nowMs()});
 		expect(grant(1, clock.nowMs())).toEqual(false);
 	});
@@ -73,7 +73,7 @@
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 10);
 		lease.noteCheck({begunTerm: 1, checkedAtMs: 20});
-		expect(lease.covers(1, 20)).toEqual(false);
+		expect(lease.isValidAt(1, 20)).toEqual(false);
 		// An older word that arrives late changes nothing.
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 15});
 		expect(grant(1, 30)).toEqual(false);
--- a/src/common/primacy/term-lease.ts
+++ b/src/common/primacy/term-lease.ts
@@ -73,7 +73,7 @@
 	}
 
 	/** Whether the term is proved to stand at a time. */
-	covers(term: number | undefined, atMs: number): boolean {
+	isValidAt(term: number | undefined, atMs: number): boolean {
 		return this._term === term && atMs < this._provedAtMs + this._times.leaseMs;
 	}
 
@@ -93,7 +93,7 @@
 	}
 
 	/** Voids proofs of a term; those to come count only after the store has said that nobody replaces it. */
-	bar(term: number): void {
+	invalidate(term: number): void {
 		this._barredTerm = Math.max(this._barredTerm, term);
 		this._barredAtMs = this._clock.nowMs();
 		if (this._term <= term) {
--- a/src/common/primacy/types.ts
+++ b/src/common/primacy/types.ts
@@ -8,7 +8,7 @@
 import type {
 	Audit, Clock, Log, Metrics, PeerNode, PromotionCalls, Random, RegisteredEndpoint, RowStore,
 } from '../services/services.js';
-import type {Restores} from '../store/restore-watch.js';
+import type {RestoreStatus} from '../store/restore-watch.js';
 import type {PrimacyOptions} from './constants.js';
 import type {PromotionDuties} from './promotion-duty.js';
 
@@ -25,7 +25,7 @@
 };
 
 /** Why a group needs another primary. */
-export type LossReason = 'crashed' | 'silent' | 'vacant' | 'draining' | 'emptied'
+export type PromotionReason = 'crashed' | 'silent' | 'vacant' | 'draining' | 'emptied'
 	/** Its replacement was ordered, and nobody has seen the effect. */
 	| 'ordered'
 	/** Its replacement was begun by a node that neither went on nor gave up. */
@@ -47,7 +47,7 @@
 export type FenceOutcome = 'everywhere' | 'partly';
 
 /** Who promotes, as fences and logs name it: the node and its epoch of the duty. */
-export type PromoterName = {
+export type PromoterId = {
 	/** Empty where an older node did not say it. */
 	readonly holder: string;
 	/** Zero where an older node did not say it. */
@@ -66,23 +66,23 @@
 	opinions(service: string, primary: Primary): Promise<Opinions>;
 	announce(service: string, primary: Primary): void;
 	/** Tells all nodes that proofs of a term count no more. */
-	fence(service: string, term: number, promoter: PromoterName): Promise<FenceOutcome>;
+	fence(service: string, term: number, promoter: PromoterId): Promise<FenceOutcome>;
 	/** Takes that back, where the term goes on. */
-	removeFence(service: string, term: number, promoter: PromoterName): Promise<void>;
+	removeFence(service: string, term: number, promoter: PromoterId): Promise<void>;
 };
 
 /** How a node learns about groups from the node that asks endpoints for all. */
 export type ProofSource = {
 	/** Whether this node asks for all; the others ask it. */
-	readonly isAsker: boolean;
+	readonly isCoordinator: boolean;
 	/** Whether nobody else may ask: there are too many nodes for each to connect to every endpoint. */
-	readonly isExclusive: boolean;
+	readonly isCoordinatorOnly: boolean;
 	/** Asks the asking node now, if that is another one. */
 	refresh(): Promise<void>;
 };
 
 /** Asks endpoints over the nodes that connect to them. */
-export type StatusWays = {
+export type StatusSource = {
 	status(endpoint: RegisteredEndpoint, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>>;
 };
 
@@ -96,12 +96,12 @@
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
 	readonly store: RowStore;
-	readonly restores: Restores;
+	readonly restores: RestoreStatus;
 	readonly promotions: PromotionCalls;
 	readonly peers: PrimacyPeers;
 	readonly sharing: ProofSource;
 	/** The way of questions to endpoints where this node must not connect to them itself. */
-	readonly ways: StatusWays;
+	readonly endpointPools: StatusSource;
 	readonly options: PrimacyOptions;
 	/** Name of this node, as a holder of duties. */
 	readonly node: string;
--- a/src/common/primacy/write-receipts.ts
+++ b/src/common/primacy/write-receipts.ts
@@ -15,7 +15,7 @@
 	/** Term that counts; undefined without a primary. */
 	term(): number | undefined;
 	/** Asks the nearest replica; takes a millisecond at least. */
-	askNearest(): Promise<unknown>;
+	pollNearest(): Promise<unknown>;
 };
 
 type ReceiptOptions = Pick<PrimacyOptions, 'confirmationWaitMs' | 'confirmationPauseMs'>;
@@ -42,7 +42,7 @@
 
 		const endMs = this._clock.nowMs() + this._options.confirmationWaitMs;
 		while (!this._isReceived(position) && this._clock.nowMs() < endMs) {
-			this._question ??= this._replicas.askNearest().finally(() => {
+			this._question ??= this._replicas.pollNearest().finally(() => {
 				this._question = undefined;
 			});
 			await withTimeout(this._clock, this._question, endMs - this._clock.nowMs());
--- a/src/common/routing/caller-limits.ts
+++ b/src/common/routing/caller-limiter.ts
@@ -3,7 +3,7 @@
  */
 
 /** Counts statements in progress by caller. */
-export class CallerLimits {
+export class CallerLimiter {
 	private readonly _inProgress = new Map<string, number>();
 
 	/** Takes a place for a statement; false when the caller has as many as it may. */
--- a/src/common/routing/group-views.ts
+++ b/src/common/routing/group-view-cache.ts
@@ -12,7 +12,7 @@
 import type {Clock, GroupView, PrimaryAnnouncement} from '../services/services.js';
 
 /** What is believed about one endpoint. */
-export type EndpointBelief = {
+export type CachedEndpointView = {
 	/** Position its reads were last known to include. */
 	applied: LogPosition;
 	/** Until when it is passed over, on the node's clock. */
@@ -24,22 +24,22 @@
 };
 
 /** What is believed about one group. */
-export type GroupBelief = {
+export type CachedGroupView = {
 	term: number;
 	/** Name of the primary; empty when none is known. */
 	primary: string;
 	/** Term whose primary turned out not to serve, and until when that is remembered. */
 	rejectedTerm: number;
 	rejectedUntilMs: number;
-	readonly endpoints: Map<string, EndpointBelief>;
+	readonly endpoints: Map<string, CachedEndpointView>;
 };
 
 /** Beliefs about groups, kept for those in use. */
-export class GroupViews {
+export class GroupViewCache {
 	/** Fires with the group's name when its believed primary changes. */
 	readonly onPrimary: Event<string>;
 
-	private readonly _groups = new Map<string, GroupBelief>();
+	private readonly _groups = new Map<string, CachedGroupView>();
 	private readonly _onPrimary = new Emitter<string>();
 	private readonly _clock: Clock;
 
@@ -49,7 +49,7 @@
 	}
 
 	/** The belief about a group; an empty one when nothing is known yet. */
-	group(name: string): GroupBelief {
+	group(name: string): CachedGroupView {
 		let belief = this._groups.get(name);
 		if (!belief) {
 			belief = {
@@ -66,7 +66,7 @@
 	}
 
 	/** The belief about an endpoint. */
-	endpoint(group: string, name: string): EndpointBelief {
+	endpoint(group: string, name: string): CachedEndpointView {
 		const {endpoints} = this.group(group);
 		let belief = endpoints.get(name);
 		if (!belief) {
--- a/src/common/routing/primary-finder.ts
+++ b/src/common/routing/primary-finder.ts
@@ -8,7 +8,7 @@
 } from '../services/services.js';
 import {pauseFor} from '../lifecycle/timing.js';
 import type {RoutingOptions} from './constants.js';
-import type {GroupViews} from './group-views.js';
+import type {GroupViewCache} from './group-view-cache.js';
 
 /** What the finder works with. */
 export type PrimaryFinderServices = {
@@ -17,7 +17,7 @@
 	readonly membership: Membership;
 	readonly peers: Peers;
 	readonly groups: Groups;
-	readonly views: GroupViews;
+	readonly views: GroupViewCache;
 	readonly options: RoutingOptions;
 };
 
@@ -33,7 +33,7 @@
 	}
 
 	/** Whether another request may wait. */
-	get hasRoom(): boolean {
+	get hasWaiterCapacity(): boolean {
 		return this._waiterCount < this._services.options.maximumPrimaryWaiters;
 	}
 
--- a/src/common/routing/read-choice.ts
+++ b/src/common/routing/replica-ranking.ts
@@ -7,7 +7,7 @@
 import {hasReached} from '../positions/log-position.js';
 import type {LogPosition} from '../positions/log-position.js';
 import type {Configuration, EndpointDefinition, Random} from '../services/services.js';
-import type {GroupViews} from './group-views.js';
+import type {GroupViewCache} from './group-view-cache.js';
 
 /** Why a replica was chosen; a label of the routing metric. */
 export type ReplicaReason = 'replica' | 'replicaMayCatchUp';
@@ -16,7 +16,7 @@
 export type PrimaryReason = 'primary' | 'primaryByRule' | 'primaryNoReplica' | 'primaryBehind';
 
 /** What a read asks of its endpoint. */
-export type ReadDemand = {
+export type ReadRequirements = {
 	readonly group: string;
 	readonly availabilityZone: string;
 	readonly minimumPosition: LogPosition;
@@ -26,12 +26,12 @@
 };
 
 /** A chosen endpoint and the reason. */
-export type ReadChoice = {
+export type RankedReplica = {
 	readonly endpoint: EndpointDefinition;
 	readonly reason: ReplicaReason;
 };
 
-type Candidate = {
+type ReplicaCandidate = {
 	readonly endpoint: EndpointDefinition;
 	readonly hasPosition: boolean;
 	readonly isLocal: boolean;
@@ -43,13 +43,13 @@
 
 /** The replicas that may take a read, best first. */
 export function rankReplicas(
-	services: {readonly configuration: Configuration; readonly views: GroupViews; readonly random: Random},
-	demand: ReadDemand,
-): ReadChoice[] {
+	services: {readonly configuration: Configuration; readonly views: GroupViewCache; readonly random: Random},
+	demand: ReadRequirements,
+): RankedReplica[] {
 	const {configuration, views, random} = services;
 	const endpoints = configuration.group(demand.group)?.endpoints ?? [];
 	const {primary} = views.group(demand.group);
-	const candidates: Candidate[] = [];
+	const candidates: ReplicaCandidate[] = [];
 	for (const endpoint of endpoints) {
 		if (endpoint.name === primary || demand.refusedBy.has(endpoint.name)) {
 			continue;
@@ -79,7 +79,7 @@
 	}));
 }
 
-function compareCandidates(a: Candidate, b: Candidate): number {
+function compareCandidates(a: ReplicaCandidate, b: ReplicaCandidate): number {
 	if (a.hasPosition !== b.hasPosition) {
 		return a.hasPosition ? -1 : 1;
 	}
--- a/src/common/routing/attempt.ts
+++ b/src/common/routing/request-progress.ts
@@ -6,7 +6,7 @@
 import type {
 	AnswerSink, CallerPolicy, EndpointDefinition, RequestCycle, RoutedSession,
 } from '../services/services.js';
-import type {PrimaryReason, ReplicaReason} from './read-choice.js';
+import type {PrimaryReason, ReplicaReason} from './replica-ranking.js';
 
 /** State of one request over all of its attempts. */
 export class RequestProgress implements AnswerSink {
--- a/src/common/routing/next-attempt.ts
+++ b/src/common/routing/retry-policy.ts
@@ -4,23 +4,23 @@
 import type {Refusal} from '../errors/error-kinds.js';
 import type {Clock} from '../services/services.js';
 import {pauseFor} from '../lifecycle/timing.js';
-import type {RequestProgress, Target} from './attempt.js';
+import type {RequestProgress, Target} from './request-progress.js';
 import type {RoutingOptions} from './constants.js';
-import type {GroupViews} from './group-views.js';
+import type {GroupViewCache} from './group-view-cache.js';
 import {nextStepByKind, type NextStep} from './refusal-steps.js';
 import type {RetryBudget} from './retry-budget.js';
 
 /** What the decision works with. */
-export type NextAttemptServices = {
+export type RetryPolicyServices = {
 	readonly clock: Clock;
-	readonly views: GroupViews;
+	readonly views: GroupViewCache;
 	readonly budget: RetryBudget;
 	readonly options: RoutingOptions;
 };
 
 /** Decides over further attempts. */
-export class NextAttempt {
-	private readonly _services: NextAttemptServices;
+export class RetryPolicy {
+	private readonly _services: RetryPolicyServices;
 
 	private readonly _nextSteps: Record<NextStep, (progress: RequestProgress, target: Target) => boolean | Promise<boolean>> = {
 		detour: async (progress, target) => this._findHome(progress, target),
@@ -30,12 +30,12 @@
 		retry: (progress, target) => this._spendRetry(progress, target),
 	};
 
-	constructor(services: NextAttemptServices) {
+	constructor(services: RetryPolicyServices) {
 		this._services = services;
 	}
 
 	/** Decides after a refusal whether the request goes on, and prepares the next attempt. */
-	async mayFollow(progress: RequestProgress, target: Target, refusal: Refusal): Promise<boolean> {
+	async prepareRetry(progress: RequestProgress, target: Target, refusal: Refusal): Promise<boolean> {
 		if (progress.hasPushed || progress.signal.aborted) {
 			return false;
 		}
--- a/src/common/routing/statement-router.ts
+++ b/src/common/routing/statement-router.ts
@@ -13,14 +13,14 @@
 	AnswerSink, Clock, Configuration, EndpointDefinition, Groups, HomeEnd, HomeExecutor, HomeRequest, Host,
 	Invariants, Membership, Metrics, Peers, Random, RequestCycle, RouteEnd, RoutedSession, Router,
 } from '../services/services.js';
-import type {Target} from './attempt.js';
-import {RequestProgress} from './attempt.js';
-import {CallerLimits} from './caller-limits.js';
+import type {Target} from './request-progress.js';
+import {RequestProgress} from './request-progress.js';
+import {CallerLimiter} from './caller-limiter.js';
 import type {RoutingOptions} from './constants.js';
-import {GroupViews} from './group-views.js';
-import {NextAttempt} from './next-attempt.js';
+import {GroupViewCache} from './group-view-cache.js';
+import {RetryPolicy} from './retry-policy.js';
 import {RetryBudget} from './retry-budget.js';
-import {TargetChoice} from './target-choice.js';
+import {TargetSelector} from './target-selector.js';
 
 /** What the router works with. */
 export type StatementRouterServices = {
@@ -40,23 +40,23 @@
 /** Routes the statements of this node's callers. */
 export class StatementRouter implements Router, Disposable {
 	/** What this node believes about groups; peers' announcements go here. */
-	readonly views: GroupViews;
+	readonly views: GroupViewCache;
 
 	private readonly _services: StatementRouterServices;
 	private readonly _owned = new DisposableStore();
 	private readonly _budget: RetryBudget;
-	private readonly _limits = new CallerLimits();
-	private readonly _choice: TargetChoice;
-	private readonly _next: NextAttempt;
+	private readonly _limits = new CallerLimiter();
+	private readonly _choice: TargetSelector;
+	private readonly _next: RetryPolicy;
 	/** Hosts that hold sessions' transactions; an endpoint's home may move while they go on. */
 	private readonly _holders = new WeakMap<RoutedSession, Host>();
 
 	constructor(services: StatementRouterServices) {
 		this._services = services;
-		this.views = new GroupViews(services.clock);
+		this.views = new GroupViewCache(services.clock);
 		this._budget = new RetryBudget(services.options.retryShare, services.options.retryBurst);
-		this._choice = this._owned.register(new TargetChoice({...services, views: this.views}));
-		this._next = new NextAttempt({...services, views: this.views, budget: this._budget});
+		this._choice = this._owned.register(new TargetSelector({...services, views: this.views}));
+		this._next = new RetryPolicy({...services, views: this.views, budget: this._budget});
 		this._owned.register(services.configuration.onChange(() => {
 			this.views.retain(new Set(services.configuration.groups().map(group => group.name)));
 		}));
@@ -112,7 +112,7 @@
 	/** Tries targets one after another until one answers or nothing is left to try. */
 	private async _tryUntilAnswered(progress: RequestProgress): Promise<Either<Refusal, RouteEnd>> {
 		for (;;) {
-			const target = await this._choice.choose(progress);
+			const target = await this._choice.select(progress);
 			if (!target) {
 				return this._refuse(progress, progress.lastRefusal ?? new Refusal('noPrimary'));
 			}
@@ -124,7 +124,7 @@
 
 			const refusal = result.extract();
 			progress.lastRefusal = refusal;
-			if (!await this._next.mayFollow(progress, target, refusal)) {
+			if (!await this._next.prepareRetry(progress, target, refusal)) {
 				return this._refuse(progress, refusal);
 			}
 		}
--- a/src/common/routing/target-choice.ts
+++ b/src/common/routing/target-selector.ts
@@ -5,25 +5,25 @@
 import {Refusal} from '../errors/error-kinds.js';
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {EndpointDefinition, Random} from '../services/services.js';
-import type {RequestProgress, Target} from './attempt.js';
+import type {RequestProgress, Target} from './request-progress.js';
 import {PrimaryFinder, type PrimaryFinderServices} from './primary-finder.js';
-import {rankReplicas, type PrimaryReason} from './read-choice.js';
+import {rankReplicas, type PrimaryReason} from './replica-ranking.js';
 
 /** What the choice works with. */
-export type TargetChoiceServices = PrimaryFinderServices & {readonly random: Random};
+export type TargetSelectorServices = PrimaryFinderServices & {readonly random: Random};
 
 /** Chooses targets by rules, beliefs and what the request has met so far. */
-export class TargetChoice implements Disposable {
-	private readonly _services: TargetChoiceServices;
+export class TargetSelector implements Disposable {
+	private readonly _services: TargetSelectorServices;
 	private readonly _finder: PrimaryFinder;
 
-	constructor(services: TargetChoiceServices) {
+	constructor(services: TargetSelectorServices) {
 		this._services = services;
 		this._finder = new PrimaryFinder(services);
 	}
 
 	/** The target of the next attempt; undefined when there is none in time. */
-	async choose(progress: RequestProgress): Promise<Target | undefined> {
+	async select(progress: RequestProgress): Promise<Target | undefined> {
 		if (progress.cycle.access === 'read') {
 			const target = this._chooseReadTarget(progress);
 			if (target) {
@@ -75,7 +75,7 @@
 
 	private async _awaitPrimary(progress: RequestProgress): Promise<boolean> {
 		const {clock, options} = this._services;
-		if (!this._finder.hasRoom) {
+		if (!this._finder.hasWaiterCapacity) {
 			progress.lastRefusal ??= new Refusal('noPrimary', 'too many requests wait for a primary');
 			return false;
 		}
--- a/src/common/services/direct-services.ts
+++ b/src/common/services/direct-services.ts
@@ -126,7 +126,7 @@
 		| {readonly kind: 'ready'; readonly status: TransactionStatus; readonly position: LogPosition | undefined};
 
 /** Statements that a node issues itself. */
-export type OwnStatement
+export type InternalStatement
 	= | {readonly kind: 'begin'; readonly isReadOnly: boolean; readonly floor?: LogPosition}
 		| {readonly kind: 'rollback' | 'discard' | 'status' | 'resume'}
 		| {readonly kind: 'pause' | 'stepDown'; readonly term: number}
@@ -145,13 +145,13 @@
 	encodeStatement(id: string, text: string, floor?: LogPosition): string;
 	/** A caller's call of a prepared statement, under the name that the connection knows it by. */
 	encodeExecute(id: string, name: string, parameters: string, floor?: LogPosition): string;
-	encodeOwn(statement: OwnStatement): string;
+	encodeInternal(statement: InternalStatement): string;
 	encodeReady(status: TransactionStatus, position?: LogPosition): string;
 	/** Answer to a statement that the node carried out itself. */
 	encodeCompletion(): string;
 	encodeRefusal(refusal: Refusal): string;
 	/** Kinds whose answers promise that nothing of the request is kept. */
-	isPromise(kind: ErrorKind): boolean;
+	guaranteesNoEffect(kind: ErrorKind): boolean;
 };
 
 /** One answer of an endpoint. */
@@ -241,7 +241,7 @@
 	readonly endpointTable: string;
 	decodeRoutes(value: string): RouteTable | undefined;
 	/** A configuration with digests in place of API keys, as nodes keep it and tell it to each other. */
-	withoutKeys(value: string): string;
+	redactKeys(value: string): string;
 	/** The digest by which an API key is known. */
 	digestOf(key: string): string;
 	decodeEndpoint(key: string, value: string): EndpointRegistration | undefined;
--- a/src/common/services/peer-services.ts
+++ b/src/common/services/peer-services.ts
@@ -63,11 +63,11 @@
 	runHeld(peer: PeerNode, heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(peer: PeerNode, heldId: number, manner: EndManner): Promise<void>;
 	/** Asks a node that keeps an organisation's budget for operations. */
-	takeUsage(peer: PeerNode, ask: UsageAsk, timeoutMs: number): Promise<Either<string, UsageGrant>>;
+	takeUsage(peer: PeerNode, ask: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>>;
 };
 
 /** A question for operations of an organisation. */
-export type UsageAsk = {
+export type BudgetRequest = {
 	readonly organisation: string;
 	/** Whether it comes from the keeper of another zone's budget, which may get several; else for one. */
 	readonly isLoan: boolean;
@@ -88,7 +88,7 @@
 export type ForwardedBegin = {readonly heldId: number} | {readonly answer: EndpointAnswer};
 
 /** What a node answers its peers. */
-export type PeerRequests = {
+export type PeerRequestHandlers = {
 	self(): PeerNode;
 	onNotice(notice: PeerNotice): void;
 	/** Of one group, after a look whether its primary answers; of all with an empty name. */
@@ -101,6 +101,6 @@
 	runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(heldId: number, manner: EndManner): Promise<void>;
 	/** Undefined where this node does not know the organisation, or may give nothing out. */
-	takeUsage(ask: UsageAsk): Promise<UsageGrant | undefined>;
+	takeUsage(ask: BudgetRequest): Promise<UsageGrant | undefined>;
 };
 
--- a/src/common/sessions/session-parameters.test.ts
+++ b/src/common/sessions/session-parameters.test.ts
@@ -1,7 +1,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {CallerSession} from './caller-session.js';
-import {MarkedSession} from './marked-session.js';
+import {TokenSessionMarks} from './token-session-marks.js';
 import {readParameter, resetParameters, writeParameter} from './session-parameters.js';
 import {SessionTokenCodec} from './session-token.js';
 
@@ -11,7 +11,7 @@
 	const caller = {
 		user: 'app', applicationName: '', availabilityZone: 'a', labels: {},
 	};
-	return new CallerSession('n1/i1/1', caller, 'stock', new MarkedSession(codec, 'stock', 'primary'));
+	return new CallerSession('n1/i1/1', caller, 'stock', new TokenSessionMarks(codec, 'stock', 'primary'));
 }
 
 describe('session parameters', () => {
--- a/src/common/sessions/session-parameters.ts
+++ b/src/common/sessions/session-parameters.ts
@@ -97,7 +97,7 @@
 	// Reported at the end of every answer after which it has changed.
 	['quetzalstream.token', {
 		read: session => session.marks.token,
-		write: (session, value) => value ? session.marks.adopt(value).swap().toMaybe().extract() : undefined,
+		write: (session, value) => value ? session.marks.mergeToken(value).swap().toMaybe().extract() : undefined,
 	}],
 ]);
 
--- a/src/common/sessions/session-token.test.ts
+++ b/src/common/sessions/session-token.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import type {LogPosition} from '../positions/log-position.js';
 import {maximumTokenChars, maximumTokenGroups} from './constants.js';
-import {MarkedSession} from './marked-session.js';
+import {TokenSessionMarks} from './token-session-marks.js';
 import {SessionTokenCodec} from './session-token.js';
 import type {TokenSigner} from './types.js';
 
@@ -80,10 +80,10 @@
 
 describe('MarkedSession', () => {
 	it('only moves forward', () => {
-		const session = new MarkedSession(codec, 'stock', 'primary');
+		const session = new TokenSessionMarks(codec, 'stock', 'primary');
 		session.advance('stock', {term: 2, offset: 5});
 		session.advance('stock', {term: 1, offset: 9});
-		session.adopt(tokenOf({stock: {term: 2, offset: 4}, sales: position}));
+		session.mergeToken(tokenOf({stock: {term: 2, offset: 4}, sales: position}));
 		expect(session.mark('stock')).toEqual({term: 2, offset: 5});
 		expect(session.mark('sales')).toEqual(position);
 		expect(session.mark('other')).toEqual({term: 0, offset: 0});
@@ -100,9 +100,9 @@
 			{tokens: ['forged'], reads: 'primary', isComplete: false},
 		] as const;
 		for (const {tokens, reads, isComplete} of cases) {
-			const session = new MarkedSession(codec, 'stock', reads);
+			const session = new TokenSessionMarks(codec, 'stock', reads);
 			for (const token of tokens) {
-				session.adopt(token);
+				session.mergeToken(token);
 			}
 
 			session.advance('stock', {term: 9, offset: 9});
@@ -111,10 +111,10 @@
 	});
 
 	it('gives its token when it changed, within bounds', () => {
-		const session = new MarkedSession(codec, 'g0', 'primary');
+		const session = new TokenSessionMarks(codec, 'g0', 'primary');
 		expect(session.takeChangedToken()).toEqual(undefined);
 		for (let index = 0; index < 200; index++) {
-			session.adopt(tokenOf({[`g${index}`]: position}));
+			session.mergeToken(tokenOf({[`g${index}`]: position}));
 		}
 
 		const content = codec.decode(session.takeChangedToken() ?? '').unsafeCoerce();
--- a/src/common/sessions/session-token.ts
+++ b/src/common/sessions/session-token.ts
@@ -111,7 +111,7 @@
 	const flags = reader.byte();
 	const count = reader.byte();
 	const positions = new Map<string, LogPosition>();
-	for (let index = 0; index < count && !reader.isBroken; index++) {
+	for (let index = 0; index < count && !reader.isMalformed; index++) {
 		const group = decodeName(reader.bytes(reader.byte()));
 		if (group === undefined) {
 			return undefined;
--- a/src/common/sessions/token-bytes.ts
+++ b/src/common/sessions/token-bytes.ts
@@ -34,7 +34,7 @@
 
 /** Takes bytes in order; `isBroken` once something was missing or out of range. */
 export class ByteReader {
-	isBroken = false;
+	isMalformed = false;
 	private readonly _bytes: Uint8Array;
 	private _offset = 0;
 
@@ -44,13 +44,13 @@
 
 	/** Whether everything was read, and read well. */
 	get isAtEnd(): boolean {
-		return !this.isBroken && this._offset === this._bytes.length;
+		return !this.isMalformed && this._offset === this._bytes.length;
 	}
 
 	byte(): number {
 		const value = this._bytes[this._offset++];
 		if (value === undefined) {
-			this.isBroken = true;
+			this.isMalformed = true;
 			return 0;
 		}
 
@@ -60,7 +60,7 @@
 	bytes(count: number): Uint8Array {
 		const end = this._offset + count;
 		if (end > this._bytes.length) {
-			this.isBroken = true;
+			this.isMalformed = true;
 			return new Uint8Array(0);
 		}
 
@@ -75,12 +75,12 @@
 			const byte = this.byte();
 			value += (byte % 0x80) * scale;
 			if (byte < 0x80) {
-				this.isBroken ||= !Number.isSafeInteger(value);
+				this.isMalformed ||= !Number.isSafeInteger(value);
 				return value;
 			}
 		}
 
-		this.isBroken = true;
+		this.isMalformed = true;
 		return 0;
 	}
 }
--- a/src/common/sessions/marked-session.ts
+++ b/src/common/sessions/token-session-marks.ts
@@ -10,7 +10,7 @@
 import type {TokenlessReads} from './types.js';
 
 /** Keeps a session's marks and the token that carries them. */
-export class MarkedSession implements SessionMarks {
+export class TokenSessionMarks implements SessionMarks {
 	private readonly _codec: SessionTokenCodec;
 	private readonly _group: string;
 	private readonly _tokenlessReads: TokenlessReads;
@@ -57,7 +57,7 @@
 	}
 
 	/** Takes in a token that the caller brought; marks only move forward. */
-	adopt(text: string): Either<Refusal, void> {
+	mergeToken(text: string): Either<Refusal, void> {
 		return this._codec.decode(text).ifRight(content => {
 			for (const [group, position] of content.positions) {
 				this.advance(group, position);
