--- a/src/common/settings/deployment-plan.ts
+++ b/src/common/settings/deployment-plan.ts
@@ -11,14 +11,14 @@
 import type {SettingsInput} from './settings-schema.js';
 
 /** Where the processes of a deployment listen. */
-export type Placement = {
+export type ListenAddresses = {
 	readonly platform: {readonly host: string; readonly port: number};
-	readonly nodes: ReadonlyMap<string, NodePlace>;
-	readonly endpoints: ReadonlyMap<string, EndpointPlace>;
+	readonly nodes: ReadonlyMap<string, NodeAddresses>;
+	readonly endpoints: ReadonlyMap<string, EndpointAddresses>;
 };
 
 /** Where one node listens. */
-export type NodePlace = {
+export type NodeAddresses = {
 	readonly host: string;
 	readonly callersPort: number;
 	readonly peersPort: number;
@@ -26,14 +26,14 @@
 };
 
 /** Where one endpoint stand-in listens; the control port takes orders to fail. */
-export type EndpointPlace = {
+export type EndpointAddresses = {
 	readonly host: string;
 	readonly port: number;
 	readonly controlPort: number;
 };
 
 /** Settings of one endpoint stand-in. */
-export type EndpointPlan = {
+export type EndpointStandInSettings = {
 	readonly name: string;
 	readonly group: string;
 	readonly availabilityZone: string;
@@ -53,7 +53,7 @@
 };
 
 /** Settings of the platform stand-in. */
-export type PlatformPlan = {
+export type PlatformStandInSettings = {
 	readonly host: string;
 	readonly port: number;
 	readonly seed: number;
@@ -61,8 +61,8 @@
 
 /** Settings of every process of a deployment. */
 export type DeploymentPlan = {
-	readonly platform: PlatformPlan;
-	readonly endpoints: readonly EndpointPlan[];
+	readonly platform: PlatformStandInSettings;
+	readonly endpoints: readonly EndpointStandInSettings[];
 	readonly nodes: readonly SettingsInput[];
 	/** The configuration that is proposed first. */
 	readonly document: ConfigurationDocument;
@@ -77,7 +77,7 @@
 };
 
 /** Expands a deployment. */
-export function planDeployment(deployment: Deployment, placement: Placement, options: PlanOptions = {}): DeploymentPlan {
+export function planDeployment(deployment: Deployment, placement: ListenAddresses, options: PlanOptions = {}): DeploymentPlan {
 	const seed = options.seed ?? 1;
 	return {
 		platform: {...placement.platform, seed},
@@ -95,7 +95,7 @@
 		.unsafeCoerce();
 }
 
-function planEndpoints(deployment: Deployment, placement: Placement, seed: number): EndpointPlan[] {
+function planEndpoints(deployment: Deployment, placement: ListenAddresses, seed: number): EndpointStandInSettings[] {
 	const {endpoint: offer} = deployment;
 	const endpoints = endpointsOf(deployment);
 	return endpoints.map((endpoint, index) => {
@@ -124,7 +124,7 @@
 	});
 }
 
-function planNode(deployment: Deployment, placement: Placement, node: Deployment['nodes'][number]): SettingsInput {
+function planNode(deployment: Deployment, placement: ListenAddresses, node: Deployment['nodes'][number]): SettingsInput {
 	const {host, callersPort, peersPort, operatorsPort} = placeOf(placement.nodes, node.name);
 	const {platform} = placement;
 	const platformUrl = `http://${platform.host}:${platform.port}`;
@@ -148,7 +148,7 @@
 	};
 }
 
-function planDocument(deployment: Deployment, placement: Placement): ConfigurationDocument {
+function planDocument(deployment: Deployment, placement: ListenAddresses): ConfigurationDocument {
 	const {slots, connections} = deployment.endpoint;
 	return {
 		services: deployment.services.map(service => ({
--- a/src/common/statements/constants.ts
+++ b/src/common/statements/constants.ts
@@ -57,7 +57,7 @@
  * A function that is not listed makes its statement a write, which costs a replica read
  * but is never wrong.
  */
-export const pureFunctions: ReadonlySet<string> = new Set(`
+export const readOnlyFunctions: ReadonlySet<string> = new Set(`
 abs acos age any_value array_agg array_append array_cat array_length array_lower array_ndims array_position
 array_positions array_prepend array_remove array_replace array_to_json array_to_string array_upper ascii asin atan
 atan2 avg bit_and bit_length bit_or bool_and bool_or btrim cardinality cbrt ceil ceiling char_length
@@ -91,7 +91,7 @@
 `.trim().split(/\s+/v));
 
 /** Functions whose results depend on what ran before on the same connection. */
-export const connectionFunctions: ReadonlySet<string> = new Set(['currval', 'lastval']);
+export const sessionStateFunctions: ReadonlySet<string> = new Set(['currval', 'lastval']);
 
 /** Ways of sampling a table that come with the database. */
-export const pureSamplingMethods: ReadonlySet<string> = new Set(['system', 'bernoulli']);
+export const builtInSamplingMethods: ReadonlySet<string> = new Set(['system', 'bernoulli']);
--- a/src/common/statements/cycle-builder.ts
+++ b/src/common/statements/cycle-builder.ts
@@ -80,7 +80,7 @@
 	}
 
 	private _find(name: string, draft: CycleDraft): PreparedStatement | undefined {
-		return draft.names.has(name) ? draft.names.get(name) : this._prepared.get(name);
+		return draft.statementsByName.has(name) ? draft.statementsByName.get(name) : this._prepared.get(name);
 	}
 
 	private _addParse(frame: Uint8Array, draft: CycleDraft): Refusal | undefined {
@@ -100,7 +100,7 @@
 			return refusal;
 		}
 
-		draft.names.set(name.text, statement);
+		draft.statementsByName.set(name.text, statement);
 		if (!draft.note(frontendCodes.parse, statement, name.text)) {
 			draft.parse(statement, {isInjected: false, name: name.text, statement});
 		}
@@ -134,11 +134,11 @@
 		draft.hasPortal = true;
 		const statement = this._find(name.text, draft);
 		if (statement) {
-			draft.portals.set(portal.text, statement);
+			draft.statementsByPortal.set(portal.text, statement);
 		}
 
 		if (!draft.note(frontendCodes.bind, statement)) {
-			draft.use(statement);
+			draft.ensureParsed(statement);
 			const endpointName = nameAtEndpoint(name.text, statement);
 			draft.push(makeFrame(frontendCodes.bind, frame.subarray(headerBytes, portal.end), endpointName, frame.subarray(name.end)));
 		}
@@ -163,7 +163,7 @@
 
 	private _describePortal(frame: Uint8Array, name: string, draft: CycleDraft): void {
 		draft.hasPortal = true;
-		if (!draft.note(frontendCodes.describe, draft.portals.get(name))) {
+		if (!draft.note(frontendCodes.describe, draft.statementsByPortal.get(name))) {
 			draft.push(frame);
 		}
 	}
@@ -171,7 +171,7 @@
 	private _describeStatement(name: string, draft: CycleDraft): void {
 		const statement = this._find(name, draft);
 		if (!draft.note(frontendCodes.describe, statement, name)) {
-			draft.use(statement);
+			draft.ensureParsed(statement);
 			draft.push(makeFrame(frontendCodes.describe, Uint8Array.of(targetCodes.statement), nameAtEndpoint(name, statement)));
 		}
 	}
@@ -183,7 +183,7 @@
 		}
 
 		draft.hasPortal = true;
-		const statement = draft.portals.get(portal.text);
+		const statement = draft.statementsByPortal.get(portal.text);
 		if (!draft.note(frontendCodes.execute, statement)) {
 			draft.execute(frame, statement);
 		}
@@ -208,8 +208,8 @@
 	}
 
 	private _closePortal(frame: Uint8Array, name: string, draft: CycleDraft): void {
-		const statement = draft.portals.get(name);
-		draft.portals.delete(name);
+		const statement = draft.statementsByPortal.get(name);
+		draft.statementsByPortal.delete(name);
 		if (!draft.note(frontendCodes.close, statement)) {
 			draft.hasPortal = true;
 			draft.push(frame, {isInjected: false});
--- a/src/common/statements/cycle-draft.ts
+++ b/src/common/statements/cycle-draft.ts
@@ -33,8 +33,8 @@
 /** Gathers one cycle. */
 export class CycleDraft {
 	/** Statements of this cycle over those of the session; undefined once closed. */
-	readonly names = new Map<string, PreparedStatement | undefined>();
-	readonly portals = new Map<string, PreparedStatement>();
+	readonly statementsByName = new Map<string, PreparedStatement | undefined>();
+	readonly statementsByPortal = new Map<string, PreparedStatement>();
 	sizeBytes = 0;
 	/** Whether a portal is made or used, which does not outlive a cycle outside a transaction. */
 	hasPortal = false;
@@ -78,7 +78,7 @@
 	}
 
 	/** Sees that the endpoint's unnamed statement is this one. */
-	use(statement: PreparedStatement | undefined): void {
+	ensureParsed(statement: PreparedStatement | undefined): void {
 		if (statement && statement !== this._current) {
 			this.parse(statement, {isInjected: true});
 		}
@@ -98,7 +98,7 @@
 
 	/** Adds the close of a statement, which needs no endpoint but keeps its place among replies. */
 	close(frame: Uint8Array, name: string): void {
-		this.names.set(name, undefined);
+		this.statementsByName.set(name, undefined);
 		this._frames.push(frame);
 		this._expected.push({isInjected: false, name});
 		this._current = undefined;
--- a/src/common/statements/local-answers.ts
+++ b/src/common/statements/local-answers.ts
@@ -11,7 +11,7 @@
 	commandComplete, makeFrame, parameterStatus, textRow, textRowDescription,
 } from './frames.js';
 import type {PreparedStatements} from './prepared-statements.js';
-import type {LocalAct, Statement} from './types.js';
+import type {LocalCommand, Statement} from './types.js';
 
 /** The session and what goes with it. */
 export type LocalContext = {
@@ -29,9 +29,9 @@
 	readonly changed?: string;
 };
 
-type Perform = (act: LocalAct, context: LocalContext) => Either<Refusal, LocalResult>;
+type Perform = (act: LocalCommand, context: LocalContext) => Either<Refusal, LocalResult>;
 
-const performers: Readonly<Record<LocalAct['name'], Perform>> = {
+const performers: Readonly<Record<LocalCommand['name'], Perform>> = {
 	set({subject = '', value}, {session}) {
 		const refusal = writeParameter(session, subject, value);
 		return refusal ? Left(refusal) : Right({tag: 'SET', changed: subject});
@@ -65,7 +65,7 @@
 const emptyQuery = makeFrame(backendCodes.emptyQueryResponse);
 
 /** Column of the row that an act will give; undefined for none. */
-function columnOf(act: LocalAct): string | undefined {
+function columnOf(act: LocalCommand): string | undefined {
 	if (act.name === 'show') {
 		return act.subject;
 	}
@@ -73,7 +73,7 @@
 	return act.name === 'unlockAll' ? 'pg_advisory_unlock_all' : undefined;
 }
 
-function perform(act: LocalAct, context: LocalContext, isDescribed: boolean): Either<Refusal, readonly Uint8Array[]> {
+function perform(act: LocalCommand, context: LocalContext, isDescribed: boolean): Either<Refusal, readonly Uint8Array[]> {
 	return performers[act.name](act, context).map(result => {
 		const reported = result.changed && reportedName(result.changed);
 		return [
@@ -141,7 +141,7 @@
 	}],
 ]);
 
-function actOf(statement: Statement | undefined): LocalAct | undefined {
+function actOf(statement: Statement | undefined): LocalCommand | undefined {
 	return statement?.kind === 'local' ? statement.act : undefined;
 }
 
--- a/src/common/statements/statement-classifier.ts
+++ b/src/common/statements/statement-classifier.ts
@@ -3,7 +3,7 @@
 	hasSqlDetails, loadModule, parseSync, type ParseResult,
 } from 'libpg-query';
 import {statementDefaults} from './constants.js';
-import {ruleOf} from './statement-rules.js';
+import {classifyStatement} from './statement-rules.js';
 import {isSingleDataStatement} from './text-scanner.js';
 import type {ClassifiedText, Statement} from './types.js';
 
@@ -19,7 +19,7 @@
 	kind: 'relayed',
 	access: 'write',
 	transaction: {kind: 'none'},
-	mayLiftReadOnly: false,
+	mayDisableReadOnly: false,
 	needsTransaction: false,
 };
 
@@ -100,5 +100,5 @@
 	const statements = result.stmts ?? [];
 	return statements.length === 0
 		? empty
-		: statements.map(statement => ruleOf(statement.stmt));
+		: statements.map(statement => classifyStatement(statement.stmt));
 }
--- a/src/common/statements/statement-rules.ts
+++ b/src/common/statements/statement-rules.ts
@@ -1,25 +1,25 @@
 /** The table from kind of statement to how it is handled. */
 import {isSessionParameter} from '../sessions/session-parameters.js';
 import {
-	inspectTree, isKeptTemporary, prepareReason, temporaryReason, type Findings,
+	inspectTree, isSessionTemporary, prepareReason, temporaryReason, type Findings,
 } from './tree-inspector.js';
 import {
 	isSetAt, isTree, listAt, numberAt, readArguments, textAt, type Tree,
 } from './tree-values.js';
 import type {
-	LocalAct, RelayedStatement, Statement, TransactionAct,
+	LocalCommand, RelayedStatement, Statement, TransactionControl,
 } from './types.js';
 
 type Rule = (node: Tree) => Statement;
 
-const noAct: TransactionAct = {kind: 'none'};
+const noAct: TransactionControl = {kind: 'none'};
 
 function relay(access: 'read' | 'write', options: Partial<RelayedStatement> = {}): Statement {
 	return {
 		kind: 'relayed',
 		access,
 		transaction: options.transaction ?? noAct,
-		mayLiftReadOnly: options.mayLiftReadOnly ?? false,
+		mayDisableReadOnly: options.mayDisableReadOnly ?? false,
 		needsTransaction: options.needsTransaction ?? false,
 	};
 }
@@ -28,13 +28,13 @@
 	return {kind: 'refused', reason};
 }
 
-function local(act: LocalAct): Statement {
+function local(act: LocalCommand): Statement {
 	return {kind: 'local', act};
 }
 
 const refuseNotification: Rule = () => refuse('LISTEN, NOTIFY and UNLISTEN need a connection of their own');
 const refusePrepare: Rule = () => refuse(prepareReason);
-const refuseTemporary = (key: string): Rule => node => isKeptTemporary(node[key], node.oncommit) ? refuse(temporaryReason) : inspectWrite(node);
+const refuseTemporary = (key: string): Rule => node => isSessionTemporary(node[key], node.oncommit) ? refuse(temporaryReason) : inspectWrite(node);
 
 const rules: ReadonlyMap<string, Rule> = new Map<string, Rule>([
 	['SelectStmt', inspectRead],
@@ -55,8 +55,8 @@
 	['CreateStmt', refuseTemporary('relation')],
 	['ViewStmt', refuseTemporary('view')],
 	['CreateSeqStmt', refuseTemporary('sequence')],
-	['DoStmt', () => relay('write', {mayLiftReadOnly: true})],
-	['CallStmt', node => withoutRefusal(node, () => relay('write', {mayLiftReadOnly: true}))],
+	['DoStmt', () => relay('write', {mayDisableReadOnly: true})],
+	['CallStmt', node => withoutRefusal(node, () => relay('write', {mayDisableReadOnly: true}))],
 ]);
 
 const discards: ReadonlyMap<string, Statement> = new Map([
@@ -67,7 +67,7 @@
 ]);
 
 /** Handles one parsed statement, an object with its kind as only key. */
-export function ruleOf(statement: unknown): Statement {
+export function classifyStatement(statement: unknown): Statement {
 	const [entry] = Object.entries(isTree(statement) ? statement : {});
 	const node = entry?.[1];
 	return (rules.get(entry?.[0] ?? '') ?? inspectWrite)(isTree(node) ? node : {});
@@ -134,7 +134,7 @@
 	const name = textAt(node, 'name').toLowerCase();
 	if (node.is_local === true || (node.kind === 'VAR_SET_MULTI' && name === 'transaction')) {
 		const mayLiftReadOnly = name === 'transaction_read_only' || (name === 'transaction' && readMode(listAt(node, 'args')) === 'readWrite');
-		return relay('write', {mayLiftReadOnly});
+		return relay('write', {mayDisableReadOnly: mayLiftReadOnly});
 	}
 
 	if (node.kind === 'VAR_RESET_ALL') {
--- a/src/common/statements/transaction-plan.ts
+++ b/src/common/statements/transaction-plan.ts
@@ -49,7 +49,7 @@
 	}
 
 	if (progress.isOpen && progress.isReadOnly) {
-		progress.refusal ??= statement.mayLiftReadOnly ? liftReason : undefined;
+		progress.refusal ??= statement.mayDisableReadOnly ? liftReason : undefined;
 		return;
 	}
 
--- a/src/common/statements/tree-inspector.ts
+++ b/src/common/statements/tree-inspector.ts
@@ -2,7 +2,7 @@
  * Looks through a parsed statement for what keeps it from being a certain read, and for
  * what a shared connection cannot carry.
  */
-import {connectionFunctions, pureFunctions, pureSamplingMethods} from './constants.js';
+import {sessionStateFunctions, readOnlyFunctions, builtInSamplingMethods} from './constants.js';
 import {
 	isSetAt, isTree, listAt, textAt, type Tree,
 } from './tree-values.js';
@@ -67,8 +67,8 @@
 
 function inspectCall(node: Tree, findings: Findings): void {
 	const {name, isBuiltIn} = readName(listAt(node, 'funcname'));
-	findings.mayWrite ||= !isBuiltIn || !pureFunctions.has(name);
-	findings.needsTransaction ||= connectionFunctions.has(name);
+	findings.mayWrite ||= !isBuiltIn || !readOnlyFunctions.has(name);
+	findings.needsTransaction ||= sessionStateFunctions.has(name);
 	if (isSessionLock(name)) {
 		findings.refusal = 'session-level advisory locks need a connection of their own; use pg_advisory_xact_lock in a transaction';
 	}
@@ -85,7 +85,7 @@
 
 function inspectSample(node: Tree, findings: Findings): void {
 	const {name, isBuiltIn} = readName(listAt(node, 'method'));
-	findings.mayWrite ||= !isBuiltIn || !pureSamplingMethods.has(name);
+	findings.mayWrite ||= !isBuiltIn || !builtInSamplingMethods.has(name);
 }
 
 function inspectExecute(_node: Tree, findings: Findings): void {
@@ -106,12 +106,12 @@
 
 function inspectInto(node: Tree, findings: Findings): void {
 	findings.mayWrite = true;
-	if (isKeptTemporary(node.rel, node.onCommit)) {
+	if (isSessionTemporary(node.rel, node.onCommit)) {
 		findings.refusal = temporaryReason;
 	}
 }
 
 /** Whether a new relation is temporary and outlives the transaction. */
-export function isKeptTemporary(relation: unknown, onCommit: unknown): boolean {
+export function isSessionTemporary(relation: unknown, onCommit: unknown): boolean {
 	return textAt(relation, 'relpersistence') === 't' && onCommit !== 'ONCOMMIT_DROP';
 }
--- a/src/common/statements/types.ts
+++ b/src/common/statements/types.ts
@@ -1,7 +1,7 @@
 /** Types of classified statements. */
 
 /** What a statement does to the transaction. */
-export type TransactionAct
+export type TransactionControl
 	= | {readonly kind: 'none'}
 		| {readonly kind: 'begin'; readonly mode: 'default' | 'readOnly' | 'readWrite'}
 		| {readonly kind: 'commit' | 'rollback'; readonly isChained: boolean}
@@ -12,15 +12,15 @@
 	readonly kind: 'relayed';
 	/** `read` only if that is certain. */
 	readonly access: 'read' | 'write';
-	readonly transaction: TransactionAct;
+	readonly transaction: TransactionControl;
 	/** Whether it might turn a read-only transaction into one that writes. */
-	readonly mayLiftReadOnly: boolean;
+	readonly mayDisableReadOnly: boolean;
 	/** Whether it depends on what ran before on the same connection. */
 	readonly needsTransaction: boolean;
 };
 
 /** What a statement asks of the proxy itself. */
-export type LocalAct = {
+export type LocalCommand = {
 	readonly name: 'set' | 'show' | 'resetAll' | 'discardAll' | 'deallocate' | 'unlockAll' | 'nothing' | 'empty';
 	/** The parameter, the prepared statement, or the tag to answer with. */
 	readonly subject?: string;
@@ -31,7 +31,7 @@
 /** A statement that the proxy answers itself. */
 export type LocalStatement = {
 	readonly kind: 'local';
-	readonly act: LocalAct;
+	readonly act: LocalCommand;
 };
 
 /** A statement that a shared connection cannot carry. */
--- a/src/common/store/restore-watch.test.ts
+++ b/src/common/store/restore-watch.test.ts
@@ -55,15 +55,15 @@
 	it('takes a restore before the first answer for one of this moment until it is told the time', () => {
 		watch.note(storeVersion(3, 7));
 		expect([watch.isSettled, fired]).toEqual([false, 1]);
-		watch.takeRecord(JSON.stringify({era: 2, atMs: 0}), 1_000_000);
+		watch.applyRecord(JSON.stringify({era: 2, atMs: 0}), 1_000_000);
 		expect(watch.isSettled).toEqual(false);
-		watch.takeRecord(JSON.stringify({era: 3, atMs: 0}), 1_000_000);
+		watch.applyRecord(JSON.stringify({era: 3, atMs: 0}), 1_000_000);
 		expect([watch.isSettled, watch.mayMissRegistrations]).toEqual([true, false]);
 	});
 
 	it('never takes a record for older than its own clock allows', () => {
 		watch.note(storeVersion(1, 7));
-		watch.takeRecord(JSON.stringify({era: 1, atMs: 9000}), 100);
+		watch.applyRecord(JSON.stringify({era: 1, atMs: 9000}), 100);
 		expect(watch.isSettled).toEqual(false);
 	});
 });
--- a/src/common/store/restore-watch.ts
+++ b/src/common/store/restore-watch.ts
@@ -27,7 +27,7 @@
 };
 
 /** What others need to know of restores. */
-export type Restores = Pick<RestoreWatch, 'agoMs' | 'isSettled' | 'mayMissRegistrations' | 'onRestore' | 'options'>;
+export type RestoreStatus = Pick<RestoreWatch, 'agoMs' | 'isSettled' | 'mayMissRegistrations' | 'onRestore' | 'options'>;
 
 /** Takes in the versions of all that the store says. */
 export class RestoreWatch implements Disposable {
@@ -88,7 +88,7 @@
 	}
 
 	/** Takes in when the restore of an era was noticed first, as another node wrote it down. */
-	takeRecord(value: string | undefined, storeNowMs: number): void {
+	applyRecord(value: string | undefined, storeNowMs: number): void {
 		const record = parseRecord(value);
 		if (record?.era === this.era) {
 			this._restoredAtMs = Math.min(this._restoredAtMs, this._services.clock.nowMs() - Math.max(0, storeNowMs - record.atMs));
--- a/src/common/store/watched-rows.ts
+++ b/src/common/store/version-observing-store.ts
@@ -8,7 +8,7 @@
 import type {RestoreWatch} from './restore-watch.js';
 
 /** Passes calls on. */
-export class WatchedRows implements RowStore {
+export class VersionObservingStore implements RowStore {
 	private readonly _store: RowStore;
 	private readonly _restores: RestoreWatch;
 
--- a/src/node/callers/answer-writer.ts
+++ b/src/node/callers/answer-writer.ts
@@ -42,7 +42,7 @@
 	}
 
 	/** Drops the piece that was held back. */
-	dropHeld(): void {
+	discardBuffered(): void {
 		this._held = undefined;
 	}
 
--- a/src/node/callers/caller-connection.ts
+++ b/src/node/callers/caller-connection.ts
@@ -5,7 +5,7 @@
 import {Refusal} from '../../common/errors/error-kinds.js';
 import {DisposableStore, type Disposable} from '../../common/lifecycle/disposable.js';
 import {CallerSession} from '../../common/sessions/caller-session.js';
-import {MarkedSession} from '../../common/sessions/marked-session.js';
+import {TokenSessionMarks} from '../../common/sessions/token-session-marks.js';
 import {readParameter, writeParameter} from '../../common/sessions/session-parameters.js';
 import type {SessionTokenCodec} from '../../common/sessions/session-token.js';
 import {
@@ -20,7 +20,7 @@
 import {RequestHandler, type Continuation} from './request-handler.js';
 import {readSettings} from './start-up-parameters.js';
 import {
-	authenticationOk, backendKeyData, StartUp, type StartedCaller,
+	authenticationOk, backendKeyData, StartUp, type AuthenticatedCaller,
 } from './start-up.js';
 import type {CallerOptions, CallerServices, CallerUser} from './types.js';
 
@@ -110,7 +110,7 @@
 		}
 	}
 
-	private async _startUp(isFull: boolean): Promise<StartedCaller | undefined> {
+	private async _startUp(isFull: boolean): Promise<AuthenticatedCaller | undefined> {
 		const {
 			options, users, secureContext, services, budget,
 		} = this._context;
@@ -118,7 +118,7 @@
 			this._socket.destroy();
 		});
 		const end = await new StartUp(this._socket, {
-			options, users, secureContext, budget, isFull,
+			options, users, secureContext, budget, isAtCallerLimit: isFull,
 		}).run();
 		timer.dispose();
 		if (end.kind === 'started') {
@@ -141,7 +141,7 @@
 	}
 
 	/** Makes the session that the start-up message asks for; undefined when it was refused. */
-	private _open(caller: StartedCaller): CallerSession | undefined {
+	private _open(caller: AuthenticatedCaller): CallerSession | undefined {
 		const {services, options, codec} = this._context;
 		const group = caller.parameters.database ?? caller.user;
 		if (!services.configuration.group(group)) {
@@ -156,7 +156,7 @@
 				user: caller.user, applicationName: '', availabilityZone, labels: caller.labels,
 			},
 			group,
-			new MarkedSession(codec, group, options.tokenlessReads),
+			new TokenSessionMarks(codec, group, options.tokenlessReads),
 		);
 		for (const [parameter, value] of readSettings(caller.parameters)) {
 			const refusal = writeParameter(session, parameter, value);
@@ -169,7 +169,7 @@
 		return session;
 	}
 
-	private async _serveSession(caller: StartedCaller, session: CallerSession): Promise<void> {
+	private async _serveSession(caller: AuthenticatedCaller, session: CallerSession): Promise<void> {
 		const {services, options, classifier} = this._context;
 		const writer = new AnswerWriter(this._socket, services.clock, options.answerStallMs);
 		this._runner = new CycleRunner(session, writer, services);
@@ -214,7 +214,7 @@
 
 			continuation = typeof handled === 'string' ? handled : await handled;
 			if (handler.isBetweenCycles) {
-				reader.settle();
+				reader.releaseTaken();
 			}
 		}
 
--- a/src/node/callers/caller-faults.test.ts
+++ b/src/node/callers/caller-faults.test.ts
@@ -1,15 +1,15 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
 import fc from 'fast-check';
-import {CallerBench} from './testing/caller-bench.js';
-import {headless, message, startUp} from './testing/raw-caller.js';
+import {CallerServerHarness} from './testing/caller-server-harness.js';
+import {untypedMessage, message, startUp} from './testing/raw-caller.js';
 import {testCertificate} from './testing/test-certificate.js';
 import type {CallerOptions} from './types.js';
 
-const benches: CallerBench[] = [];
+const benches: CallerServerHarness[] = [];
 
-async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerBench> {
-	const bench = new CallerBench(options);
+async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
+	const bench = new CallerServerHarness(options);
 	benches.push(bench);
 	return bench.start();
 }
@@ -19,7 +19,7 @@
 });
 
 /** A server is well if it serves a new caller and logged no unexpected error. */
-async function expectWell(bench: CallerBench): Promise<void> {
+async function expectWell(bench: CallerServerHarness): Promise<void> {
 	const caller = await bench.startRaw();
 	expect(await caller.send(message('Q', 'select 1')).read()).toEqual('T D C S ZI');
 	expect(bench.events.filter(name => name !== 'callerRefused')).toEqual(['callersListening']);
@@ -33,12 +33,12 @@
 			[Uint8Array.of(0, 0, 0, 4), 'E08P01'],
 			[Uint8Array.of(0, 0, 0x40, 0, 0, 3, 0, 0), 'E54000'],
 			[Uint8Array.of(0xFF, 0xFF, 0xFF, 0xFF), 'E54000'],
-			[headless(0x3_00_00), 'E08P01'],
-			[headless(0x3_00_00, new TextEncoder().encode('user')), 'E08P01'],
-			[headless(0x3_00_00, new TextEncoder().encode('user\0app\0')), 'E08P01'],
-			[headless(0x3_00_00, Uint8Array.of(0)), 'E08000'],
+			[untypedMessage(0x3_00_00), 'E08P01'],
+			[untypedMessage(0x3_00_00, new TextEncoder().encode('user')), 'E08P01'],
+			[untypedMessage(0x3_00_00, new TextEncoder().encode('user\0app\0')), 'E08P01'],
+			[untypedMessage(0x3_00_00, Uint8Array.of(0)), 'E08000'],
 			[startUp({}, 0x2_00_00), 'E08P01'],
-			[headless(80_877_102), ''],
+			[untypedMessage(80_877_102), ''],
 		];
 		for (const [bytes, expected] of cases) {
 			expect([bytes, await bench.connectRaw().send(bytes).readToClose()]).toEqual([bytes, expected]);
@@ -52,9 +52,9 @@
 		const frames = await bench.connectRaw().send(startUp({}, 0x3_00_02)).read();
 		expect(frames).toEqual('v R S S S S S S S S S K ZI');
 		const caller = bench.connectRaw();
-		caller.send(headless(80_877_104));
+		caller.send(untypedMessage(80_877_104));
 		caller.socket.once('data', () => {
-			caller.send(headless(80_877_103));
+			caller.send(untypedMessage(80_877_103));
 		});
 		const declined = new Promise<number>(resolve => {
 			let bytes = 0;
@@ -70,9 +70,9 @@
 
 	it('refuses data that was sent before the TLS handshake, and survives failed handshakes', async () => {
 		const bench = await startBench({tls: testCertificate});
-		expect(await bench.connectRaw().send(headless(80_877_103), startUp()).readToClose()).toEqual('E08P01');
+		expect(await bench.connectRaw().send(untypedMessage(80_877_103), startUp()).readToClose()).toEqual('E08P01');
 		const caller = bench.connectRaw();
-		caller.send(headless(80_877_103));
+		caller.send(untypedMessage(80_877_103));
 		caller.socket.once('data', () => {
 			caller.send(new Uint8Array(100));
 		});
--- a/src/node/callers/caller-server.test.ts
+++ b/src/node/callers/caller-server.test.ts
@@ -2,18 +2,18 @@
 import {expect} from 'earl';
 import pg from 'pg';
 import {Refusal} from '../../common/errors/error-kinds.js';
-import {CallerBench} from './testing/caller-bench.js';
-import {largePieces, largeText, stuckText} from './testing/fake-router.js';
+import {CallerServerHarness} from './testing/caller-server-harness.js';
+import {largeAnswerChunks, largeText, blockingText} from './testing/fake-router.js';
 import {
-	errorFields, extended, headless, message, startUp,
+	errorFields, extended, untypedMessage, message, startUp,
 } from './testing/raw-caller.js';
 import {testCertificate} from './testing/test-certificate.js';
 import type {CallerOptions} from './types.js';
 
-const benches: CallerBench[] = [];
+const benches: CallerServerHarness[] = [];
 
-async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerBench> {
-	const bench = new CallerBench(options);
+async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
+	const bench = new CallerServerHarness(options);
 	benches.push(bench);
 	return bench.start();
 }
@@ -210,13 +210,13 @@
 			const key = message('K', new Uint8Array(8));
 			new DataView(key.buffer).setUint32(5, processId);
 			new DataView(key.buffer).setUint32(9, secretKey);
-			return bench.connectRaw().send(headless(80_877_102, key.subarray(5)));
+			return bench.connectRaw().send(untypedMessage(80_877_102, key.subarray(5)));
 		};
 
 		const stuck = new Promise<void>(resolve => {
-			bench.router.onStuck = resolve;
+			bench.router.onBlocked = resolve;
 		});
-		caller.send(query(stuckText));
+		caller.send(query(blockingText));
 		await stuck;
 		expect(await cancel(caller.processId, caller.secretKey + 1).readToClose()).toEqual('');
 		expect(await cancel(caller.processId + 1, caller.secretKey).readToClose()).toEqual('');
@@ -233,9 +233,9 @@
 		const bench = await startBench();
 		const caller = await bench.startRaw();
 		const stuck = new Promise<void>(resolve => {
-			bench.router.onStuck = resolve;
+			bench.router.onBlocked = resolve;
 		});
-		caller.send(query(stuckText));
+		caller.send(query(blockingText));
 		await stuck;
 		const closed = new Promise<unknown>(resolve => {
 			bench.router.close = resolve;
@@ -248,7 +248,7 @@
 		const bench = await startBench();
 		const client = await bench.connect();
 		const {rows} = await client.query(largeText);
-		expect(rows.length).toEqual(largePieces + 1);
+		expect(rows.length).toEqual(largeAnswerChunks + 1);
 	});
 
 	it('drains: idle callers at once, others after their request and transaction', async () => {
@@ -257,9 +257,9 @@
 		await open.send(query('begin')).read();
 		await left.send(query('begin')).read();
 		const stuck = new Promise<void>(resolve => {
-			bench.router.onStuck = resolve;
+			bench.router.onBlocked = resolve;
 		});
-		busy.send(query(stuckText));
+		busy.send(query(blockingText));
 		await stuck;
 		const drained = bench.server.drain(200);
 		expect(await idle.readToClose()).toEqual('E57P01');
--- a/src/node/callers/caller-server.ts
+++ b/src/node/callers/caller-server.ts
@@ -8,7 +8,7 @@
 import {loadParser, StatementClassifier} from '../../common/statements/statement-classifier.js';
 import {listenOn} from '../listen-on.js';
 import {CallerConnection, type ConnectionContext} from './caller-connection.js';
-import {callerDefaults, refusedConnections} from './constants.js';
+import {callerDefaults, maximumRefusedConnections} from './constants.js';
 import {ReceiveBudget} from './receive-budget.js';
 import type {CallerOptions, CallerServices} from './types.js';
 
@@ -99,7 +99,7 @@
 
 	private async _accept(socket: Socket): Promise<void> {
 		const {maximumConnections} = this._options;
-		if (this._connections.size >= maximumConnections + refusedConnections) {
+		if (this._connections.size >= maximumConnections + maximumRefusedConnections) {
 			socket.destroy();
 			return;
 		}
--- a/src/node/callers/constants.ts
+++ b/src/node/callers/constants.ts
@@ -26,7 +26,7 @@
 export const joinedAnswerBytes = 64 * 1024;
 
 /** Connections over the maximum that are told so in the protocol's own way. */
-export const refusedConnections = 64;
+export const maximumRefusedConnections = 64;
 
 /** Time that a caller has to close its side after the last message. */
 export const closeGraceMs = 1000;
--- a/src/node/callers/credentials.ts
+++ b/src/node/callers/credentials.ts
@@ -30,7 +30,7 @@
 }
 
 /** Checks the answer to a salted challenge. */
-export async function checkHash(user: CallerUser | undefined, given: string, salt: Uint8Array): Promise<boolean> {
+export async function checkSaltedHash(user: CallerUser | undefined, given: string, salt: Uint8Array): Promise<boolean> {
 	if (user?.password === undefined) {
 		return false;
 	}
--- a/src/node/callers/cycle-runner.ts
+++ b/src/node/callers/cycle-runner.ts
@@ -19,7 +19,7 @@
 };
 
 /** Whether the caller waits for ReadyForQuery after the answer. */
-export type AnswerEnd = 'ready' | 'flush';
+export type AnswerTerminator = 'ready' | 'flush';
 
 const nowhere: AnswerSink = {push: () => undefined};
 
@@ -44,7 +44,7 @@
 	}
 
 	/** Relays a cycle and its answer. Returns the refusal if there was one. */
-	async run(frames: Uint8Array, plan: TransactionPlan, end: AnswerEnd, filter?: AnswerFilter): Promise<Refusal | undefined> {
+	async run(frames: Uint8Array, plan: TransactionPlan, end: AnswerTerminator, filter?: AnswerFilter): Promise<Refusal | undefined> {
 		const {metrics, clock} = this._services;
 		const startedMs = clock.nowMs();
 		this._writer.begin(filter);
@@ -61,16 +61,16 @@
 	}
 
 	/** Answers with a refusal; in a transaction it fails the transaction. */
-	async refuse(refusal: Refusal, end: AnswerEnd): Promise<void> {
+	async refuse(refusal: Refusal, end: AnswerTerminator): Promise<void> {
 		this._services.metrics.count('callerRefusalsTotal', {kind: refusal.kind});
-		this._session.isFailedHere ||= this._session.transactionStatus !== 'idle';
+		this._session.isFailedByProxy ||= this._session.transactionStatus !== 'idle';
 		// What was held back may say that the statement completed.
-		this._writer.dropHeld();
+		this._writer.discardBuffered();
 		await this.finish([errorResponse(refusal)], refusal.answer.severity === 'FATAL' ? 'flush' : end);
 	}
 
 	/** Ends an answer: the frames given, the token if it changed, ReadyForQuery. */
-	finish(frames: readonly Uint8Array[], end: AnswerEnd): void | Promise<void> {
+	finish(frames: readonly Uint8Array[], end: AnswerTerminator): void | Promise<void> {
 		const trailer = [...frames];
 		const token = this._session.marks.takeChangedToken();
 		if (token !== undefined) {
@@ -78,7 +78,7 @@
 		}
 
 		if (end === 'ready') {
-			trailer.push(readyForQuery(this._session.visibleStatus));
+			trailer.push(readyForQuery(this._session.reportedStatus));
 		}
 
 		return this._writer.finish(trailer);
@@ -91,7 +91,7 @@
 			await this._execute({frames: queryFrame('ROLLBACK'), access: session.isReadOnlyTransaction ? 'read' : 'write', step: 'rollback'}, nowhere);
 		}
 
-		session.isFailedHere = false;
+		session.isFailedByProxy = false;
 		session.isReadOnlyTransaction = false;
 		if (session.heldEndpoint === undefined) {
 			session.transactionStatus = 'idle';
@@ -136,7 +136,7 @@
 			session.transactionStatus = 'idle';
 		} else if (wasInTransaction) {
 			// The caller believes to be in a transaction until it ends it.
-			session.isFailedHere = true;
+			session.isFailedByProxy = true;
 		}
 
 		return refusal;
--- a/src/node/callers/frame-reader.ts
+++ b/src/node/callers/frame-reader.ts
@@ -83,7 +83,7 @@
 	}
 
 	/** Says that the messages taken so far are not kept any longer. */
-	settle(): void {
+	releaseTaken(): void {
 		if (!this._isNextReserved) {
 			this._budget.release(this._reservedBytes);
 			this._reservedBytes = 0;
@@ -96,7 +96,7 @@
 		this._socket.off('end', this._onEnd);
 		this._socket.off('close', this._onEnd);
 		this._isNextReserved = false;
-		this.settle();
+		this.releaseTaken();
 		this._end();
 	}
 
--- a/src/node/callers/request-handler.ts
+++ b/src/node/callers/request-handler.ts
@@ -11,7 +11,7 @@
 import type {StatementClassifier} from '../../common/statements/statement-classifier.js';
 import {planTransaction} from '../../common/statements/transaction-plan.js';
 import type {RelayedStatement, Statement, TransactionState} from '../../common/statements/types.js';
-import type {AnswerEnd, CycleRunner} from './cycle-runner.js';
+import type {AnswerTerminator, CycleRunner} from './cycle-runner.js';
 
 /** Whether the connection goes on. */
 export type Continuation = 'goOn' | 'end';
@@ -82,7 +82,7 @@
 		};
 	}
 
-	private async _refuse(refusal: Refusal, end: AnswerEnd): Promise<Continuation> {
+	private async _refuse(refusal: Refusal, end: AnswerTerminator): Promise<Continuation> {
 		await this._runner.refuse(refusal, end);
 		return refusal.answer.severity === 'FATAL' ? 'end' : 'goOn';
 	}
@@ -113,7 +113,7 @@
 
 	private async _runStatements(frame: Uint8Array, statements: readonly Statement[]): Promise<Continuation> {
 		const relayed = statements.filter(statement => statement.kind === 'relayed');
-		if (this._session.isFailedHere && !this._isSavepointRollback(relayed)) {
+		if (this._session.isFailedByProxy && !this._isSavepointRollback(relayed)) {
 			return this._endFailed(relayed, statements.length, () => [commandComplete('ROLLBACK')], 'ready');
 		}
 
@@ -140,7 +140,7 @@
 			&& statements.length === 1
 			&& statements[0]?.transaction.kind === 'rollbackTo';
 		if (isMending) {
-			this._session.isFailedHere = false;
+			this._session.isFailedByProxy = false;
 		}
 
 		return isMending;
@@ -151,7 +151,7 @@
 		statements: readonly RelayedStatement[],
 		count: number,
 		onEnded: () => readonly Uint8Array[],
-		end: AnswerEnd,
+		end: AnswerTerminator,
 	): Promise<Continuation> {
 		const isEnd = statements.length === 1 && count === 1 && isTransactionEnd(statements[0]);
 		if (!isEnd) {
@@ -163,7 +163,7 @@
 		return 'goOn';
 	}
 
-	private async _answerHere(answer: LocalAnswer, end: AnswerEnd): Promise<Continuation> {
+	private async _answerHere(answer: LocalAnswer, end: AnswerTerminator): Promise<Continuation> {
 		if (!answer.refusal) {
 			await this._runner.finish(answer.frames, end);
 			return 'goOn';
@@ -221,7 +221,7 @@
 		return 'goOn';
 	}
 
-	private async _runGathered(end: AnswerEnd): Promise<Continuation> {
+	private async _runGathered(end: AnswerTerminator): Promise<Continuation> {
 		const built = this._builder.build(this._transaction);
 		return built
 			.map(async cycle => this._runCycle(cycle, end))
@@ -230,18 +230,18 @@
 	}
 
 	/** Refuses a whole cycle; after Flush, also what follows up to Sync. */
-	private async _failCycle(refusal: Refusal, end: AnswerEnd): Promise<Continuation> {
+	private async _failCycle(refusal: Refusal, end: AnswerTerminator): Promise<Continuation> {
 		this._isSkipping = end === 'flush';
 		return this._refuse(refusal, end);
 	}
 
-	private async _runCycle(cycle: BuiltCycle, end: AnswerEnd): Promise<Continuation> {
+	private async _runCycle(cycle: BuiltCycle, end: AnswerTerminator): Promise<Continuation> {
 		const context = {session: this._session, prepared: this._prepared};
 		if (cycle.kind === 'local') {
 			return this._answerHere(answerMessages(cycle.messages, context), end);
 		}
 
-		if (this._session.isFailedHere && !this._isSavepointRollback(cycle.executed)) {
+		if (this._session.isFailedByProxy && !this._isSavepointRollback(cycle.executed)) {
 			this._isSkipping = end === 'flush';
 			return this._endFailed(cycle.executed, cycle.executed.length, () => answerMessages(cycle.messages, context).frames, end);
 		}
--- a/src/node/callers/start-up.ts
+++ b/src/node/callers/start-up.ts
@@ -17,14 +17,14 @@
 import {
 	maximumStartUpBytes, passwordCode, protocolMajor, requestCodes,
 } from './constants.js';
-import {checkHash, checkPassword} from './credentials.js';
+import {checkSaltedHash, checkPassword} from './credentials.js';
 import {FrameReader} from './frame-reader.js';
 import type {ReceiveBudget} from './receive-budget.js';
 import {isWellFormedStartUp, readRequestCode} from './start-up-parameters.js';
 import type {CallerOptions, CallerUser} from './types.js';
 
 /** A caller that was let in. */
-export type StartedCaller = {
+export type AuthenticatedCaller = {
 	readonly kind: 'started';
 	/** The socket, or the TLS socket over it. */
 	readonly socket: Socket;
@@ -35,8 +35,8 @@
 };
 
 /** How the beginning of a connection ended. */
-export type StartUpEnd
-	= | StartedCaller
+export type StartUpResult
+	= | AuthenticatedCaller
 		| {readonly kind: 'cancel'; readonly processId: number; readonly secretKey: number}
 		| {readonly kind: 'refused'; readonly refusal: Refusal; readonly socket: Socket}
 		| {readonly kind: 'ended'};
@@ -48,12 +48,12 @@
 	readonly secureContext: SecureContext | undefined;
 	readonly budget: ReceiveBudget;
 	/** Whether the node has as many callers as it may have. */
-	readonly isFull: boolean;
+	readonly isAtCallerLimit: boolean;
 };
 
-type Step = (message: Uint8Array) => Promise<StartUpEnd | undefined>;
+type Step = (message: Uint8Array) => Promise<StartUpResult | undefined>;
 
-const ended: StartUpEnd = {kind: 'ended'};
+const ended: StartUpResult = {kind: 'ended'};
 const accepted = Buffer.from('S');
 const declined = Buffer.from('N');
 const negotiateCode = 0x76;
@@ -83,7 +83,7 @@
 		]);
 	}
 
-	async run(): Promise<StartUpEnd> {
+	async run(): Promise<StartUpResult> {
 		for (;;) {
 			const message = await this._reader.next(0);
 			if (!message) {
@@ -102,26 +102,26 @@
 		}
 	}
 
-	private _endOfInput(): StartUpEnd {
+	private _endOfInput(): StartUpResult {
 		return this._reader.fault ? this._refuse(this._reader.fault) : ended;
 	}
 
-	private _refuse(refusal: Refusal): StartUpEnd {
+	private _refuse(refusal: Refusal): StartUpResult {
 		return {kind: 'refused', refusal, socket: this._socket};
 	}
 
-	private _decline(): StartUpEnd | undefined {
+	private _decline(): StartUpResult | undefined {
 		this._socket.write(declined);
 		return undefined;
 	}
 
-	private _readCancel(message: Uint8Array): StartUpEnd {
+	private _readCancel(message: Uint8Array): StartUpResult {
 		return message.length === 16
 			? {kind: 'cancel', processId: readUint32(message, 8), secretKey: readUint32(message, 12)}
 			: ended;
 	}
 
-	private async _secure(): Promise<StartUpEnd | undefined> {
+	private async _secure(): Promise<StartUpResult | undefined> {
 		const {secureContext} = this._context;
 		if (!secureContext || this._socket instanceof TLSSocket) {
 			return this._decline();
@@ -145,7 +145,7 @@
 		return undefined;
 	}
 
-	private async _start(message: Uint8Array): Promise<StartUpEnd> {
+	private async _start(message: Uint8Array): Promise<StartUpResult> {
 		if (!isWellFormedStartUp(message) || readUint16(message, 4) !== protocolMajor) {
 			return this._refuse(new Refusal('malformedMessage', 'not a start-up message of protocol 3'));
 		}
@@ -154,7 +154,7 @@
 			return this._refuse(new Refusal('authenticationFailed', 'TLS is required'));
 		}
 
-		if (this._context.isFull) {
+		if (this._context.isAtCallerLimit) {
 			return this._refuse(new Refusal('tooManyCallers'));
 		}
 
@@ -181,7 +181,7 @@
 		this._socket.write(makeFrame(negotiateCode, body));
 	}
 
-	private async _authenticate(parameters: Readonly<Record<string, string>>): Promise<StartUpEnd> {
+	private async _authenticate(parameters: Readonly<Record<string, string>>): Promise<StartUpResult> {
 		const name = parameters.user ?? '';
 		const user = this._context.users.get(name);
 		if (this._context.options.authentication !== 'none') {
@@ -213,7 +213,7 @@
 		}
 
 		return this._context.options.authentication === 'md5Password'
-			? checkHash(user, given, this._gateway.md5Salt)
+			? checkSaltedHash(user, given, this._gateway.md5Salt)
 			: checkPassword(user, given);
 	}
 }
--- a/src/node/callers/testing/caller-bench.ts
+++ b/src/node/callers/testing/caller-server-harness.ts
@@ -36,7 +36,7 @@
 };
 
 /** One server with its router, and the callers of one test. */
-export class CallerBench {
+export class CallerServerHarness {
 	readonly router = new FakeRouter();
 	readonly events: LogEventName[] = [];
 	readonly server: CallerServer;
--- a/src/node/callers/testing/fake-router.ts
+++ b/src/node/callers/testing/fake-router.ts
@@ -9,7 +9,7 @@
 } from '../../../common/statements/frames.js';
 
 /** A cycle that was run. */
-export type Ran = {
+export type ExecutedCycle = {
 	/** Codes of its messages. */
 	readonly codes: string;
 	readonly texts: readonly string[];
@@ -20,11 +20,11 @@
 };
 
 /** A cycle with this text waits until it is aborted. */
-export const stuckText = 'select stuck';
+export const blockingText = 'select stuck';
 
 /** A cycle with this text is answered with this many large pieces. */
 export const largeText = 'select large';
-export const largePieces = 100;
+export const largeAnswerChunks = 100;
 const largePieceBytes = 100_000;
 
 /** Cuts joined messages apart. */
@@ -41,12 +41,12 @@
 
 /** Answers each cycle like one endpoint would, and notes it. */
 export class FakeRouter implements Router {
-	readonly ran: Ran[] = [];
+	readonly ran: ExecutedCycle[] = [];
 	readonly closed: RoutedSession[] = [];
 	/** Refusals for the next cycles, first to last. */
 	readonly refusals: Refusal[] = [];
 	/** Called when a cycle has begun to wait. */
-	onStuck: (() => void) | undefined;
+	onBlocked: (() => void) | undefined;
 	private _offset = 0;
 
 	async execute(session: RoutedSession, cycle: RequestCycle, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, RouteEnd>> {
@@ -61,7 +61,7 @@
 			return this._refuse(session, refusal);
 		}
 
-		if (texts.includes(stuckText)) {
+		if (texts.includes(blockingText)) {
 			return this._wait(signal);
 		}
 
@@ -87,7 +87,7 @@
 	}
 
 	private async _wait(signal: AbortSignal): Promise<Either<Refusal, RouteEnd>> {
-		this.onStuck?.();
+		this.onBlocked?.();
 		return new Promise(resolve => {
 			signal.addEventListener('abort', () => {
 				resolve(Left(new Refusal('cancelled')));
@@ -161,5 +161,5 @@
 
 function largeAnswer(): Uint8Array[] {
 	const row = textRow('x'.repeat(largePieceBytes));
-	return [textRowDescription('text'), ...Array.from({length: largePieces}, () => row)];
+	return [textRowDescription('text'), ...Array.from({length: largeAnswerChunks}, () => row)];
 }
--- a/src/node/callers/testing/raw-caller.ts
+++ b/src/node/callers/testing/raw-caller.ts
@@ -22,7 +22,7 @@
 }
 
 /** A message that has no code. */
-export function headless(code: number, ...parts: readonly Uint8Array[]): Uint8Array {
+export function untypedMessage(code: number, ...parts: readonly Uint8Array[]): Uint8Array {
 	const body = new Uint8Array(4);
 	writeUint32(body, 0, code);
 	return makeFrame(0, body, ...parts).subarray(1);
@@ -31,7 +31,7 @@
 /** A start-up message with parameters. */
 export function startUp(parameters: Readonly<Record<string, string>> = {}, version = 0x3_00_00): Uint8Array {
 	const pairs = Object.entries({user: 'app', database: 'stock', ...parameters}).flat().map(text => encodeText(text));
-	return headless(version, ...pairs, Uint8Array.of(0));
+	return untypedMessage(version, ...pairs, Uint8Array.of(0));
 }
 
 /** One socket to the server under test. */
--- a/src/node/cli/change-commands.ts
+++ b/src/node/cli/change-commands.ts
@@ -9,9 +9,9 @@
 import type {ClientRefusal, ProposalOptions} from '../operators/operator-client.js';
 import type {ChangeReach} from '../operators/types.js';
 import {exitCodes, reachWait, type ExitCode} from './constants.js';
-import {wholeNumber} from './numbers.js';
-import {readWish, wishOf, type FileWish} from './wish-file.js';
-import {askApi, operatorCommand, type OperatorOptions} from './operator-options.js';
+import {parseWholeNumber} from './parse-whole-number.js';
+import {readChangeFile, desiredChangeOf, type ChangeFile} from './change-file.js';
+import {callApi, operatorCommand, type OperatorOptions} from './operator-options.js';
 import type {CliContext, OperatorApi} from './types.js';
 
 type ChangeOptions = OperatorOptions & {
@@ -37,7 +37,7 @@
   quetzalstream config propose configuration.json`)
 		.action(async (file: string, options: OperatorOptions) => {
 			await withWish(context, file, finish, async wish =>
-				askApi(context, options, async api => api.preview(wishOf(wish)), describePreview));
+				callApi(context, options, async api => api.preview(desiredChangeOf(wish)), describePreview));
 		});
 }
 
@@ -54,7 +54,7 @@
 		.action(async (file: string, options: ChangeOptions) => {
 			await withWish(context, file, finish, async wish => {
 				const version = 'version' in wish ? wish.version : undefined;
-				return change(context, {...options, basedOn: options.basedOn ?? version}, async (api, proposal) => api.propose(wishOf(wish), proposal));
+				return change(context, {...options, basedOn: options.basedOn ?? version}, async (api, proposal) => api.propose(desiredChangeOf(wish), proposal));
 			});
 		});
 }
@@ -62,7 +62,7 @@
 /** `quetzalstream config undo`. */
 export function undoCommand(context: CliContext, finish: Finish): Command {
 	return changeCommand('undo', 'take a change back by a new one')
-		.argument('<number>', 'number of the change', wholeNumber)
+		.argument('<number>', 'number of the change', parseWholeNumber)
 		.addHelpText('after', `
 Example:
   quetzalstream config undo 41`)
@@ -88,7 +88,7 @@
 function changeCommand(name: string, description: string): Command {
 	return operatorCommand(name, description)
 		.option('--note <text>', 'reason, kept with the change')
-		.option('--based-on <number>', 'number of the last change that you have seen; the newest by default', wholeNumber)
+		.option('--based-on <number>', 'number of the last change that you have seen; the newest by default', parseWholeNumber)
 		.option('--acknowledge <ids...>', 'warnings that are meant')
 		.option('--no-wait', 'do not wait until the change is in force on the nodes');
 }
@@ -99,7 +99,7 @@
 	options: ChangeOptions,
 	send: (api: OperatorApi, proposal: ProposalOptions) => Promise<Either<ClientRefusal, Change>>,
 ): Promise<ExitCode> {
-	return askApi(context, options, async api => {
+	return callApi(context, options, async api => {
 		const basedOn = await basedOnOf(api, options.basedOn);
 		if (basedOn.isLeft()) {
 			return Left(basedOn.swap().unsafeCoerce());
@@ -145,8 +145,8 @@
 	return last;
 }
 
-async function withWish(context: CliContext, file: string, finish: Finish, act: (wish: FileWish) => Promise<ExitCode>): Promise<void> {
-	const read = await readWish(context, file);
+async function withWish(context: CliContext, file: string, finish: Finish, act: (wish: ChangeFile) => Promise<ExitCode>): Promise<void> {
+	const read = await readChangeFile(context, file);
 	const wish = read.toMaybe().extract();
 	if (wish) {
 		finish(await act(wish));
--- a/src/node/cli/wish-file.ts
+++ b/src/node/cli/change-file.ts
@@ -5,7 +5,7 @@
 import {Left, type Either} from 'purify-ts';
 import {z} from 'zod';
 import {documentSchema, operationsSchema} from '../../common/configuration/schema.js';
-import type {Wish} from '../operators/operator-client.js';
+import type {DesiredChange} from '../operators/operator-client.js';
 import {parseSettings} from '../settings/settings-file.js';
 import type {CliContext} from './types.js';
 
@@ -19,24 +19,24 @@
 const plainSchema = documentSchema.transform(document => ({document}));
 
 /** What a file asks for. */
-export type FileWish = z.output<typeof versionedSchema> | z.output<typeof wrappedOperationsSchema> | z.output<typeof plainSchema>;
+export type ChangeFile = z.output<typeof versionedSchema> | z.output<typeof wrappedOperationsSchema> | z.output<typeof plainSchema>;
 
 /** File name that stands for standard input. */
 const standardInput = '-';
 
 /** Reads a file; the Left's message names every problem with its place. */
-export async function readWish(context: CliContext, file: string): Promise<Either<Error, FileWish>> {
+export async function readChangeFile(context: CliContext, file: string): Promise<Either<Error, ChangeFile>> {
 	try {
 		const text = file === standardInput ? await context.readInput() : await readFile(file, 'utf8');
 		return parseSettings(text, file, z.unknown(), context.environment)
-			.chain((content): Either<Error, FileWish> => parseSettings<z.ZodType<FileWish>>(text, file, schemaFor(content), context.environment));
+			.chain((content): Either<Error, ChangeFile> => parseSettings<z.ZodType<ChangeFile>>(text, file, schemaFor(content), context.environment));
 	} catch (error) {
 		return Left(error instanceof Error ? error : new Error(String(error)));
 	}
 }
 
 /** The schema that a file is meant for, so that its problems are told in its own terms. */
-function schemaFor(content: unknown): z.ZodType<FileWish> {
+function schemaFor(content: unknown): z.ZodType<ChangeFile> {
 	if (Array.isArray(content)) {
 		return operationListSchema;
 	}
@@ -50,6 +50,6 @@
 }
 
 /** What the API is asked for, without the number that a file carries. */
-export function wishOf(wish: FileWish): Wish {
+export function desiredChangeOf(wish: ChangeFile): DesiredChange {
 	return 'operations' in wish ? {operations: wish.operations} : {document: wish.document};
 }
--- a/src/node/cli/config-commands.ts
+++ b/src/node/cli/config-commands.ts
@@ -8,8 +8,8 @@
 	applyCommand, orderPrimaryCommand, proposeCommand, undoCommand,
 } from './change-commands.js';
 import type {ExitCode} from './constants.js';
-import {wholeNumber} from './numbers.js';
-import {askApi, operatorCommand, type OperatorOptions} from './operator-options.js';
+import {parseWholeNumber} from './parse-whole-number.js';
+import {callApi, operatorCommand, type OperatorOptions} from './operator-options.js';
 import {describeChange} from './refusals.js';
 import type {CliContext} from './types.js';
 
@@ -31,19 +31,19 @@
 Example:
   quetzalstream config get > configuration.json`)
 		.action(async (options: OperatorOptions) => {
-			finish(await askApi(context, options, async api => api.configuration(), answer => JSON.stringify(answer, undefined, 2)));
+			finish(await callApi(context, options, async api => api.configuration(), answer => JSON.stringify(answer, undefined, 2)));
 		});
 }
 
 function logCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return operatorCommand('log', 'show changes, newest first')
-		.option('--limit <count>', 'changes to show', wholeNumber)
-		.option('--before <number>', 'only changes with smaller numbers', wholeNumber)
+		.option('--limit <count>', 'changes to show', parseWholeNumber)
+		.option('--before <number>', 'only changes with smaller numbers', parseWholeNumber)
 		.addHelpText('after', `
 Example:
   quetzalstream config log --limit 10`)
 		.action(async (options: OperatorOptions & {limit?: number; before?: number}) => {
-			finish(await askApi(context, options, async api => api.changes(options.limit, options.before), describeLog));
+			finish(await callApi(context, options, async api => api.changes(options.limit, options.before), describeLog));
 		});
 }
 
@@ -61,7 +61,7 @@
   quetzalstream config explain --caller public --group stock --zone ayutthaya`)
 		.action(async (options: ExplainOptions) => {
 			const {caller: user, group, zone, application, write: isWrite} = options;
-			finish(await askApi(context, options, async api => api.explain({
+			finish(await callApi(context, options, async api => api.explain({
 				user, group, zone, application, access: isWrite ? 'write' : 'read',
 			}), describeExplanation));
 		});
--- a/src/node/cli/explain-command.ts
+++ b/src/node/cli/explain-command.ts
@@ -5,9 +5,9 @@
 import {readFile, writeFile} from 'node:fs/promises';
 import {Command} from 'commander';
 import {plotDay} from '../../common/explaining/day-plot.js';
-import {entriesOf, tellDay, type DayStory} from '../../common/explaining/day-story.js';
+import {entriesOf, summariseDay, type DaySummary} from '../../common/explaining/day-summary.js';
 import {parseLogLines, type LogLine} from '../../common/explaining/log-lines.js';
-import {tellStory, type RequestStory, type StoryLine} from '../../common/explaining/request-story.js';
+import {buildRequestTimeline, type RequestTimeline, type TimelineLine} from '../../common/explaining/request-timeline.js';
 import {exitCodes, type ExitCode} from './constants.js';
 import {textTable} from './text-table.js';
 import type {CliContext} from './types.js';
@@ -41,7 +41,7 @@
 		.option('--json', 'print the timeline as JSON', false)
 		.action(async (id: string, {logs, seconds, json}: ExplainOptions) => {
 			const span = seconds * 1000;
-			const story = tellStory(await readLogs(logs, context), id, {beforeMs: span, afterMs: span});
+			const story = buildRequestTimeline(await readLogs(logs, context), id, {beforeMs: span, afterMs: span});
 			if (!story) {
 				context.writeError(`quetzalstream: no line names ${id}: it was answered without a detour, or its lines were left out (1008), or a log is missing\n`);
 				finish(exitCodes.failed);
@@ -68,7 +68,7 @@
 			}
 
 			const spanMs = seconds * 1000;
-			const day = tellDay(await readLogs(logs, context), spanMs);
+			const day = summariseDay(await readLogs(logs, context), spanMs);
 			if (!day) {
 				context.writeError('quetzalstream: the files hold no line of a node\'s log\n');
 				finish(exitCodes.failed);
@@ -88,7 +88,7 @@
 }
 
 /** Served requests are not logged one by one: the histogram `callerRequestMs` counts them. */
-function tableOf({startMs, spans, totals}: DayStory): string {
+function tableOf({startMs, spans, totals}: DaySummary): string {
 	const causes = totals.map(([cause]) => cause);
 	const rows = spans.map(({fromMs, refused, marks}) => {
 		const counts = new Map(entriesOf(refused));
@@ -97,11 +97,11 @@
 	return `${textTable(['from', ...causes, 'events'], [...rows, ['all', ...totals.map(([, count]) => count), '']])}\n`;
 }
 
-function pageOf({lines, conclusions}: RequestStory): string {
+function pageOf({lines, conclusions}: RequestTimeline): string {
 	return [...lines.map(line => rowOf(line)), '', ...conclusions].map(row => `${row}\n`).join('');
 }
 
-function rowOf({line: {time, node, number, name, fields}, isOwn}: StoryLine): string {
+function rowOf({line: {time, node, number, name, fields}, isOwn}: TimelineLine): string {
 	const shown = Object.entries(fields).filter(([key]) => key !== 'request').map(([key, value]) => `${key}=${JSON.stringify(value)}`);
 	return [isOwn ? '>' : ' ', time.slice(11, 23), node, String(number), name, ...shown].join(' ');
 }
--- a/src/node/cli/operator-options.ts
+++ b/src/node/cli/operator-options.ts
@@ -27,7 +27,7 @@
 }
 
 /** Asks the API and prints what it answers; resolves with the exit code. */
-export async function askApi<T>(
+export async function callApi<T>(
 	context: CliContext,
 	options: OperatorOptions,
 	ask: (api: OperatorApi) => Promise<Either<ClientRefusal, T>>,
--- a/src/node/cli/serve.ts
+++ b/src/node/cli/serve.ts
@@ -14,7 +14,7 @@
 };
 
 /** What serving uses of its process. */
-export type ServeHost = {
+export type ServeContext = {
 	readonly events: ProcessEvents;
 	readonly write: (text: string) => void;
 	readonly log: Log;
@@ -24,9 +24,9 @@
  * Starts a node and resolves with the exit code once it has been drained. The first signal
  * drains, the second ends the process at once.
  */
-export async function serve(settings: Settings, startNode: StartNode, host: ServeHost): Promise<ExitCode> {
+export async function serve(settings: Settings, startNode: StartNode, host: ServeContext): Promise<ExitCode> {
 	const {events, log} = host;
-	const stopped = stopSignal(events);
+	const stopped = waitForStopSignal(events);
 	exitOnUncaught(events, log);
 	let node: RunningNode | undefined;
 	try {
@@ -44,13 +44,13 @@
 }
 
 /** Tells a supervisor that callers are served, and where. */
-async function announce(node: RunningNode, settings: Settings, {write}: ServeHost): Promise<void> {
+async function announce(node: RunningNode, settings: Settings, {write}: ServeContext): Promise<void> {
 	await node.ready;
 	write(`${JSON.stringify({ready: true, node: settings.node.name, ports: node.ports})}\n`);
 }
 
 /** Resolves with the first signal to stop; a second one ends the process at once. */
-export async function stopSignal(events: ProcessEvents): Promise<void> {
+export async function waitForStopSignal(events: ProcessEvents): Promise<void> {
 	return new Promise(resolve => {
 		let isStopping = false;
 		const stop = (): void => {
--- a/src/node/cli/status-commands.ts
+++ b/src/node/cli/status-commands.ts
@@ -5,8 +5,8 @@
 import type {AuditPage} from '../../common/audit/types.js';
 import type {EndpointStatus, SystemStatus} from '../operators/types.js';
 import type {ExitCode} from './constants.js';
-import {askApi, operatorCommand, type OperatorOptions} from './operator-options.js';
-import {wholeNumber} from './numbers.js';
+import {callApi, operatorCommand, type OperatorOptions} from './operator-options.js';
+import {parseWholeNumber} from './parse-whole-number.js';
 import {textTable} from './text-table.js';
 import type {CliContext} from './types.js';
 
@@ -18,21 +18,21 @@
   quetzalstream status --url http://10.0.0.1:8080 --user ann
   QUETZALSTREAM_URL=http://10.0.0.1:8080 quetzalstream status --json`)
 		.action(async (options: OperatorOptions) => {
-			finish(await askApi(context, options, async api => api.status(), describeStatus));
+			finish(await callApi(context, options, async api => api.status(), describeStatus));
 		});
 }
 
 /** `quetzalstream audit`. */
 export function auditCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return operatorCommand('audit', 'show the audit trail, newest entries first')
-		.option('--limit <count>', 'entries to show', wholeNumber)
+		.option('--limit <count>', 'entries to show', parseWholeNumber)
 		.option('--before <place>', 'go on where the page before ended')
 		.addHelpText('after', `
 Examples:
   quetzalstream audit --limit 20
   quetzalstream audit --before 2026-01-31/000412`)
 		.action(async (options: OperatorOptions & {limit?: number; before?: string}) => {
-			finish(await askApi(context, options, async api => api.audit(options.limit, options.before), describeAudit));
+			finish(await callApi(context, options, async api => api.audit(options.limit, options.before), describeAudit));
 		});
 }
 
--- a/src/node/part-options.ts
+++ b/src/node/component-options.ts
@@ -68,7 +68,7 @@
 export type StartingHost = Omit<Host, 'operatorPort'> & {operatorPort: number};
 
 /** This host as others are to know it. */
-export function selfOf({node, peers, operators}: Settings, peerPort: number, incarnation: string): StartingHost {
+export function localHostOf({node, peers, operators}: Settings, peerPort: number, incarnation: string): StartingHost {
 	return {
 		...node,
 		peerHost: peers.advertisedHost ?? peers.host,
--- a/src/node/direct-peers/constants.ts
+++ b/src/node/direct-peers/constants.ts
@@ -28,4 +28,4 @@
 } as const;
 
 /** Id of what an asked node says without having been asked, and of probes: those of calls are counted from one. */
-export const noticeId = 0;
+export const unsolicitedId = 0;
--- a/src/node/direct-peers/peer-client.ts
+++ b/src/node/direct-peers/peer-client.ts
@@ -5,12 +5,12 @@
 import {Left, Right} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
 import {noBudgetHere} from '../../common/organisations/usage-limits.js';
-import {notFollowed} from '../../common/peering/shared-rows.js';
+import {notFollowedReason} from '../../common/peering/delegating-row-store.js';
 import type {
 	EndpointStatement, ReportedStatus, StatementFault, TimedAnswer,
 } from '../../common/pools/types.js';
 import type {
-	Clock, EndManner, ForwardedBegin, GroupOverview, PeerCalls, PeerNode, PeerNotice, StoredRows, UsageAsk, UsageGrant,
+	Clock, EndManner, ForwardedBegin, GroupOverview, PeerCalls, PeerNode, PeerNotice, StoredRows, BudgetRequest, UsageGrant,
 } from '../../common/services/services.js';
 import type {ForwardedAnswer, ForwardedRequest} from '../peers/generated/quetzalstream/direct.js';
 import {directPeerDefaults} from './constants.js';
@@ -60,7 +60,7 @@
 	async rows(peer: PeerNode, table: string, afterVersion: number, waitMs: number): Promise<Either<string, StoredRows>> {
 		const call = {$case: 'rows', value: {table, afterVersion, waitMs}} as const;
 		const answer = await this._call(peer, call, waitMs + directPeerDefaults.answerMarginMs);
-		return answer.chain(found => found.isFollowed ? Right(fromRowsAnswer(found, table)) : Left(notFollowed));
+		return answer.chain(found => found.isFollowed ? Right(fromRowsAnswer(found, table)) : Left(notFollowedReason));
 	}
 
 	async run(peer: PeerNode, endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
@@ -91,7 +91,7 @@
 		await this._call(peer, {$case: 'run', value: {endpointId: '', work}}, directPeerDefaults.endTimeoutMs);
 	}
 
-	async takeUsage(peer: PeerNode, ask: UsageAsk, timeoutMs: number): Promise<Either<string, UsageGrant>> {
+	async takeUsage(peer: PeerNode, ask: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>> {
 		const answer = await this._call(peer, {$case: 'usage', value: ask}, timeoutMs);
 		return answer.chain(({isKnown, operations, retryAfterMs}) => isKnown ? Right({operations, retryAfterMs}) : Left(noBudgetHere));
 	}
@@ -107,7 +107,7 @@
 	private async _forward(peer: PeerNode, request: ForwardedRequest, {deadlineMs}: EndpointStatement): Promise<Either<StatementFault, ForwardedAnswer>> {
 		const leftMs = Math.max(1, deadlineMs - this._clock.nowMs());
 		const link = this._link(peer);
-		const connected = await link.connected(Math.min(leftMs, directPeerDefaults.connectTimeoutMs));
+		const connected = await link.waitUntilConnected(Math.min(leftMs, directPeerDefaults.connectTimeoutMs));
 		if (connected.isLeft()) {
 			return Left(peerFault(peer, connected.extract(), {isSent: false, isPeerLost: true}));
 		}
@@ -133,7 +133,7 @@
 		const answer = await link.call<Kind>(call, timeoutMs);
 		if (link.isLost && this._links.get(peer.name) === link) {
 			this._links.delete(peer.name);
-			link.retire();
+			link.closeWhenIdle();
 		}
 
 		return answer;
@@ -145,7 +145,7 @@
 			return known;
 		}
 
-		known?.retire();
+		known?.closeWhenIdle();
 		this._closeIdle();
 		const link = new PeerLink(peer, this._clock, this._onNotice);
 		this._links.set(peer.name, link);
@@ -157,7 +157,7 @@
 		for (const [name, link] of this._links) {
 			if (link.idleForMs >= directPeerDefaults.idleLinkMs) {
 				this._links.delete(name);
-				link.retire();
+				link.closeWhenIdle();
 			}
 		}
 	}
--- a/src/node/direct-peers/peer-link.test.ts
+++ b/src/node/direct-peers/peer-link.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
 import {pauseFor} from '../../common/lifecycle/timing.js';
-import type {PeerNode, PeerNotice, PeerRequests} from '../../common/services/services.js';
+import type {PeerNode, PeerNotice, PeerRequestHandlers} from '../../common/services/services.js';
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
 import {SystemClock} from '../system-clock.js';
 import {FaultyProxy} from '../../../standins/line/faulty-proxy.js';
@@ -20,7 +20,7 @@
 	return new Promise(() => undefined); // eslint-disable-line no-promise-executor-return -- never answered
 }
 
-const requests: PeerRequests = {
+const requests: PeerRequestHandlers = {
 	self: () => self,
 	onNotice() {
 		// Not looked at.
@@ -137,7 +137,7 @@
 	it('is told that the peer leaves, whether it was linked before or after', async () => {
 		const {client, server, peer, notices} = await start();
 		await client.tell(peer, {kind: 'joined', node: self}, 5000);
-		server.sayFarewell();
+		server.announceLeaving();
 		const later: PeerNotice[] = [];
 		const other = new DirectPeerClient(clock, notice => {
 			later.push(notice);
--- a/src/node/direct-peers/peer-link.ts
+++ b/src/node/direct-peers/peer-link.ts
@@ -11,7 +11,7 @@
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import type {Clock, PeerNode, PeerNotice} from '../../common/services/services.js';
 import type {LinkAnswer, LinkCall, Notice} from '../peers/generated/quetzalstream/direct.js';
-import {directPeerDefaults, noticeId} from './constants.js';
+import {directPeerDefaults, unsolicitedId} from './constants.js';
 import {fromNotice} from './conversion.js';
 import {directChannelOptions, directService} from './service-definition.js';
 
@@ -69,7 +69,7 @@
 	}
 
 	/** Waits a moment until there is a connection; nothing has been sent where there is none. */
-	async connected(boundMs: number): Promise<Either<string, undefined>> {
+	async waitUntilConnected(boundMs: number): Promise<Either<string, undefined>> {
 		if (this._client.getChannel().getConnectivityState(true) === connectivityState.READY) {
 			return Right(undefined);
 		}
@@ -90,7 +90,7 @@
 	}
 
 	/** Takes no further calls; ends once those on their way have ended. */
-	retire(): void {
+	closeWhenIdle(): void {
 		this._isRetired = true;
 		this._endIfDone();
 	}
@@ -134,7 +134,7 @@
 			}
 
 			// Of no group: the answer is empty.
-			this._stream?.write({id: noticeId, call: {$case: 'overview', value: {service: probedService}}});
+			this._stream?.write({id: unsolicitedId, call: {$case: 'overview', value: {service: probedService}}});
 			this._watch = this._clock.setTimer(directPeerDefaults.probeTimeoutMs, () => {
 				this._watch = undefined;
 				this._onProbed(startedAtMs);
--- a/src/node/direct-peers/peer-server.ts
+++ b/src/node/direct-peers/peer-server.ts
@@ -6,7 +6,7 @@
 import type {Either} from 'purify-ts';
 import type {StatementFault, TimedAnswer} from '../../common/pools/types.js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
-import type {Clock, Log, PeerRequests} from '../../common/services/services.js';
+import type {Clock, Log, PeerRequestHandlers} from '../../common/services/services.js';
 import type {
 	ForwardedAnswer, ForwardedRequest, LinkAnswer, LinkCall, Notice, NoticeAnswer, OverviewAnswer, OverviewRequest, RowsAnswer, RowsRequest,
 	StatusAnswer, StatusRequest, UsageAnswer, UsageRequest,
@@ -14,7 +14,7 @@
 import {
 	fromForwarded, fromNotice, mannerOf, toFault, toNotice, toOverviewAnswer, toReply, toRowsAnswer, toStatusAnswer,
 } from './conversion.js';
-import {noticeId} from './constants.js';
+import {unsolicitedId} from './constants.js';
 import {directChannelOptions, directService} from './service-definition.js';
 
 type LinkStream = ServerDuplexStream<LinkCall, LinkAnswer>;
@@ -22,7 +22,7 @@
 type ServerServices = {
 	readonly clock: Clock;
 	readonly log: Log;
-	readonly requests: PeerRequests;
+	readonly requests: PeerRequestHandlers;
 	readonly configurationVersion: () => number;
 };
 
@@ -61,8 +61,8 @@
 	 * Tells every node that is linked to this one, now or later, that this one leaves. They are all
 	 * who use it, so that nobody need be called for it.
 	 */
-	sayFarewell(): void {
-		this._farewell = {id: noticeId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
+	announceLeaving(): void {
+		this._farewell = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
 		for (const stream of this._streams) {
 			this._write(stream, this._farewell);
 		}
@@ -204,7 +204,7 @@
 		}
 	}
 
-	private async _begin(endpointId: string, statement: Parameters<PeerRequests['begin']>[1], isReadOnly: boolean): Promise<ForwardedAnswer> {
+	private async _begin(endpointId: string, statement: Parameters<PeerRequestHandlers['begin']>[1], isReadOnly: boolean): Promise<ForwardedAnswer> {
 		const result = await this._services.requests.begin(endpointId, statement, isReadOnly);
 		if (result.isLeft()) {
 			return {outcome: toFault(result.extract())};
--- a/src/node/direct/constants.ts
+++ b/src/node/direct/constants.ts
@@ -3,7 +3,7 @@
  */
 
 /** How the grace time of a stop is used. */
-export const leaveTimes = {
+export const drainTimes = {
 	/**
 	 * Time after the node has said that it takes no callers, in which it still serves new ones:
 	 * the platform asks once a second and believes the second answer.
@@ -20,7 +20,7 @@
 /** Times of readiness. */
 export const readinessTimes = {
 	/** Time between two looks. */
-	lookMs: 100,
+	checkEveryMs: 100,
 	/**
 	 * Time without any group, heard and proved, after which the store is probed: that of a lease.
 	 * Proofs that another node shares are up to 700 ms old on a calm day; at 700 ms 8 nodes made
--- a/src/node/direct/direct-node.ts
+++ b/src/node/direct/direct-node.ts
@@ -14,16 +14,16 @@
 import {DisposableStore} from '../../common/lifecycle/disposable.js';
 import {restoreDefaults} from '../../common/store/constants.js';
 import {RestoreWatch} from '../../common/store/restore-watch.js';
-import {WatchedRows} from '../../common/store/watched-rows.js';
+import {VersionObservingStore} from '../../common/store/version-observing-store.js';
 import {lineSessionDefaults} from '../../common/line-sessions/constants.js';
-import {Access} from '../../common/organisations/access.js';
+import {AccessControl} from '../../common/organisations/access-control.js';
 import {usageDefaults} from '../../common/organisations/constants.js';
 import {UsageBudgets} from '../../common/organisations/usage-budgets.js';
 import {UsageLimits} from '../../common/organisations/usage-limits.js';
 import {poolDefaults} from '../../common/pools/constants.js';
 import {PoolSet} from '../../common/pools/pool-set.js';
 import {primacyDefaults} from '../../common/primacy/constants.js';
-import {GroupPrimacies} from '../../common/primacy/group-primacies.js';
+import {PrimaryTrackers} from '../../common/primacy/primary-trackers.js';
 import {tokens} from '../../common/services/services.js';
 import type {
 	Audit, Clock, Invariants, Log, Metrics, Random, RowStore, UsageLimit,
@@ -35,11 +35,11 @@
 import {PromMetrics} from '../observability/prom-metrics.js';
 import {SystemClock} from '../system-clock.js';
 import {SystemRandom} from '../system-random.js';
-import {leaveTimes} from './constants.js';
+import {drainTimes} from './constants.js';
 import {Readiness} from './readiness.js';
-import {makePeering} from './peering.js';
+import {createPeering} from './peering.js';
 import {StatusServer} from './status-server.js';
-import type {DirectNodePlace, PlatformAdapter} from './types.js';
+import type {DirectNodeEnvironment, PlatformAdapter} from './types.js';
 
 /** A node that runs. */
 export type RunningDirectNode = Disposable & {
@@ -48,10 +48,10 @@
 };
 
 /** Starts a node; rejects when an address cannot be listened on. */
-export async function startDirectNode(place: DirectNodePlace, settings: DirectSettings, adapter: PlatformAdapter, log: Log): Promise<RunningDirectNode> {
+export async function startDirectNode(place: DirectNodeEnvironment, settings: DirectSettings, adapter: PlatformAdapter, log: Log): Promise<RunningDirectNode> {
 	const owned = new DisposableStore();
 	try {
-		return await startIn(owned, {place, settings, adapter}, log);
+		return await startIn(owned, {environment: place, settings, adapter}, log);
 	} catch (error) {
 		owned.dispose();
 		throw error;
@@ -59,18 +59,18 @@
 }
 
 type NodeInputs = {
-	readonly place: DirectNodePlace;
+	readonly environment: DirectNodeEnvironment;
 	readonly settings: DirectSettings;
 	readonly adapter: PlatformAdapter;
 };
 
 async function startIn(owned: DisposableStore, inputs: NodeInputs, log: Log): Promise<RunningDirectNode> {
-	const {place, settings, adapter} = inputs;
+	const {environment: place, settings, adapter} = inputs;
 	const {tuning} = settings;
 	const store = owned.register(adapter.openStore(place.store));
 	const services = registerServices(inputs, log, store, owned);
 	const {clock, metrics, restores} = services;
-	const peering = makePeering({place, tuning}, services, owned);
+	const peering = createPeering({environment: place, tuning}, services, owned);
 	const followed = {
 		...services, store: peering.store, paceMs: peering.paceMs, options: {...catalogDefaults, ...tuning.catalog},
 	};
@@ -79,28 +79,28 @@
 	const pools = owned.register(new PoolSet({
 		...services,
 		wire: adapter.wire,
-		holding: endpoint => peering.fleet.holding(endpoint),
-		isByOrganisation: () => catalog.organisations !== undefined,
-		connectionShare: ({service}) => peering.fleet.connectionShare(catalog.connectionLimit(service)),
+		connectionRole: endpoint => peering.fleet.holding(endpoint),
+		areConnectionsPerOrganisation: () => catalog.organisations !== undefined,
+		connectionShare: ({service}) => peering.fleet.connectionQuota(catalog.connectionLimit(service)),
 		connector: new TcpLineConnector(clock, adapter.wire, place.name, lineDefaults),
 		options: {...poolDefaults, ...tuning.pools},
 		queueOptions: {...defaultHomeOptions, ...tuning.queues},
 	}));
-	const ways = peering.waysOver(pools);
-	const primacies = owned.register(new GroupPrimacies({
+	const ways = peering.createPoolSelector(pools);
+	const primacies = owned.register(new PrimaryTrackers({
 		...services,
 		registry,
 		pools,
 		promotions: owned.register(adapter.openPromotions(place.promotions)),
 		peers: peering.peers,
 		sharing: peering.sharing,
-		ways,
+		endpointPools: ways,
 		options: {...primacyDefaults, ...tuning.primacy},
 		availabilityZone: place.availabilityZone,
 	}));
 	const relays = peering.connect(primacies);
 	const usageOptions = {...usageDefaults, ...tuning.usage};
-	const limitOf = (organisation: string): UsageLimit | undefined => catalog.organisations?.named(organisation)?.usageLimit;
+	const limitOf = (organisation: string): UsageLimit | undefined => catalog.organisations?.findByName(organisation)?.usageLimit;
 	const budgets = new UsageBudgets({
 		clock, limitOf, rule: place.usageRule, zones: place.zones, membershipChangedAtMs: peering.membershipChangedAtMs, options: usageOptions,
 	});
@@ -117,24 +117,24 @@
 		wire: adapter.wire,
 		catalog,
 		usage,
-		access: new Access(catalog),
-		ways,
-		primacies,
+		access: new AccessControl(catalog),
+		endpointPools: ways,
+		trackers: primacies,
 		relays,
 		availabilityZone: place.availabilityZone,
 		options: {...lineSessionDefaults, ...tuning.sessions},
 	}, lineDefaults));
 	owned.register(catalog.onChange(() => {
 		primacies.follow(catalog.serviceNames());
-		usage.noteNewLimits();
-		callers.endRevoked();
+		usage.onLimitsChanged();
+		callers.closeRevokedSessions();
 	}));
 	const readiness = owned.register(new Readiness({
 		clock, log, isLoaded: () => catalog.isLoaded && registry.isLoaded,
 		isStoreSettled: () => restores.isSettled,
-		outOfReachForMs: () => primacies.outOfReachForMs,
-		hasFailures: () => primacies.hasFailures,
-		isStoreAway: () => catalog.isStoreAway || registry.isStoreAway,
+		outOfReachForMs: () => primacies.unreachableForMs,
+		hasFailures: () => primacies.hasUnreachablePrimary,
+		isStoreAway: () => catalog.isStoreUnavailable || registry.isStoreUnavailable,
 		probeStore() {
 			void catalog.probeStore();
 		},
@@ -145,7 +145,7 @@
 	// Their answers come while the rest of the node is set up.
 	catalog.start();
 	registry.start();
-	void peering.look();
+	void peering.discover();
 	await listen(owned, place, settings, {
 		adapter, readiness, metrics, callers,
 	});
@@ -164,19 +164,19 @@
 
 	return {
 		async drain() {
-			const {noticeMs, closeIdleMs, transactionShare, marginMs} = leaveTimes;
+			const {noticeMs, closeIdleMs, transactionShare, marginMs} = drainTimes;
 			const endMs = clock.nowMs() + place.graceMs - marginMs;
 			log.event('processDraining', {graceMs: place.graceMs, connections: callers.connections});
 			readiness.leave();
 			void peering.leave();
 			const transactionsEndMs = clock.nowMs() + (place.graceMs * transactionShare);
 			await pauseFor(clock, noticeMs);
-			await callers.closeIdle(closeIdleMs);
+			await callers.closeIdleGradually(closeIdleMs);
 			callers.stopAccepting();
-			await callers.closeAll(transactionsEndMs - clock.nowMs());
+			await callers.closeAllWhenIdle(transactionsEndMs - clock.nowMs());
 			callers.abortTransactions();
-			await callers.closeAll(endMs - clock.nowMs());
-			await peering.finish(endMs - clock.nowMs());
+			await callers.closeAllWhenIdle(endMs - clock.nowMs());
+			await peering.awaitIdle(endMs - clock.nowMs());
 			log.event('processStopped', {connections: callers.connections});
 			owned.dispose();
 		},
@@ -199,7 +199,7 @@
 	readonly node: string;
 };
 
-function registerServices({place, settings}: NodeInputs, log: Log, openedStore: RowStore, owned: DisposableStore): DirectServices {
+function registerServices({environment: place, settings}: NodeInputs, log: Log, openedStore: RowStore, owned: DisposableStore): DirectServices {
 	const container = rootContainer.createChildContainer();
 	const metrics = new PromMetrics({node: place.name});
 	container.registerInstance<Clock>(tokens.clock, new SystemClock());
@@ -211,7 +211,7 @@
 	const restores = owned.register(new RestoreWatch({
 		clock, log, metrics, options: {...restoreDefaults, ...settings.tuning.restores},
 	}));
-	const store = new WatchedRows(openedStore, restores);
+	const store = new VersionObservingStore(openedStore, restores);
 	const audit = owned.register(new RowAudit({
 		clock, log, store, restores, node: place.name,
 	}));
@@ -236,7 +236,7 @@
 	readonly callers: LineServer;
 };
 
-async function listen(owned: DisposableStore, place: DirectNodePlace, settings: DirectSettings, parts: ListenedParts): Promise<void> {
+async function listen(owned: DisposableStore, place: DirectNodeEnvironment, settings: DirectSettings, parts: ListenedParts): Promise<void> {
 	const {
 		adapter, readiness, metrics, callers,
 	} = parts;
--- a/src/node/direct/direct-serve.ts
+++ b/src/node/direct/direct-serve.ts
@@ -7,18 +7,18 @@
 import {Right} from 'purify-ts';
 import {directSettingsSchema, type DirectSettings} from '../../common/settings/direct-settings-schema.js';
 import type {Log} from '../../common/services/services.js';
-import {BoundedLog} from '../observability/bounded-log.js';
+import {RateLimitedLog} from '../observability/rate-limited-log.js';
 import {ConsolaLog} from '../observability/consola-log.js';
 import {loadFile} from '../settings/settings-file.js';
 import {SystemClock} from '../system-clock.js';
 import {exitCodes, type ExitCode} from '../cli/constants.js';
-import {exitOnUncaught, stopSignal, type ProcessEvents} from '../cli/serve.js';
+import {exitOnUncaught, waitForStopSignal, type ProcessEvents} from '../cli/serve.js';
 import {startDirectNode} from './direct-node.js';
-import type {DirectNodePlace, DirectServeOptions} from './types.js';
+import type {DirectNodeEnvironment, DirectServeOptions} from './types.js';
 
 /** Resolves with the exit code once the node has stopped. */
 export async function serveDirectNode(options: DirectServeOptions): Promise<ExitCode> {
-	const place = options.readPlace();
+	const place = options.readEnvironment();
 	const settings = await readSettings(options.settingsFile);
 	const problems = [place, settings].flatMap(read => read.isLeft() ? [read.extract()] : []);
 	if (problems.length > 0) {
@@ -37,14 +37,14 @@
 
 const events: ProcessEvents = process;
 
-async function run(place: DirectNodePlace, settings: DirectSettings, options: DirectServeOptions): Promise<ExitCode> {
+async function run(place: DirectNodeEnvironment, settings: DirectSettings, options: DirectServeOptions): Promise<ExitCode> {
 	const log = makeLog(place, settings);
 	exitOnUncaught(events, log);
 	logStart(log, options);
 	process.on('SIGHUP', () => {
 		reload(options, log);
 	});
-	const stopped = stopSignal(events);
+	const stopped = waitForStopSignal(events);
 	const node = await startDirectNode(place, settings, options, log);
 	await stopped;
 	await node.drain();
@@ -62,7 +62,7 @@
 	});
 }
 
-function makeLog(place: DirectNodePlace, settings: DirectSettings): Log {
+function makeLog(place: DirectNodeEnvironment, settings: DirectSettings): Log {
 	const lines = new ConsolaLog({
 		node: place.name,
 		level: settings.logs.level,
@@ -70,11 +70,11 @@
 			process.stdout.write(line);
 		},
 	});
-	return new BoundedLog(lines, new SystemClock(), settings.logs.linesPerS);
+	return new RateLimitedLog(lines, new SystemClock(), settings.logs.linesPerS);
 }
 
 /** Addresses and the zone hold as long as the process: a reload checks the file and says what it holds. */
-function reload({readPlace}: DirectServeOptions, log: Log): void {
+function reload({readEnvironment: readPlace}: DirectServeOptions, log: Log): void {
 	readPlace().ifLeft(problem => {
 		log.event('settingsReloaded', {isValid: false, problem});
 	}).ifRight(({name, availabilityZone}) => {
--- a/src/node/direct/peering.ts
+++ b/src/node/direct/peering.ts
@@ -10,21 +10,21 @@
 import type {DisposableStore} from '../../common/lifecycle/disposable.js';
 import {pauseFor} from '../../common/lifecycle/timing.js';
 import {nodeTable, peeringDefaults} from '../../common/peering/constants.js';
-import {BudgetKeepers} from '../../common/peering/budget-keepers.js';
-import {EndpointWays} from '../../common/peering/endpoint-ways.js';
+import {FleetUsageHolders} from '../../common/peering/fleet-usage-holders.js';
+import {EndpointPoolSelector} from '../../common/peering/endpoint-pool-selector.js';
 import {Fleet} from '../../common/peering/fleet.js';
 import {ForwardedStatements} from '../../common/peering/forwarded-statements.js';
 import {PeerDirectory} from '../../common/peering/peer-directory.js';
-import {DirectoryPeers} from '../../common/peering/primacy-peers.js';
-import {ProofSharing} from '../../common/peering/proof-sharing.js';
+import {FleetPrimacyPeers} from '../../common/peering/primacy-peers.js';
+import {OverviewPoller} from '../../common/peering/overview-poller.js';
 import {Registrations} from '../../common/peering/registrations.js';
 import {Relays} from '../../common/peering/relays.js';
-import {SharedRows} from '../../common/peering/shared-rows.js';
+import {DelegatingRowStore} from '../../common/peering/delegating-row-store.js';
 import {usageDefaults} from '../../common/organisations/constants.js';
 import type {UsageHolders, UsageLimits} from '../../common/organisations/usage-limits.js';
 import {poolDefaults} from '../../common/pools/constants.js';
 import type {PoolSet} from '../../common/pools/pool-set.js';
-import type {GroupPrimacies} from '../../common/primacy/group-primacies.js';
+import type {PrimaryTrackers} from '../../common/primacy/primary-trackers.js';
 import type {PrimacyPeers, ProofSource} from '../../common/primacy/types.js';
 import type {
 	PeerCalls, PeerNode, PeerNotice, RowStore,
@@ -35,15 +35,15 @@
 import {DirectPeerServer} from '../direct-peers/peer-server.js';
 import {newIncarnation} from '../incarnation.js';
 import type {DirectServices} from './direct-node.js';
-import type {DirectNodePlace} from './types.js';
+import type {DirectNodeEnvironment} from './types.js';
 
 type PeeringInputs = {
-	readonly place: DirectNodePlace;
+	readonly environment: DirectNodeEnvironment;
 	readonly tuning: DirectSettings['tuning'];
 };
 
 type ServedParts = {
-	readonly primacies: GroupPrimacies;
+	readonly primacies: PrimaryTrackers;
 	readonly pools: PoolSet;
 	readonly registry: EndpointRegistry;
 	readonly catalog: RouteCatalog;
@@ -66,24 +66,24 @@
 	/** Pause between changes of a followed table. */
 	readonly paceMs: () => number;
 	readonly sharing: ProofSource;
-	waysOver(pools: PoolSet): EndpointWays;
+	createPoolSelector(pools: PoolSet): EndpointPoolSelector;
 	/** Joins the parts that follow groups; once. */
-	connect(primacies: GroupPrimacies): Relays;
+	connect(primacies: PrimaryTrackers): Relays;
 	/** Reads who is there. */
-	look(): Promise<void>;
+	discover(): Promise<void>;
 	/** Listens for other nodes, registers this one and meets them. */
 	serve(parts: ServedParts): Promise<void>;
 	/** Tells the others that this node leaves. */
 	leave(): Promise<void>;
 	/** Waits until nothing of other nodes is in progress here, at most for a time. */
-	finish(boundMs: number): Promise<void>;
+	awaitIdle(boundMs: number): Promise<void>;
 };
 
 /** Time between two looks whether other nodes' statements have ended. */
-const finishLookMs = 20;
+const idleCheckMs = 20;
 
 /** Makes them; they end with `owned`. */
-export function makePeering({place, tuning}: PeeringInputs, services: DirectServices, owned: DisposableStore): Peering {
+export function createPeering({environment: place, tuning}: PeeringInputs, services: DirectServices, owned: DisposableStore): Peering {
 	const {clock, log, random} = services;
 	const self: PeerNode = {
 		name: place.name, availabilityZone: place.availabilityZone, ...place.peers, cores: place.cores, incarnation: newIncarnation(),
@@ -95,13 +95,13 @@
 	};
 	const directory = owned.register(new PeerDirectory(shared));
 	const fleet = new Fleet(shared, directory);
-	const peers = new DirectoryPeers(shared, directory, fleet);
+	const peers = new FleetPrimacyPeers(shared, directory, fleet);
 	const poolOptions = {...poolDefaults, ...tuning.pools};
 	const {touchMs} = {...usageDefaults, ...tuning.usage};
-	let sharing: ProofSharing | undefined;
+	let sharing: OverviewPoller | undefined;
 	let forwarded: ForwardedStatements | undefined;
 	let server: DirectPeerServer | undefined;
-	const store = new SharedRows(services.store, {...shared, directory, fleet});
+	const store = new DelegatingRowStore(services.store, {...shared, directory, fleet});
 	const paceMs = (): number => fleet.isLarge ? shared.options.followPaceMs : 0;
 	const registrations = owned.register(new Registrations(directory, {
 		...services, store, options: {...catalogDefaults, ...tuning.catalog}, paceMs,
@@ -111,7 +111,7 @@
 		self,
 		calls,
 		membershipChangedAtMs: () => directory.membershipChangedAtMs,
-		usageHolders: new BudgetKeepers({
+		usageHolders: new FleetUsageHolders({
 			directory, fleet, touchMs, sharing: () => sharing,
 		}),
 		peers,
@@ -119,31 +119,31 @@
 		store,
 		paceMs,
 		sharing: {
-			get isAsker() {
-				return fleet.isAsker;
+			get isCoordinator() {
+				return fleet.isCoordinator;
 			},
-			get isExclusive() {
-				return fleet.isExclusive;
+			get isCoordinatorOnly() {
+				return fleet.isCoordinatorOnly;
 			},
 			refresh: async () => sharing?.refresh(),
 		},
-		waysOver: pools => new EndpointWays({
+		createPoolSelector: pools => new EndpointPoolSelector({
 			...shared, directory, fleet, pools, poolOptions,
 		}),
 		connect(primacies) {
 			// Before, no node asks endpoints: there may be too many of them.
-			owned.register(directory.onLook(() => {
+			owned.register(directory.onDiscoveryDone(() => {
 				primacies.wake();
 			}));
 			owned.register(directory.onRegistered(() => {
 				void primacies.checkReplacements();
 			}));
-			sharing = owned.register(new ProofSharing(shared, directory, fleet, primacies));
+			sharing = owned.register(new OverviewPoller(shared, directory, fleet, primacies));
 			return owned.register(new Relays({
 				...shared, peers, random, poolOptions,
 			}, primacies));
 		},
-		look: async () => directory.look(),
+		discover: async () => directory.discover(),
 		async serve({primacies, pools, registry, catalog, usage, tables}) {
 			const served = owned.register(new ForwardedStatements({
 				clock, log, registry, pools, heldForMs: () => catalog.transactionIdleMs + shared.options.heldGraceMs,
@@ -155,7 +155,7 @@
 					directory.learn(node);
 				},
 				left({name}) {
-					directory.forget(name);
+					directory.markLeaving(name);
 				},
 				primary({service, endpointId, term}) {
 					primacies.learnPrimary(service, {endpointId, term});
@@ -176,7 +176,7 @@
 					self: () => self,
 					onNotice,
 					async overview(service) {
-						sharing?.noteAsked();
+						sharing?.recordIncomingPoll();
 						return service === '' ? primacies.overviews(service) : primacies.opinion(service);
 					},
 					status: async (endpointId, timeoutMs) => served.status(endpointId, timeoutMs),
@@ -193,15 +193,15 @@
 			void sharing?.run();
 		},
 		async leave() {
-			server?.sayFarewell();
+			server?.announceLeaving();
 			if (!fleet.isLarge) {
 				await directory.leave();
 			}
 		},
-		async finish(boundMs) {
+		async awaitIdle(boundMs) {
 			const endMs = clock.nowMs() + boundMs;
 			while (forwarded?.isIdle === false && clock.nowMs() < endMs) {
-				await pauseFor(clock, finishLookMs);
+				await pauseFor(clock, idleCheckMs);
 			}
 		},
 	};
--- a/src/node/direct/readiness.test.ts
+++ b/src/node/direct/readiness.test.ts
@@ -59,17 +59,17 @@
 
 	it('asks for no callers soon after it lost every group and the store', async () => {
 		const {closed} = start({isStoreThere: false});
-		await clock.advance(readinessTimes.cutOffAfterMs - readinessTimes.lookMs);
+		await clock.advance(readinessTimes.cutOffAfterMs - readinessTimes.checkEveryMs);
 		expect(readiness.reason).toEqual('ready');
-		await clock.advance(2 * readinessTimes.lookMs);
+		await clock.advance(2 * readinessTimes.checkEveryMs);
 		expect([readiness.reason, closed()]).toEqual(['cutOff', 0]);
-		await clock.advance(readinessTimes.cutOffNoticeMs + readinessTimes.lookMs);
+		await clock.advance(readinessTimes.cutOffNoticeMs + readinessTimes.checkEveryMs);
 		expect(closed() > 0).toEqual(true);
 	});
 
 	it('asks for no callers sooner where attempts failed, once the store has not answered either', async () => {
 		start({isStoreThere: false, hasFailures: true});
-		await clock.advance(readinessTimes.cutOffAfterFailuresMs + (2 * readinessTimes.lookMs));
+		await clock.advance(readinessTimes.cutOffAfterFailuresMs + (2 * readinessTimes.checkEveryMs));
 		expect(readiness.reason).toEqual('cutOff');
 	});
 
@@ -81,7 +81,7 @@
 
 	it('goes on asking for callers while the store answers, whatever the groups do', async () => {
 		const {probes} = start({isStoreThere: true});
-		await clock.advance(readinessTimes.probeAfterMs - readinessTimes.lookMs);
+		await clock.advance(readinessTimes.probeAfterMs - readinessTimes.checkEveryMs);
 		expect(probes()).toEqual(0);
 		await clock.advance(10_000);
 		expect(readiness.reason).toEqual('ready');
@@ -90,7 +90,7 @@
 
 	it('asks for none once it leaves', async () => {
 		start({isStoreThere: true});
-		await clock.advance(readinessTimes.lookMs);
+		await clock.advance(readinessTimes.checkEveryMs);
 		readiness.leave();
 		expect([readiness.isReady, readiness.reason]).toEqual([false, 'leaving']);
 	});
--- a/src/node/direct/readiness.ts
+++ b/src/node/direct/readiness.ts
@@ -67,7 +67,7 @@
 	private async _run(): Promise<void> {
 		while (!this._isDisposed) {
 			this._look();
-			await this._sleep.wait(readinessTimes.lookMs);
+			await this._sleep.wait(readinessTimes.checkEveryMs);
 		}
 	}
 
--- a/src/node/direct/status-server.ts
+++ b/src/node/direct/status-server.ts
@@ -6,19 +6,19 @@
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 
 /** An answer to a question. */
-export type StatusAnswer = {
+export type StatusResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly text: string;
 };
 
-const notFound: StatusAnswer = {status: 404, contentType: 'text/plain', text: ''};
+const notFound: StatusResponse = {status: 404, contentType: 'text/plain', text: ''};
 
 /** Answers GET at one path, and 404 elsewhere. */
 export class StatusServer implements Disposable {
 	private readonly _server: Server;
 
-	constructor(path: string, answer: () => StatusAnswer | Promise<StatusAnswer>) {
+	constructor(path: string, answer: () => StatusResponse | Promise<StatusResponse>) {
 		this._server = createServer((request, response) => {
 			const isKnown = request.method === 'GET' && request.url?.split('?', 1)[0] === path;
 			void this._answer(response, isKnown ? answer : () => notFound);
@@ -35,7 +35,7 @@
 		this._server.closeAllConnections();
 	}
 
-	private async _answer(response: ServerResponse, answer: () => StatusAnswer | Promise<StatusAnswer>): Promise<void> {
+	private async _answer(response: ServerResponse, answer: () => StatusResponse | Promise<StatusResponse>): Promise<void> {
 		const {status, contentType, text} = await answer();
 		response.writeHead(status, {'Content-Type': contentType});
 		response.end(text);
--- a/src/node/direct/types.ts
+++ b/src/node/direct/types.ts
@@ -15,7 +15,7 @@
 };
 
 /** Where a node stands and what it reaches, as its platform says. */
-export type DirectNodePlace = {
+export type DirectNodeEnvironment = {
 	readonly name: string;
 	readonly availabilityZone: string;
 	readonly region: string;
@@ -59,5 +59,5 @@
 	/** Whether the start used the code that the build compiled. */
 	readonly isCodeCacheUsed: boolean;
 	/** Reads the place again, for a start or a reload; the text says what is wrong with it. */
-	readPlace(): Either<string, DirectNodePlace>;
+	readEnvironment(): Either<string, DirectNodeEnvironment>;
 };
--- a/src/node/endpoints/pg-endpoint-connection.ts
+++ b/src/node/endpoints/pg-endpoint-connection.ts
@@ -99,7 +99,7 @@
 	}
 
 	/** Takes in a ParameterStatus; only position reports matter. */
-	takeParameter(batch: Uint8Array, bodyStart: number, end: number): void {
+	handleParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === positionParameter) {
 			this._position = readPosition(value);
@@ -107,7 +107,7 @@
 	}
 
 	/** Takes in an ErrorResponse; a fatal one is not relayed, as the connection ends with it. */
-	takeError(batch: Uint8Array, bodyStart: number, end: number): Duty {
+	handleError(batch: Uint8Array, bodyStart: number, end: number): Duty {
 		const {isFatal, sqlState} = readError(batch, bodyStart, end);
 		if (isFatal) {
 			this._fatalSqlState ??= sqlState;
@@ -239,9 +239,9 @@
 
 handlers[backendTypes.notificationResponse] = () => 'drop';
 handlers[backendTypes.parameterStatus] = (connection, batch, bodyStart, end) => {
-	connection.takeParameter(batch, bodyStart, end);
+	connection.handleParameter(batch, bodyStart, end);
 	return 'drop';
 };
 
-handlers[backendTypes.errorResponse] = (connection, batch, bodyStart, end) => connection.takeError(batch, bodyStart, end);
+handlers[backendTypes.errorResponse] = (connection, batch, bodyStart, end) => connection.handleError(batch, bodyStart, end);
 handlers[backendTypes.readyForQuery] = () => 'ready';
--- a/src/node/endpoints/pg-instance-control.ts
+++ b/src/node/endpoints/pg-instance-control.ts
@@ -38,16 +38,16 @@
 
 const handlers = new Map<number, FrameHandler>([
 	[backendTypes.parameterStatus, (control, batch, bodyStart, end) => {
-		control.takeParameter(batch, bodyStart, end);
+		control.handleParameter(batch, bodyStart, end);
 	}],
 	[backendTypes.dataRow, (control, batch, bodyStart, end) => {
-		control.takeRow(readRow(batch, bodyStart, end));
+		control.handleRow(readRow(batch, bodyStart, end));
 	}],
 	[backendTypes.errorResponse, (control, batch, bodyStart, end) => {
-		control.takeError(readError(batch, bodyStart, end).sqlState);
+		control.handleError(readError(batch, bodyStart, end).sqlState);
 	}],
 	[backendTypes.readyForQuery, control => {
-		control.endOrder();
+		control.completeCommand();
 	}],
 	[backendTypes.rowDescription, ignore],
 	[backendTypes.commandComplete, ignore],
@@ -135,7 +135,7 @@
 	}
 
 	/** Takes in a ParameterStatus; only state reports matter. */
-	takeParameter(batch: Uint8Array, bodyStart: number, end: number): void {
+	handleParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === stateParameter) {
 			this._firstState = undefined;
@@ -144,7 +144,7 @@
 	}
 
 	/** Takes in the row of the order in progress. */
-	takeRow(row: readonly string[]): void {
+	handleRow(row: readonly string[]): void {
 		const order = this._orderInProgress();
 		if (order.row) {
 			throw new ProtocolError('an order was answered by more than one row');
@@ -154,7 +154,7 @@
 	}
 
 	/** Takes in an error, of the order in progress or of the connection as a whole. */
-	takeError(sqlState: string): void {
+	handleError(sqlState: string): void {
 		const [order] = this._orders;
 		if (order?.isSent) {
 			order.sqlState ??= sqlState;
@@ -164,7 +164,7 @@
 	}
 
 	/** Ends the order in progress and sends the next. */
-	endOrder(): void {
+	completeCommand(): void {
 		const order = this._orderInProgress();
 		this._orders.shift();
 		settleOrder(order);
--- a/src/node/bounded.ts
+++ b/src/node/for-each-concurrently.ts
@@ -3,7 +3,7 @@
  */
 
 /** Acts on every item, on at most so many at one time. */
-export async function forEachBounded<T>(items: readonly T[], atOnce: number, act: (item: T) => Promise<void>): Promise<void> {
+export async function forEachConcurrently<T>(items: readonly T[], atOnce: number, act: (item: T) => Promise<void>): Promise<void> {
 	const rest = items.values();
 	const actOnNext = async (): Promise<void> => {
 		for (const item of rest) {
--- a/src/node/start-greeting.test.ts
+++ b/src/node/initial-discovery.test.ts
@@ -6,7 +6,7 @@
 import {SeededRandom} from '../common/random/seeded-random.js';
 import type {Host} from '../common/services/services.js';
 import {VirtualClock} from '../common/testing/virtual-clock.js';
-import {greetingDefaults, StartGreeting} from './start-greeting.js';
+import {discoveryDefaults, InitialDiscovery} from './initial-discovery.js';
 
 /** Hosts that start and greet over one list that lags; a probe lets both ends know each other. */
 class StartingHosts {
@@ -30,9 +30,9 @@
 		this._listed.push({host, atMs: this.clock.nowMs()});
 	}
 
-	greeting(self: Host): StartGreeting {
+	greeting(self: Host): InitialDiscovery {
 		const {clock, random} = this;
-		return new StartGreeting({
+		return new InitialDiscovery({
 			clock,
 			random,
 			membership: {self, learn: () => undefined},
@@ -92,7 +92,7 @@
 		const startMs = world.clock.nowMs();
 		await world.clock.advanceUntil(world.start(self, 0));
 		const tookMs = world.clock.nowMs() - startMs;
-		expect(world.probes).toEqual(145 + (2 * greetingDefaults.hostsPerOtherZone));
+		expect(world.probes).toEqual(145 + (2 * discoveryDefaults.hostsPerOtherZone));
 		expect([tookMs > 800, tookMs < 1200, world.mostProbesIn100Ms < 40]).toEqual([true, true, true]);
 	});
 
--- a/src/node/start-greeting.ts
+++ b/src/node/initial-discovery.ts
@@ -11,10 +11,10 @@
 import type {
 	Clock, Host, HostList, Membership, Peers, Random,
 } from '../common/services/services.js';
-import {forEachBounded} from './bounded.js';
+import {forEachConcurrently} from './for-each-concurrently.js';
 
 /** Defaults of the greeting. */
-export const greetingDefaults = {
+export const discoveryDefaults = {
 	/** Probes in progress at one time. */
 	probesAtOnce: 16,
 	probeTimeoutMs: 500,
@@ -32,7 +32,7 @@
 };
 
 /** What the greeting uses. */
-export type GreetingServices = {
+export type DiscoveryServices = {
 	readonly hostList: Pick<HostList, 'read'>;
 	readonly membership: Pick<Membership, 'self' | 'learn'>;
 	readonly peers: Pick<Peers, 'probe'>;
@@ -41,17 +41,17 @@
 };
 
 /** One start's greeting. */
-export class StartGreeting implements Disposable {
-	private readonly _services: GreetingServices;
-	private readonly _options: typeof greetingDefaults;
+export class InitialDiscovery implements Disposable {
+	private readonly _services: DiscoveryServices;
+	private readonly _options: typeof discoveryDefaults;
 	private readonly _sleep: WakeableSleep;
 	/** Incarnations that answered, by the name of their host. */
 	private readonly _met = new Map<string, string>();
 	private _isDisposed = false;
 
-	constructor(services: GreetingServices, options: Partial<typeof greetingDefaults> = {}) {
+	constructor(services: DiscoveryServices, options: Partial<typeof discoveryDefaults> = {}) {
 		this._services = services;
-		this._options = {...greetingDefaults, ...options};
+		this._options = {...discoveryDefaults, ...options};
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
@@ -103,7 +103,7 @@
 		const due = hosts
 			.map(host => ({host, atMs: startMs + (random.next() * spreadPerHostMs * hosts.length)}))
 			.toSorted((a, b) => a.atMs - b.atMs);
-		await forEachBounded(due, probesAtOnce, async ({host, atMs}) => {
+		await forEachConcurrently(due, probesAtOnce, async ({host, atMs}) => {
 			await new WakeableSleep(clock).wait(atMs - clock.nowMs());
 			if (!this._isDisposed) {
 				await this._probe(host);
--- a/src/node/line/caller-link.ts
+++ b/src/node/line/line-caller-connection.ts
@@ -18,7 +18,7 @@
 type Continuation = 'goesOn' | 'ends';
 
 /** Serves one connection until either side ends it. */
-export class CallerLink implements Disposable {
+export class LineCallerConnection implements Disposable {
 	private readonly _socket: Socket;
 	private readonly _services: LineSessionServices;
 	private readonly _runner: StatementRunner;
@@ -86,7 +86,7 @@
 	 * Ends the session of a caller whose key was revoked: at once where nothing is in progress, else
 	 * with its next statement.
 	 */
-	endIfRevoked(): void {
+	closeIfKeyRevoked(): void {
 		if (this._session?.isKeyRevoked === true) {
 			this._services.log.event('callerKeyRevoked', {closed: this.closeIfIdle()});
 		}
@@ -95,7 +95,7 @@
 	/** Closes the connection if nothing is in progress on it; resolves to whether it did. */
 	closeIfIdle(): boolean {
 		const isIdle = !this._isClosed && this._session !== undefined && this._session.isIdle && !this._isBusy
-			&& this._unread.length === 0 && this._splitter.restBytes === 0;
+			&& this._unread.length === 0 && this._splitter.bufferedBytes === 0;
 		if (isIdle) {
 			this._close();
 		}
@@ -158,7 +158,7 @@
 
 		const answer = await this._session.handle(message);
 		this._write(answer);
-		return this._isClosed || this._session.isEnded ? 'ends' : 'goesOn';
+		return this._isClosed || this._session.mustCloseConnection ? 'ends' : 'goesOn';
 	}
 
 	/** What cannot be read is answered once; the connection ends, since what follows can't be trusted. */
--- a/src/node/line/line-server.ts
+++ b/src/node/line/line-server.ts
@@ -8,7 +8,7 @@
 import {Refusal} from '../../common/errors/error-kinds.js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import {listenOn} from '../listen-on.js';
-import {CallerLink} from './caller-link.js';
+import {LineCallerConnection} from './line-caller-connection.js';
 import type {LineOptions} from './constants.js';
 
 /** Time between two looks for sessions that may be closed. */
@@ -20,7 +20,7 @@
 	private readonly _runner: StatementRunner;
 	private readonly _options: LineOptions;
 	private readonly _server: Server;
-	private readonly _links = new Set<CallerLink>();
+	private readonly _links = new Set<LineCallerConnection>();
 
 	constructor(services: LineSessionServices, options: LineOptions) {
 		this._services = services;
@@ -44,7 +44,7 @@
 	}
 
 	/** Closes sessions in which nothing is in progress, a few at a time, so that they return to other nodes. */
-	async closeIdle(overMs: number): Promise<void> {
+	async closeIdleGradually(overMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + overMs;
 		while (this._links.size > 0 && clock.nowMs() < endMs) {
@@ -68,9 +68,9 @@
 	}
 
 	/** Ends the sessions of callers whose keys were revoked. */
-	endRevoked(): void {
+	closeRevokedSessions(): void {
 		for (const link of this._links) {
-			link.endIfRevoked();
+			link.closeIfKeyRevoked();
 		}
 	}
 
@@ -87,7 +87,7 @@
 	}
 
 	/** Closes every session as soon as nothing is in progress on it; resolves when none is left or the time is over. */
-	async closeAll(boundMs: number): Promise<void> {
+	async closeAllWhenIdle(boundMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + boundMs;
 		while (this._links.size > 0 && clock.nowMs() < endMs) {
@@ -113,7 +113,7 @@
 			return;
 		}
 
-		const link = new CallerLink(socket, this._services, this._runner, this._options);
+		const link = new LineCallerConnection(socket, this._services, this._runner, this._options);
 		this._links.add(link);
 		this._countConnections();
 		void link.run().finally(() => {
--- a/src/node/line/line-splitter.test.ts
+++ b/src/node/line/line-splitter.test.ts
@@ -9,7 +9,7 @@
 		expect(splitter.push(Buffer.from('QUERY 1 RE'))).toEqual([]);
 		expect(splitter.push(Buffer.from('AD x\r'))).toEqual([]);
 		expect(splitter.push(Buffer.from('\nQUERY 2 READ y\r\nQ'))).toEqual(['QUERY 1 READ x', 'QUERY 2 READ y']);
-		expect(splitter.restBytes).toEqual(1);
+		expect(splitter.bufferedBytes).toEqual(1);
 	});
 
 	it('keeps every byte', () => {
--- a/src/node/line/line-splitter.ts
+++ b/src/node/line/line-splitter.ts
@@ -22,7 +22,7 @@
 	}
 
 	/** Bytes of the unfinished line. */
-	get restBytes(): number {
+	get bufferedBytes(): number {
 		return this._rest.length;
 	}
 
--- a/src/node/observability/constants.ts
+++ b/src/node/observability/constants.ts
@@ -19,7 +19,7 @@
 ]);
 
 /** Resolution of the delay of the event loop: each sample wakes the process, also an idle one. */
-export const loopSampleMs = 250;
+export const eventLoopSampleMs = 250;
 
 /** Histogram buckets of metrics that end in no known unit: counts. */
 export const countBuckets = [0, 1, 2, 3, 5, 8, 13, 21, 34, 55, 89, 144];
--- a/src/node/observability/prom-metrics.ts
+++ b/src/node/observability/prom-metrics.ts
@@ -7,7 +7,7 @@
 import {metrics} from '../../common/observability/metric-names.js';
 import type {MetricName, Metrics} from '../../common/services/services.js';
 import {
-	bucketsByUnit, countBuckets, loopSampleMs, metricPrefix,
+	bucketsByUnit, countBuckets, eventLoopSampleMs, metricPrefix,
 } from './constants.js';
 
 type Definition = {
@@ -31,7 +31,7 @@
 		}
 
 		if (options.withProcess ?? true) {
-			collectDefaultMetrics({register: this._registry, prefix: metricPrefix, eventLoopMonitoringPrecision: loopSampleMs});
+			collectDefaultMetrics({register: this._registry, prefix: metricPrefix, eventLoopMonitoringPrecision: eventLoopSampleMs});
 		}
 	}
 
--- a/src/node/observability/bounded-log.test.ts
+++ b/src/node/observability/rate-limited-log.test.ts
@@ -2,19 +2,19 @@
 import {expect} from 'earl';
 import {z} from 'zod';
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
-import {BoundedLog} from './bounded-log.js';
+import {RateLimitedLog} from './rate-limited-log.js';
 import {ConsolaLog} from './consola-log.js';
 
 const lineSchema = z.object({name: z.string()});
 
 describe('BoundedLog', () => {
-	let bounded: BoundedLog;
+	let bounded: RateLimitedLog;
 	let lines: string[];
 
 	function start(linesPerS: number): VirtualClock {
 		lines = [];
 		const clock = new VirtualClock();
-		bounded = new BoundedLog(new ConsolaLog({
+		bounded = new RateLimitedLog(new ConsolaLog({
 			node: 'n1',
 			level: 'info',
 			write(line) {
--- a/src/node/observability/bounded-log.ts
+++ b/src/node/observability/rate-limited-log.ts
@@ -36,7 +36,7 @@
 };
 
 /** Passes events on up to a number a second. */
-export class BoundedLog implements Log, Disposable {
+export class RateLimitedLog implements Log, Disposable {
 	private readonly _log: LeveledLog;
 	private readonly _clock: Clock;
 	private readonly _linesPerSpan: number;
--- a/src/node/operators/shared-round.ts
+++ b/src/node/operators/coalesced-refresh.ts
@@ -4,7 +4,7 @@
 import type {Clock} from '../../common/services/services.js';
 
 /** Begins a round when somebody asks, no two at one time, and none soon after another. */
-export class SharedRound {
+export class CoalescedRefresh {
 	private readonly _clock: Clock;
 	private readonly _keepMs: number;
 	private readonly _act: () => Promise<void>;
--- a/src/node/operators/configuration-routes.ts
+++ b/src/node/operators/configuration-routes.ts
@@ -11,8 +11,8 @@
 import type {Change, ConfigurationDocument, Operation} from '../../common/configuration/schema.js';
 import type {ProposalRefusal} from '../../common/configuration/types.js';
 import {
-	invalid, platformRefusal, sendRefusal, type OperatorRefusal,
-} from './answers.js';
+	invalidRequest, platformRefusal, sendRefusal, type OperatorRefusal,
+} from './refusal-responses.js';
 import {reachOf} from './reach.js';
 import {
 	changePathSchema, changesQuerySchema, explainQuerySchema, groupPathSchema, orderPrimarySchema, previewSchema, proposeSchema, undoSchema,
@@ -20,7 +20,7 @@
 import type {OperatorServices} from './types.js';
 
 /** Sends what was asked for, or the refusal. */
-export function sendEither<T>(reply: FastifyReply, result: Either<OperatorRefusal, T>, status = 200): FastifyReply {
+export function sendResult<T>(reply: FastifyReply, result: Either<OperatorRefusal, T>, status = 200): FastifyReply {
 	return result.isRight()
 		? reply.status(status).send(result.unsafeCoerce())
 		: sendRefusal(reply, result.swap().unsafeCoerce());
@@ -85,14 +85,14 @@
 	private async _list(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
 		const query = parseWith(changesQuerySchema, request.query);
 		if (query.isLeft()) {
-			return sendEither(reply, query.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, query.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const {before, limit} = query.unsafeCoerce();
 		const {history, changeLog} = this._services;
 		const end = Math.min(before ?? Infinity, history.version + 1);
 		const found = await changeLog.changesAfter(Math.max(0, end - 1 - limit));
-		return sendEither(reply, found
+		return sendResult(reply, found
 			.map(changes => ({version: history.version, changes: changes.filter(({number}) => number < end).toReversed()}))
 			.mapLeft(fault => platformRefusal(fault)));
 	}
@@ -100,23 +100,23 @@
 	private async _preview(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
 		const body = parseWith(previewSchema, request.body);
 		if (body.isLeft()) {
-			return sendEither(reply, body.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, body.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const wish = body.unsafeCoerce();
 		if ('undoOf' in wish) {
-			return sendEither(reply, await this._services.undo.preview(wish.undoOf));
+			return sendResult(reply, await this._services.undo.preview(wish.undoOf));
 		}
 
-		return sendEither(reply, operationsOf(wish, this._services.history.model)
+		return sendResult(reply, operationsOf(wish, this._services.history.model)
 			.chain(operations => this._services.changeLog.preview(operations))
-			.mapLeft(problems => invalid(problems)));
+			.mapLeft(problems => invalidRequest(problems)));
 	}
 
 	private async _propose(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
 		const body = parseWith(proposeSchema, request.body);
 		if (body.isLeft()) {
-			return sendEither(reply, body.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, body.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const {operations: _operations, document, ...proposal} = body.unsafeCoerce();
@@ -127,7 +127,7 @@
 
 		const operations = operationsOf(body.unsafeCoerce(), this._services.history.model);
 		if (operations.isLeft()) {
-			return sendEither(reply, operations.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, operations.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const result = await this._services.changeLog.propose({...proposal, author: request.operator, operations: operations.unsafeCoerce()});
@@ -138,7 +138,7 @@
 		const path = parseWith(changePathSchema, request.params);
 		const body = parseWith(undoSchema, request.body);
 		if (path.isLeft() || body.isLeft()) {
-			return sendEither(reply, path.chain(() => body).mapLeft(problems => invalid(problems)));
+			return sendResult(reply, path.chain(() => body).mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const {number} = path.unsafeCoerce();
@@ -150,14 +150,14 @@
 		const path = parseWith(groupPathSchema, request.params);
 		const body = parseWith(orderPrimarySchema, request.body);
 		if (path.isLeft() || body.isLeft()) {
-			return sendEither(reply, path.chain(() => body).mapLeft(problems => invalid(problems)));
+			return sendResult(reply, path.chain(() => body).mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const {name} = path.unsafeCoerce();
 		const {endpoint, ...proposal} = body.unsafeCoerce();
 		const problem = this._orderProblem(name, endpoint);
 		if (problem) {
-			return sendRefusal(reply, invalid([problem]));
+			return sendRefusal(reply, invalidRequest([problem]));
 		}
 
 		const result = await this._services.changeLog.propose({
@@ -182,7 +182,7 @@
 	private async _reach(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
 		const path = parseWith(changePathSchema, request.params);
 		if (path.isLeft()) {
-			return sendEither(reply, path.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, path.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		return reply.send(reachOf(path.unsafeCoerce().number, await this._services.reach.nodes()));
@@ -197,10 +197,10 @@
 			group,
 			access,
 		}));
-		return sendEither(reply, result.mapLeft(problems => invalid(problems)));
+		return sendResult(reply, result.mapLeft(problems => invalidRequest(problems)));
 	}
 
 	private _sendChange(reply: FastifyReply, result: Either<ProposalRefusal, Change>): FastifyReply {
-		return sendEither(reply, result.map(change => ({change})), 201);
+		return sendResult(reply, result.map(change => ({change})), 201);
 	}
 }
--- a/src/node/operators/degradations.ts
+++ b/src/node/operators/degradations.ts
@@ -14,7 +14,7 @@
 };
 
 /** What the findings are made from. */
-export type Observed = {
+export type DegradationInputs = {
 	readonly groups: readonly ObservedGroup[];
 	readonly nodes: readonly NodeStatus[];
 	/** The newest configuration, once nodes have had the time to get it. */
@@ -26,7 +26,7 @@
 };
 
 /** Everything that is degraded, the most urgent first, in a bounded number of lines. */
-export function findDegradations(observed: Observed): readonly Degradation[] {
+export function findDegradations(observed: DegradationInputs): readonly Degradation[] {
 	const found = [
 		...observed.brokenInvariants.map(name => ({subject: 'this node', reason: `its invariant ${name} did not hold; see its log (1004)`})),
 		...observed.groups.flatMap(group => groupFindings(group)),
@@ -101,7 +101,7 @@
 	});
 }
 
-function versionFindings({nodes, expectedVersion}: Observed): readonly Degradation[] {
+function versionFindings({nodes, expectedVersion}: DegradationInputs): readonly Degradation[] {
 	const behind = nodes.filter(({configurationVersion}) => configurationVersion !== undefined && configurationVersion < expectedVersion);
 	return behind.length > statusDefaults.namedOneByOne
 		? [{subject: `${behind.length} nodes`, reason: `do not have configuration ${expectedVersion} in force, such as ${behind[0].name}`}]
--- a/src/node/operators/failover-record.ts
+++ b/src/node/operators/failover-record.ts
@@ -8,7 +8,7 @@
 import type {Clock, Table, TableItem} from '../../common/services/services.js';
 import {parseJsonWith} from '../../common/configuration/problems.js';
 import {failoverRecordDefaults} from './constants.js';
-import {SharedRound} from './shared-round.js';
+import {CoalescedRefresh} from './coalesced-refresh.js';
 import type {Failover} from './types.js';
 
 const failoverSchema = z.object({
@@ -30,7 +30,7 @@
 export class FailoverRecord implements Disposable {
 	private readonly _services: FailoverRecordServices;
 	private readonly _options: typeof failoverRecordDefaults;
-	private readonly _round: SharedRound;
+	private readonly _round: CoalescedRefresh;
 	private readonly _sleep: WakeableSleep;
 	private _last: Failover | undefined;
 	/** The failover that the table is to hold; a newer one replaces it. */
@@ -41,7 +41,7 @@
 	constructor(services: FailoverRecordServices, options: Partial<typeof failoverRecordDefaults> = {}) {
 		this._services = services;
 		this._options = {...failoverRecordDefaults, ...options};
-		this._round = new SharedRound(services.clock, this._options.keepMs, async () => {
+		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => {
 			await this._read();
 		});
 		this._sleep = new WakeableSleep(services.clock);
--- a/src/node/operators/failure-limiter.ts
+++ b/src/node/operators/failure-limiter.ts
@@ -18,7 +18,7 @@
 	}
 
 	/** Time until the address may try again; zero when it may now. */
-	waitMs(address: string): number {
+	remainingWaitMs(address: string): number {
 		const failures = this._failures.get(address);
 		if (failures === undefined || failures.count < this._options.failuresAllowed) {
 			return 0;
--- a/src/node/operators/group-observer.ts
+++ b/src/node/operators/group-view-collector.ts
@@ -4,12 +4,12 @@
 import type {
 	Clock, Configuration, GroupDefinition, GroupView, Host, Membership, Peers,
 } from '../../common/services/services.js';
-import {forEachBounded} from '../bounded.js';
+import {forEachConcurrently} from '../for-each-concurrently.js';
 import {statusDefaults} from './constants.js';
-import {SharedRound} from './shared-round.js';
+import {CoalescedRefresh} from './coalesced-refresh.js';
 
 /** What the observer needs from the rest of the node. */
-export type GroupObserverServices = {
+export type GroupViewCollectorServices = {
 	readonly configuration: Pick<Configuration, 'groups'>;
 	readonly membership: Pick<Membership, 'self' | 'homeOf'>;
 	readonly peers: Pick<Peers, 'groupView'>;
@@ -21,16 +21,16 @@
 type HeardView = {readonly view: GroupView; readonly atMs: number};
 
 /** Asks homes about groups that this node does not follow; a bounded number at one time. */
-export class GroupObserver {
-	private readonly _services: GroupObserverServices;
+export class GroupViewCollector {
+	private readonly _services: GroupViewCollectorServices;
 	private readonly _options: typeof statusDefaults;
-	private readonly _round: SharedRound;
+	private readonly _round: CoalescedRefresh;
 	private readonly _heard = new Map<string, HeardView>();
 
-	constructor(services: GroupObserverServices, options: Partial<typeof statusDefaults> = {}) {
+	constructor(services: GroupViewCollectorServices, options: Partial<typeof statusDefaults> = {}) {
 		this._services = services;
 		this._options = {...statusDefaults, ...options};
-		this._round = new SharedRound(services.clock, this._options.keepMs, async () => this._askAll());
+		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._askAll());
 	}
 
 	/** Resolves once every group that this node does not follow was asked about. */
@@ -60,7 +60,7 @@
 		}
 
 		const others = groups.filter(({name}) => this._services.ownView(name) === undefined);
-		await forEachBounded(others, this._options.groupsAtOnce, async group => this._ask(group));
+		await forEachConcurrently(others, this._options.groupsAtOnce, async group => this._ask(group));
 	}
 
 	private async _ask(group: GroupDefinition): Promise<void> {
--- a/src/node/operators/node-readiness.test.ts
+++ b/src/node/operators/node-readiness.test.ts
@@ -29,7 +29,7 @@
 		clock,
 		random: new SeededRandom(1),
 		isConfigured: () => world.isConfigured,
-		hearsAnyInstance: () => world.hearsAnyInstance,
+		hasReachableInstance: () => world.hearsAnyInstance,
 	});
 	return {clock, world, readiness};
 }
@@ -70,7 +70,7 @@
 		world.hearsAnyInstance = false;
 		world.others = [];
 		for (let look = 0; look < 5; look++) {
-			await readiness.look();
+			await readiness.checkConnectivity();
 		}
 
 		expect(readiness.current.isReady).toEqual(true);
--- a/src/node/operators/node-readiness.ts
+++ b/src/node/operators/node-readiness.ts
@@ -18,7 +18,7 @@
 	/** Whether a configuration is in force on this node. */
 	readonly isConfigured: () => boolean;
 	/** Whether an instance of any group reported to this node not long ago. */
-	readonly hearsAnyInstance: () => boolean;
+	readonly hasReachableInstance: () => boolean;
 };
 
 /**
@@ -59,13 +59,13 @@
 	/** The task that looks for somebody who can be reached. */
 	async run(): Promise<void> {
 		while (!this._isDisposed) {
-			await this.look();
+			await this.checkConnectivity();
 			await this._sleep.wait(this._options.lookMs);
 		}
 	}
 
 	/** Looks once. */
-	async look(): Promise<void> {
+	async checkConnectivity(): Promise<void> {
 		this._misses = await this._reachesAnybody() ? 0 : this._misses + 1;
 	}
 
@@ -76,7 +76,7 @@
 
 	/** Nodes are asked only when no endpoint is heard. A node that knows no other cannot be replaced by one. */
 	private async _reachesAnybody(): Promise<boolean> {
-		const {membership, peers, random, hearsAnyInstance} = this._services;
+		const {membership, peers, random, hasReachableInstance: hearsAnyInstance} = this._services;
 		const others = membership.hosts().filter(({name}) => name !== membership.self.name);
 		if (hearsAnyInstance() || others.length === 0) {
 			return true;
--- a/src/node/operators/node-status.test.ts
+++ b/src/node/operators/node-status.test.ts
@@ -7,7 +7,7 @@
 	EndpointDefinition, GroupDefinition, GroupView, Host, InstanceView,
 } from '../../common/services/services.js';
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
-import {GroupObserver} from './group-observer.js';
+import {GroupViewCollector} from './group-view-collector.js';
 import {NodeStatusSource} from './node-status.js';
 import {ReachProbe} from './reach.js';
 import type {Failover} from './types.js';
@@ -89,7 +89,7 @@
 	const source = new NodeStatusSource({
 		configuration,
 		membership,
-		groups: new GroupObserver({
+		groups: new GroupViewCollector({
 			configuration, membership, peers, clock, ownView: group => group === 'stock' ? world.views.get(group) : undefined,
 		}),
 		reach: new ReachProbe({
--- a/src/node/operators/node-status.ts
+++ b/src/node/operators/node-status.ts
@@ -9,7 +9,7 @@
 import {statusDefaults} from './constants.js';
 import {findDegradations, type ObservedGroup} from './degradations.js';
 import type {FailoverRecord} from './failover-record.js';
-import type {GroupObserver} from './group-observer.js';
+import type {GroupViewCollector} from './group-view-collector.js';
 import type {ReachProbe} from './reach.js';
 import type {
 	EndpointStatus, GroupStatus, NodeStatus, StatusSource, SystemStatus,
@@ -22,7 +22,7 @@
 export type NodeStatusServices = {
 	readonly configuration: Configuration;
 	readonly membership: Pick<Membership, 'self' | 'hosts' | 'homeOf'> & {isSuspected(name: string): boolean};
-	readonly groups: Pick<GroupObserver, 'refresh' | 'view'>;
+	readonly groups: Pick<GroupViewCollector, 'refresh' | 'view'>;
 	readonly reach: Pick<ReachProbe, 'nodes' | 'latest'>;
 	readonly failovers: Pick<FailoverRecord, 'refresh' | 'last'>;
 	readonly metrics: {values(name: MetricName): Promise<readonly MetricValue[]>};
--- a/src/node/operators/operator-authentication.ts
+++ b/src/node/operators/operator-authentication.ts
@@ -64,7 +64,7 @@
 		}
 
 		const isBusy = this._checks.size >= this._options.checksAtOnce && !this._checks.has(digest);
-		const retryAfterMs = isBusy ? this._options.busyRetryMs : this._limiter.waitMs(address);
+		const retryAfterMs = isBusy ? this._options.busyRetryMs : this._limiter.remainingWaitMs(address);
 		return retryAfterMs > 0
 			? Left({kind: 'tooManyFailures', retryAfterMs})
 			: this._check(given, digest, address);
--- a/src/node/operators/operator-client.ts
+++ b/src/node/operators/operator-client.ts
@@ -13,7 +13,7 @@
 	Change, ConfigurationDocument, documentSchema, operationsSchema,
 } from '../../common/configuration/schema.js';
 import type {Preview} from '../../common/configuration/types.js';
-import type {OperatorRefusal} from './answers.js';
+import type {OperatorRefusal} from './refusal-responses.js';
 import {clientDefaults} from './constants.js';
 import type {ChangeReach, SystemStatus} from './types.js';
 
@@ -33,7 +33,7 @@
 };
 
 /** What is wanted: operations, or the whole document that the configuration is to become. */
-export type Wish = {readonly operations: unknown} | {readonly document: unknown};
+export type DesiredChange = {readonly operations: unknown} | {readonly document: unknown};
 
 /** What goes with a proposal. The identity is made where none is given. */
 export type ProposalOptions = {
@@ -115,12 +115,12 @@
 	}
 
 	/** What a change would do; proposes nothing. */
-	async preview(wish: Wish | {readonly undoOf: number}): Promise<Either<ClientRefusal, Preview>> {
+	async preview(wish: DesiredChange | {readonly undoOf: number}): Promise<Either<ClientRefusal, Preview>> {
 		return this._send('POST', '/api/changes/preview', wish);
 	}
 
 	/** Proposes a change; sends it again while its outcome is not known. */
-	async propose(wish: Wish, options: ProposalOptions): Promise<Either<ClientRefusal, Change>> {
+	async propose(wish: DesiredChange, options: ProposalOptions): Promise<Either<ClientRefusal, Change>> {
 		return this._propose('/api/changes', {...wish, ...options});
 	}
 
--- a/src/node/operators/operator-server.ts
+++ b/src/node/operators/operator-server.ts
@@ -5,7 +5,7 @@
 	type FastifyError, type FastifyInstance, type FastifyReply, type FastifyRequest,
 } from 'fastify';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
-import {invalid, sendRefusal, type OperatorRefusal} from './answers.js';
+import {invalidRequest, sendRefusal, type OperatorRefusal} from './refusal-responses.js';
 import {ConfigurationRoutes} from './configuration-routes.js';
 import {operatorServerDefaults} from './constants.js';
 import {OperatorAuthentication} from './operator-authentication.js';
@@ -32,9 +32,9 @@
 	/* eslint-disable @typescript-eslint/naming-convention -- the framework's codes */
 	FST_ERR_CTP_BODY_TOO_LARGE: () => ({kind: 'tooLarge', detail: 'expected a smaller body'}),
 	FST_ERR_CTP_INVALID_MEDIA_TYPE: () => ({kind: 'unsupportedType', detail: 'expected content-type: application/json'}),
-	FST_ERR_CTP_EMPTY_JSON_BODY: () => invalid([{path: '$', expected: 'expected a JSON body'}]),
-	FST_ERR_CTP_INVALID_JSON_BODY: ({message}) => invalid([{path: '$', expected: `expected JSON: ${message}`}]),
-	FST_ERR_CTP_INVALID_CONTENT_LENGTH: () => invalid([{path: '$', expected: 'expected as many bytes as content-length says'}]),
+	FST_ERR_CTP_EMPTY_JSON_BODY: () => invalidRequest([{path: '$', expected: 'expected a JSON body'}]),
+	FST_ERR_CTP_INVALID_JSON_BODY: ({message}) => invalidRequest([{path: '$', expected: `expected JSON: ${message}`}]),
+	FST_ERR_CTP_INVALID_CONTENT_LENGTH: () => invalidRequest([{path: '$', expected: 'expected as many bytes as content-length says'}]),
 	/* eslint-enable @typescript-eslint/naming-convention */
 };
 
@@ -141,7 +141,7 @@
 		}
 
 		if (error.statusCode !== undefined && error.statusCode < 500) {
-			return sendRefusal(reply, invalid([{path: '$', expected: error.message}]));
+			return sendRefusal(reply, invalidRequest([{path: '$', expected: error.message}]));
 		}
 
 		this._services.log.event('operatorServerFailed', {error: error.stack ?? error.message});
--- a/src/node/operators/promotion-log.ts
+++ b/src/node/operators/promotion-log.ts
@@ -13,13 +13,13 @@
 
 /** Passes every event on to a log, and announces the finished promotions among them. */
 export class PromotionLog implements Log, Disposable {
-	readonly onPromotion: Event<FinishedPromotion>;
+	readonly onPromotionFinished: Event<FinishedPromotion>;
 	private readonly _inner: Log;
 	private readonly _onPromotion = new Emitter<FinishedPromotion>();
 
 	constructor(inner: Log) {
 		this._inner = inner;
-		this.onPromotion = this._onPromotion.event;
+		this.onPromotionFinished = this._onPromotion.event;
 	}
 
 	event(name: LogEventName, fields?: Readonly<Record<string, unknown>>): void {
--- a/src/node/operators/reach.ts
+++ b/src/node/operators/reach.ts
@@ -4,9 +4,9 @@
 import type {
 	Clock, Host, Membership, Peers,
 } from '../../common/services/services.js';
-import {forEachBounded} from '../bounded.js';
+import {forEachConcurrently} from '../for-each-concurrently.js';
 import {reachDefaults} from './constants.js';
-import {SharedRound} from './shared-round.js';
+import {CoalescedRefresh} from './coalesced-refresh.js';
 import type {ChangeReach, NodeReach, ReachSource} from './types.js';
 
 /** What the probes need from the rest of the node. */
@@ -22,13 +22,13 @@
 export class ReachProbe implements ReachSource {
 	private readonly _services: ReachServices;
 	private readonly _options: typeof reachDefaults;
-	private readonly _round: SharedRound;
+	private readonly _round: CoalescedRefresh;
 	private readonly _latest = new Map<string, NodeReach>();
 
 	constructor(services: ReachServices, options: Partial<typeof reachDefaults> = {}) {
 		this._services = services;
 		this._options = {...reachDefaults, ...options};
-		this._round = new SharedRound(services.clock, this._options.keepMs, async () => this._probeAll());
+		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._probeAll());
 	}
 
 	/** What each node answered last, also while a round is on its way; without those never asked. */
@@ -53,7 +53,7 @@
 		}
 
 		this._latest.set(self.name, {name: self.name, availabilityZone: self.availabilityZone, version: version()});
-		await forEachBounded(others, this._options.probesAtOnce, async host => this._probe(host));
+		await forEachConcurrently(others, this._options.probesAtOnce, async host => this._probe(host));
 	}
 
 	private async _probe(host: Host): Promise<void> {
--- a/src/node/operators/answers.ts
+++ b/src/node/operators/refusal-responses.ts
@@ -47,7 +47,7 @@
 }
 
 /** The refusal of a request that does not fit its schema. */
-export function invalid(problems: readonly Problem[]): OperatorRefusal {
+export function invalidRequest(problems: readonly Problem[]): OperatorRefusal {
 	return {kind: 'invalid', problems};
 }
 
--- a/src/node/operators/status-routes.ts
+++ b/src/node/operators/status-routes.ts
@@ -3,8 +3,8 @@
  */
 import type {FastifyInstance, FastifyReply, FastifyRequest} from 'fastify';
 import {parseWith} from '../../common/configuration/problems.js';
-import {invalid, platformRefusal} from './answers.js';
-import {sendEither} from './configuration-routes.js';
+import {invalidRequest, platformRefusal} from './refusal-responses.js';
+import {sendResult} from './configuration-routes.js';
 import {auditQuerySchema} from './request-schemas.js';
 import type {OperatorServices} from './types.js';
 
@@ -17,7 +17,7 @@
 	}
 
 	register(server: FastifyInstance): void {
-		const {status, metricsText, readiness} = this._services;
+		const {status, metricsSource: metricsText, readiness} = this._services;
 		server.get('/api/status', async () => status.read());
 		server.get('/api/audit', async (request, reply) => this._audit(request, reply));
 		server.get('/metrics', async (_request, reply) => reply.type(metricsText.contentType).send(await metricsText.text()));
@@ -31,13 +31,13 @@
 	private async _audit(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
 		const query = parseWith(auditQuerySchema, request.query);
 		if (query.isLeft()) {
-			return sendEither(reply, query.mapLeft(problems => invalid(problems)));
+			return sendResult(reply, query.mapLeft(problems => invalidRequest(problems)));
 		}
 
 		const {limit, before} = query.unsafeCoerce();
 		const page = await this._services.audit.read(limit, before);
-		return sendEither(reply, page.mapLeft(fault => fault.kind === 'invalid'
-			? invalid([{path: '$.before', expected: fault.detail}])
+		return sendResult(reply, page.mapLeft(fault => fault.kind === 'invalid'
+			? invalidRequest([{path: '$.before', expected: fault.detail}])
 			: platformRefusal(fault)));
 	}
 }
--- a/src/node/operators/testing/operator-fixtures.ts
+++ b/src/node/operators/testing/operator-fixtures.ts
@@ -73,7 +73,7 @@
 				{name: 'node-c', availabilityZone: 'zone-c'},
 			],
 		},
-		metricsText: {contentType: 'text/plain', text: async () => 'quetzalstream_up 1\n'},
+		metricsSource: {contentType: 'text/plain', text: async () => 'quetzalstream_up 1\n'},
 		readiness: () => readiness,
 	};
 	const operatorServer = new OperatorServer(services, {
--- a/src/node/operators/types.ts
+++ b/src/node/operators/types.ts
@@ -140,7 +140,7 @@
 	readonly status: StatusSource;
 	readonly audit: AuditSource;
 	readonly reach: ReachSource;
-	readonly metricsText: MetricsSource;
+	readonly metricsSource: MetricsSource;
 	readonly readiness: () => Readiness;
 	readonly clock: Clock;
 	readonly log: Log;
--- a/src/node/peers/link-writer.ts
+++ b/src/node/peers/link-writer.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** Number of sources that wait. */
-	get waiting(): number {
+	get queuedSourceCount(): number {
 		return this._sources.length;
 	}
 
@@ -45,7 +45,7 @@
 	}
 
 	/** The stream can take more. */
-	drained(): void {
+	onDrain(): void {
 		this._isFull = false;
 		this._scheduleFlush();
 	}
--- a/src/node/peers/liveness.test.ts
+++ b/src/node/peers/liveness-monitor.test.ts
@@ -1,9 +1,9 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
-import {Liveness} from './liveness.js';
+import {LivenessMonitor} from './liveness-monitor.js';
 
-function watched(clock: VirtualClock): {liveness: Liveness; seen: string[]; subject: {isBusy: boolean}} {
+function watched(clock: VirtualClock): {liveness: LivenessMonitor; seen: string[]; subject: {isBusy: boolean}} {
 	const seen: string[] = [];
 	const subject = {
 		isBusy: true,
@@ -14,8 +14,8 @@
 			seen.push('silent');
 		},
 	};
-	const liveness = new Liveness(clock, subject, {tickMs: 200, maximumSilentTicks: 4});
-	liveness.watch();
+	const liveness = new LivenessMonitor(clock, subject, {tickMs: 200, maximumSilentTicks: 4});
+	liveness.start();
 	return {liveness, seen, subject};
 }
 
@@ -47,7 +47,7 @@
 		await clock.advance(200);
 		expect([seen, clock.pendingTimers]).toEqual([[], 0]);
 		subject.isBusy = true;
-		liveness.watch();
+		liveness.start();
 		await clock.advance(200);
 		expect(seen).toEqual(['quiet']);
 		liveness.dispose();
--- a/src/node/peers/liveness.ts
+++ b/src/node/peers/liveness-monitor.ts
@@ -5,7 +5,7 @@
 import type {Clock} from '../../common/services/services.js';
 
 /** What the watch asks of its link. */
-export type LivenessSubject = {
+export type MonitoredLink = {
 	/** Whether something is in progress, so that silence means something. */
 	readonly isBusy: boolean;
 	/** Called each tick while busy; `hasReceived` tells of the time since the last tick. */
@@ -19,7 +19,7 @@
  * It counts ticks of its own rather than elapsed time, and none that came late: after a
  * pause of this process the peer's words may lie unread.
  */
-export class Liveness implements Disposable {
+export class LivenessMonitor implements Disposable {
 	private readonly _tickMs: number;
 	private readonly _maximumSilentTicks: number;
 	private _timer: Disposable | undefined;
@@ -29,7 +29,7 @@
 
 	constructor(
 		private readonly _clock: Clock,
-		private readonly _subject: LivenessSubject,
+		private readonly _subject: MonitoredLink,
 		options: {readonly tickMs: number; readonly maximumSilentTicks: number},
 	) {
 		this._tickMs = options.tickMs;
@@ -42,7 +42,7 @@
 	}
 
 	/** Starts to watch; to be called whenever something begins. */
-	watch(): void {
+	start(): void {
 		if (!this._timer) {
 			this._silentTicks = 0;
 			this._schedule();
--- a/src/node/peers/peer-link.ts
+++ b/src/node/peers/peer-link.ts
@@ -11,9 +11,9 @@
 import type {Envelope, Hello} from './generated/quetzalstream/peer.js';
 import {handleBody, type BodyHandlers} from './body-handlers.js';
 import {LinkWriter} from './link-writer.js';
-import {Liveness, type LivenessSubject} from './liveness.js';
+import {LivenessMonitor, type MonitoredLink} from './liveness-monitor.js';
 import {fromHost} from './message-conversion.js';
-import {PendingAsk} from './pending-ask.js';
+import {PendingUnaryRequest} from './pending-unary-request.js';
 import {PendingExecute, type ExecuteCall} from './pending-execute.js';
 import {PeerStream} from './peer-stream.js';
 import {PendingRequests} from './pending-requests.js';
@@ -31,13 +31,13 @@
 export type LinkEnd = 'notOpened' | 'lost' | 'closed';
 
 /** One link to one peer. Lives until it is lost, idle or disposed. */
-export class PeerLink implements LinkContext, LivenessSubject, Disposable {
+export class PeerLink implements LinkContext, MonitoredLink, Disposable {
 	private _state: LinkState = 'opening';
 	private readonly _pending: PendingRequests;
 	/** Sessions that hold a transaction at the peer; the link must outlive them. */
 	private readonly _held = new Set<string>();
 	private readonly _writer: LinkWriter;
-	private readonly _liveness: Liveness;
+	private readonly _liveness: LivenessMonitor;
 	private readonly _stream: PeerStream;
 	private _timer: Disposable;
 	private _maximumInProgress: number;
@@ -65,7 +65,7 @@
 		this._maximumInProgress = options.maximumInProgress;
 		this._pending = new PendingRequests(services.metrics);
 		this._writer = new LinkWriter(options);
-		this._liveness = new Liveness(services.clock, this, {tickMs: options.livenessTickMs, maximumSilentTicks: options.askerSilentTicks});
+		this._liveness = new LivenessMonitor(services.clock, this, {tickMs: options.livenessTickMs, maximumSilentTicks: options.askerSilentTicks});
 		this._stream = new PeerStream(peer, options, tls);
 		this._timer = services.clock.setTimer(options.openTimeoutMs, () => {
 			this.fail('not open in time');
@@ -99,13 +99,13 @@
 	}
 
 	/** Asks a short question. */
-	async ask<K extends BodyKind>(body: Body, answerKind: K, timeoutMs: number): Promise<Either<Refusal, BodyOf<K>['value']>> {
+	async requestUnary<K extends BodyKind>(body: Body, answerKind: K, timeoutMs: number): Promise<Either<Refusal, BodyOf<K>['value']>> {
 		const refusal = this._refusalOfAny();
 		if (refusal) {
 			return Left(refusal);
 		}
 
-		const pending = this._pending.begin(id => new PendingAsk(this, id, answerKind, timeoutMs));
+		const pending = this._pending.begin(id => new PendingUnaryRequest(this, id, answerKind, timeoutMs));
 		this._watch();
 		this._writer.send(this._pending.lastId, body);
 		const result = await pending.result;
@@ -115,7 +115,7 @@
 
 	/** Sends something that has no answer and may get lost. */
 	announce(body: Body): void {
-		if (this._writer.waiting >= this.options.maximumAnnouncementsWaiting) {
+		if (this._writer.queuedSourceCount >= this.options.maximumAnnouncementsWaiting) {
 			this.services.metrics.count('peerAnnouncementsDroppedTotal');
 			return;
 		}
@@ -136,8 +136,8 @@
 		this._writer.send(requestId, body);
 	}
 
-	forget(requestId: number): void {
-		this._pending.forget(requestId);
+	removeRequest(requestId: number): void {
+		this._pending.remove(requestId);
 	}
 
 	fail(detail: string): void {
@@ -169,7 +169,7 @@
 	/** The task of this link, from the greeting to the end. */
 	private async _run(): Promise<void> {
 		this._stream.onDrain(() => {
-			this._writer.drained();
+			this._writer.onDrain();
 		});
 		try {
 			this._greet();
@@ -219,7 +219,7 @@
 		this.services.log.event('peerLinkOpened', {peer: this.peer.name});
 		this._watchForIdle();
 		if (this.isBusy) {
-			this._liveness.watch();
+			this._liveness.start();
 		}
 
 		this._writer.start(this._stream);
@@ -262,7 +262,7 @@
 
 	private _watch(): void {
 		if (this._state === 'open') {
-			this._liveness.watch();
+			this._liveness.start();
 		}
 	}
 
--- a/src/node/peers/peer-links.test.ts
+++ b/src/node/peers/peer-links.test.ts
@@ -4,7 +4,7 @@
 import {Refusal} from '../../common/errors/error-kinds.js';
 import type {HomeRequest} from '../../common/services/services.js';
 import {
-	endWith, eventually, hostNamed, LinkPair, Relay, requestWith, type Running,
+	endWith, waitUntil, hostNamed, LinkPair, TcpRelay, requestWith, type ManualExecution,
 } from './testing/link-pair.js';
 import {PeerLinks} from './peer-links.js';
 import {testTls} from './testing/tls-fixture.js';
@@ -75,7 +75,7 @@
 			const result = await pair.execute(requestWith({sessionId: `asker/1/${index}`}), pushed);
 			return [result.isRight(), pushed[0][0]];
 		});
-		const running: Running[] = [];
+		const running: ManualExecution[] = [];
 		while (running.length < count) {
 			running.push(await pair.executor.next());
 		}
@@ -114,7 +114,7 @@
 		const room = wait();
 		const more = [bytesOf(50, 2), bytesOf(8000, 3)].map(async piece => running.sink.push(piece));
 		running.finish(Right(endWith()));
-		await eventually(() => pushed.length === 1);
+		await waitUntil(() => pushed.length === 1);
 		expect(pushed.map(piece => piece.length)).toEqual([9000]);
 		expect(hasRoom).toEqual(false);
 		const releasing = setInterval(() => {
@@ -139,7 +139,7 @@
 		pair.links.announcePrimary(pair.home, {group: 'stock', term: 4, primary: 'stock-3'});
 		pair.links.announceVersion(pair.home, 12);
 		pair.links.announceLeaving(pair.home);
-		await eventually(() => pair.announced.length === 4);
+		await waitUntil(() => pair.announced.length === 4);
 		expect(pair.announced).toLooseEqual(['handOver stock-1', {group: 'stock', term: 4, primary: 'stock-3'}, 'asker 12', 'asker leaves']);
 	});
 
@@ -149,7 +149,7 @@
 		const result = pair.execute(requestWith({access: 'write'}), [], controller);
 		const running = await pair.executor.next();
 		controller.abort();
-		await eventually(() => running.signal.aborted);
+		await waitUntil(() => running.signal.aborted);
 		running.finish(Left(new Refusal('cancelled')));
 		expect(await pair.kindOf(result)).toEqual('cancelled');
 	});
@@ -161,10 +161,10 @@
 		const running = await pair.executor.next();
 		await pair.clock.advance(300);
 		expect(await pair.kindOf(result)).toEqual('outcomeUnknown');
-		await eventually(() => running.signal.aborted);
+		await waitUntil(() => running.signal.aborted);
 		await running.sink.push(bytesOf(3, 3));
 		running.finish(Right(endWith()));
-		await eventually(() => pair.counted.includes('peerAnswersDroppedTotal:late'));
+		await waitUntil(() => pair.counted.includes('peerAnswersDroppedTotal:late'));
 		expect(pushed).toEqual([]);
 	});
 
@@ -196,7 +196,7 @@
 		const running = await pair.executor.next();
 		if (hasPushed) {
 			await running.sink.push(bytesOf(5, 1));
-			await eventually(() => pushed.length > 0);
+			await waitUntil(() => pushed.length > 0);
 		}
 
 		pair.server.dispose();
@@ -231,7 +231,7 @@
 
 	it('notices a peer that falls silent within a second, on both sides', async () => {
 		await start();
-		const relay = new Relay(pair.home.peerPort);
+		const relay = new TcpRelay(pair.home.peerPort);
 		await relay.listen();
 		const host = {...pair.home, peerPort: relay.port};
 		const result = pair.execute(requestWith({access: 'write', timeLeftMs: 60_000}), [], {host});
@@ -269,7 +269,7 @@
 		expect(pair.lost).toEqual([]);
 		pair.links.executorOf(pair.home).release('stock', 'stock-1', 'asker/1/1');
 		await pair.clock.advance(60_000);
-		await eventually(() => pair.lost.length === 1);
+		await waitUntil(() => pair.lost.length === 1);
 		expect(pair.executor.released).toEqual(['asker/1/1']);
 		expect(pair.reports.includes(false)).toEqual(false);
 		expect(pair.clock.pendingTimers).toEqual(0);
--- a/src/node/peers/peer-links.ts
+++ b/src/node/peers/peer-links.ts
@@ -56,14 +56,14 @@
 
 	async groupView(host: Host, group: string, timeoutMs: number): Promise<Either<Refusal, GroupView>> {
 		return this._with(host, async link => {
-			const answer = await link.ask({$case: 'groupViewAsk', value: {group}}, 'groupViewAnswer', timeoutMs);
+			const answer = await link.requestUnary({$case: 'groupViewAsk', value: {group}}, 'groupViewAnswer', timeoutMs);
 			return answer.map(view => fromGroupView(view));
 		});
 	}
 
 	async probe(host: Host, timeoutMs: number): Promise<Either<Refusal, PeerProbe>> {
 		return this._with(host, async link => {
-			const answer = await link.ask({$case: 'probe', value: {}}, 'probeAnswer', timeoutMs);
+			const answer = await link.requestUnary({$case: 'probe', value: {}}, 'probeAnswer', timeoutMs);
 			return answer.chain(probe => {
 				const peer = fromHost(probe.host);
 				return peer
@@ -78,7 +78,7 @@
 	}
 
 	async fetchChanges(host: Host, afterNumber: number, timeoutMs: number): Promise<Either<Refusal, ChangeBatch>> {
-		return this._with(host, async link => link.ask({$case: 'changesAsk', value: {afterNumber}}, 'changesAnswer', timeoutMs));
+		return this._with(host, async link => link.requestUnary({$case: 'changesAsk', value: {afterNumber}}, 'changesAnswer', timeoutMs));
 	}
 
 	announceVersion(host: Host, version: number): void {
@@ -87,7 +87,7 @@
 
 	async handOver(host: Host, endpoint: string, timeoutMs: number): Promise<Either<Refusal, void>> {
 		return this._with(host, async link => {
-			const answer = await link.ask({$case: 'handOver', value: {endpoint}}, 'handedOver', timeoutMs);
+			const answer = await link.requestUnary({$case: 'handOver', value: {endpoint}}, 'handedOver', timeoutMs);
 			return answer.map(() => undefined);
 		});
 	}
--- a/src/node/peers/peer-server.ts
+++ b/src/node/peers/peer-server.ts
@@ -7,7 +7,7 @@
 import {loopbackPattern, peerDefaults} from './constants.js';
 import type {Batch} from './generated/quetzalstream/peer.js';
 import {channelOptions, linkService, serverCredentials} from './link-definition.js';
-import {ServedLink, type LinkOwner} from './served-link.js';
+import {ServedLink, type ServedLinkContext} from './served-link.js';
 import type {PeerOptions, PeerServices, PeerTls} from './types.js';
 
 /** Listens for links of peers and passes their requests on. */
@@ -15,7 +15,7 @@
 	private readonly _options: PeerOptions;
 	private readonly _server: Server;
 	private readonly _links = new Set<ServedLink>();
-	private _owner: LinkOwner | undefined;
+	private _owner: ServedLinkContext | undefined;
 	private _isDraining = false;
 	private _onLastEnded: (() => void) | undefined;
 
@@ -52,7 +52,7 @@
 			services,
 			handlers,
 			options: this._options,
-			onGreeted: link => {
+			onHandshake: link => {
 				this._onGreeted(link);
 			},
 			onEnded: link => {
--- a/src/node/peers/pending-execute.test.ts
+++ b/src/node/peers/pending-execute.test.ts
@@ -35,7 +35,7 @@
 		send(_id: number, body: Body) {
 			sent.push(body.$case);
 		},
-		forget() {
+		removeRequest() {
 			// Not looked at.
 		},
 		fail(detail: string) {
--- a/src/node/peers/pending-execute.ts
+++ b/src/node/peers/pending-execute.ts
@@ -13,12 +13,12 @@
 import {
 	fromAnswerEnd, fromHost, fromRefused, toExecute,
 } from './message-conversion.js';
-import type {Pending} from './pending-requests.js';
+import type {PendingRequest} from './pending-requests.js';
 import type {
 	Body, EnvelopeSource, LinkContext,
 } from './types.js';
 import {
-	progressOf, unanswered, unexplainedKind, type UnansweredCause,
+	progressOf, unansweredRefusal, ambiguousErrorKind, type UnansweredCause,
 } from './unanswered.js';
 
 /** What the caller of `execute` gave. */
@@ -32,7 +32,7 @@
  * One request cycle that waits for its answer. Settles exactly once; nothing is pushed
  * after that. The sink has to settle its promises when its caller is gone.
  */
-export class PendingExecute implements Pending, EnvelopeSource {
+export class PendingExecute implements PendingRequest, EnvelopeSource {
 	/** Settles with the answer's end or with a refusal. */
 	readonly result: Promise<Either<Refusal, HomeEnd>>;
 
@@ -144,10 +144,10 @@
 		}
 
 		this._learnHome(refused);
-		const refusal = fromRefused(refused, unexplainedKind(this._request));
+		const refusal = fromRefused(refused, ambiguousErrorKind(this._request));
 		const isBegun = this._hasPushed || this._arrived.length > 0;
 		const fits = !isBegun || refusal.answer.outcome === 'unknown';
-		this._settle(Left(fits ? refusal : new Refusal(unexplainedKind(this._request), refusal.detail)));
+		this._settle(Left(fits ? refusal : new Refusal(ambiguousErrorKind(this._request), refusal.detail)));
 	}
 
 	/** A host that started a short time ago is known to few; to be sent to it is of use only with its address. */
@@ -287,7 +287,7 @@
 
 		const progress = progressOf(this._request, this._isSent, this._hasPushed);
 		this._link.services.metrics.count('peerRequestsUnansweredTotal', {cause, progress});
-		this._settle(Left(unanswered(cause, progress, detail)));
+		this._settle(Left(unansweredRefusal(cause, progress, detail)));
 	}
 
 	private _settle(result: Either<Refusal, HomeEnd>): void {
@@ -298,7 +298,7 @@
 		this._isSettled = true;
 		this._deadline.dispose();
 		this._call.signal.removeEventListener('abort', this._onAbort);
-		this._link.forget(this._id);
+		this._link.removeRequest(this._id);
 		this._resolve(result);
 	}
 }
--- a/src/node/peers/pending-requests.ts
+++ b/src/node/peers/pending-requests.ts
@@ -5,7 +5,7 @@
 import type {Body} from './types.js';
 
 /** A request that waits for its answer. */
-export type Pending = {
+export type PendingRequest = {
 	/** Takes an answer; false when the body is no answer to this request. */
 	receive(body: Body): boolean;
 	/** Ends the request because its link ended. */
@@ -15,7 +15,7 @@
 /** Matches answers to requests by id. Ids are never used twice on a link. */
 export class PendingRequests {
 	private readonly _metrics: Metrics;
-	private readonly _pending = new Map<number, Pending>();
+	private readonly _pending = new Map<number, PendingRequest>();
 	private _lastId = 0;
 
 	constructor(metrics: Metrics) {
@@ -33,7 +33,7 @@
 	}
 
 	/** Enters a request under a new id. */
-	begin<T extends Pending>(create: (id: number) => T): T {
+	begin<T extends PendingRequest>(create: (id: number) => T): T {
 		this._lastId++;
 		const pending = create(this._lastId);
 		this._pending.set(this._lastId, pending);
@@ -41,7 +41,7 @@
 	}
 
 	/** Takes a request out: from now on answers to it are late. */
-	forget(id: number): void {
+	remove(id: number): void {
 		this._pending.delete(id);
 	}
 
--- a/src/node/peers/pending-ask.ts
+++ b/src/node/peers/pending-unary-request.ts
@@ -5,13 +5,13 @@
 import {Refusal} from '../../common/errors/error-kinds.js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import {fromRefused} from './message-conversion.js';
-import type {Pending} from './pending-requests.js';
+import type {PendingRequest} from './pending-requests.js';
 import type {
 	Body, BodyKind, BodyOf, LinkContext,
 } from './types.js';
 
 /** One question that waits for its answer. Settles exactly once. */
-export class PendingAsk<K extends BodyKind> implements Pending {
+export class PendingUnaryRequest<K extends BodyKind> implements PendingRequest {
 	/** Settles with the answer or with a refusal. */
 	readonly result: Promise<Either<Refusal, BodyOf<K>['value']>>;
 
@@ -54,7 +54,7 @@
 
 	private _settle(result: Either<Refusal, BodyOf<K>['value']>): void {
 		this._timeout.dispose();
-		this._link.forget(this._id);
+		this._link.removeRequest(this._id);
 		this._resolve(result);
 	}
 }
--- a/src/node/peers/served-answer.test.ts
+++ b/src/node/peers/served-answer.test.ts
@@ -30,7 +30,7 @@
 		writer,
 		windowBytes,
 		partBytes: 100,
-		hostNamed: () => undefined,
+		findHost: () => undefined,
 		onSent() {
 			// Not looked at.
 		},
@@ -110,7 +110,7 @@
 		await settle();
 		expect(stream.batches.length).toEqual(1);
 		stream.isFull = false;
-		writer.drained();
+		writer.onDrain();
 		await settle();
 		expect(stream.batches.slice(1)).toEqual([['answerChunk:100+', 'answerEnd:10'], ['answerChunk:50']]);
 	});
--- a/src/node/peers/served-answer.ts
+++ b/src/node/peers/served-answer.ts
@@ -11,7 +11,7 @@
 import type {EnvelopeSource} from './types.js';
 
 /** Where an answer goes. */
-export type AnswerWay = {
+export type AnswerTarget = {
 	readonly requestId: number;
 	readonly writer: LinkWriter;
 	/** Bytes that may be sent before the asker allows more. */
@@ -19,7 +19,7 @@
 	/** Largest piece in one envelope. */
 	readonly partBytes: number;
 	/** A host that a refusal names, with the address that the asker may lack. */
-	hostNamed(name: string): Host | undefined;
+	findHost(name: string): Host | undefined;
 	/** Called once, when the last envelope is taken. */
 	onSent(): void;
 };
@@ -37,7 +37,7 @@
 	private _pusher: Promise<void> | undefined;
 	private _releasePusher: (() => void) | undefined;
 
-	constructor(private readonly _way: AnswerWay) {
+	constructor(private readonly _way: AnswerTarget) {
 		this._creditBytes = _way.windowBytes;
 	}
 
@@ -107,7 +107,7 @@
 	private _next(): Envelope {
 		if (this._refusal) {
 			const homeNode = this._refusal.correction?.homeNode;
-			const homeHost = homeNode === undefined ? undefined : this._way.hostNamed(homeNode);
+			const homeHost = homeNode === undefined ? undefined : this._way.findHost(homeNode);
 			return this._last({$case: 'refused', value: toRefused(this._refusal, homeHost)});
 		}
 
--- a/src/node/peers/served-link.ts
+++ b/src/node/peers/served-link.ts
@@ -8,18 +8,18 @@
 import {handleBody, type BodyHandlers} from './body-handlers.js';
 import type {Batch, Envelope, Hello} from './generated/quetzalstream/peer.js';
 import {LinkWriter} from './link-writer.js';
-import {Liveness, type LivenessSubject} from './liveness.js';
+import {LivenessMonitor, type MonitoredLink} from './liveness-monitor.js';
 import {fromHost, toGroupView, toRefused} from './message-conversion.js';
 import {ServedRequests} from './served-requests.js';
 import type {Body, PeerOptions, PeerServices} from './types.js';
 
 /** What the server does around its links. */
-export type LinkOwner = {
+export type ServedLinkContext = {
 	readonly services: PeerServices;
 	readonly handlers: PeerHandlers;
 	readonly options: PeerOptions;
 	/** The peer has greeted: earlier links of it are over. */
-	onGreeted(link: ServedLink): void;
+	onHandshake(link: ServedLink): void;
 	onEnded(link: ServedLink): void;
 };
 
@@ -28,12 +28,12 @@
 }
 
 /** One link from one peer. */
-export class ServedLink implements LivenessSubject, Disposable {
+export class ServedLink implements MonitoredLink, Disposable {
 	private _peer: Host | undefined;
 	private _isEnded = false;
 	private readonly _requests: ServedRequests;
 	private readonly _writer: LinkWriter;
-	private readonly _liveness: Liveness;
+	private readonly _liveness: LivenessMonitor;
 	private readonly _receivers: BodyHandlers = {
 		hello: hello => {
 			this._onHello(hello);
@@ -87,11 +87,11 @@
 
 	constructor(
 		private readonly _stream: ServerDuplexStream<Batch, Batch>,
-		private readonly _owner: LinkOwner,
+		private readonly _owner: ServedLinkContext,
 	) {
 		const {options, services, handlers} = _owner;
 		this._writer = new LinkWriter(options);
-		this._liveness = new Liveness(services.clock, this, {
+		this._liveness = new LivenessMonitor(services.clock, this, {
 			tickMs: options.livenessTickMs,
 			maximumSilentTicks: options.servedSilentTicks,
 		});
@@ -99,9 +99,9 @@
 			writer: this._writer,
 			executor: handlers.executor,
 			options,
-			hostNamed: name => services.membership.host(name),
+			findHost: name => services.membership.host(name),
 			onBegin: () => {
-				this._liveness.watch();
+				this._liveness.start();
 			},
 			onFailure: error => {
 				this._logFailure(error);
@@ -115,7 +115,7 @@
 	}
 
 	get isBusy(): boolean {
-		return this._requests.isAwaited;
+		return this._requests.hasUncancelledRequests;
 	}
 
 	private get _peerName(): string {
@@ -134,7 +134,7 @@
 			this.dispose();
 		});
 		this._stream.on('drain', () => {
-			this._writer.drained();
+			this._writer.onDrain();
 		});
 		try {
 			for await (const batch of this._stream as AsyncIterable<Batch>) {
@@ -206,7 +206,7 @@
 		const {options, services} = this._owner;
 		this._peer = peer;
 		this._requests.windowBytes = hello.windowBytes;
-		this._owner.onGreeted(this);
+		this._owner.onHandshake(this);
 		services.membership.learn(peer);
 		this._writer.send(0, {
 			$case: 'hello',
--- a/src/node/peers/served-requests.test.ts
+++ b/src/node/peers/served-requests.test.ts
@@ -7,9 +7,9 @@
 import {LinkWriter} from './link-writer.js';
 import {toExecute} from './message-conversion.js';
 import {ServedRequests} from './served-requests.js';
-import {endWith, HeldExecutor, requestWith} from './testing/link-pair.js';
+import {endWith, ManualExecutor, requestWith} from './testing/link-pair.js';
 
-function setUp(): {requests: ServedRequests; executor: HeldExecutor; sent: string[]; failures: string[]} {
+function setUp(): {requests: ServedRequests; executor: ManualExecutor; sent: string[]; failures: string[]} {
 	const options = {...peerDefaults, maximumInProgress: 2, maximumFramesBytes: 100};
 	const sent: string[] = [];
 	const failures: string[] = [];
@@ -20,12 +20,12 @@
 			return true;
 		},
 	});
-	const executor = new HeldExecutor();
+	const executor = new ManualExecutor();
 	const requests = new ServedRequests({
 		writer,
 		executor,
 		options,
-		hostNamed: () => undefined,
+		findHost: () => undefined,
 		onBegin() {
 			// Not looked at.
 		},
@@ -102,9 +102,9 @@
 		const {requests, executor} = setUp();
 		requests.execute(1, execute());
 		await executor.next();
-		expect(requests.isAwaited).toEqual(true);
+		expect(requests.hasUncancelledRequests).toEqual(true);
 		requests.cancel(1);
-		expect(requests.isAwaited).toEqual(false);
+		expect(requests.hasUncancelledRequests).toEqual(false);
 	});
 
 	it('never lets the cancel of one request reach another that came after it', async () => {
--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -25,12 +25,12 @@
 const maximumSpareControllers = 64;
 
 /** What the requests need of their link. */
-export type ServingLink = {
+export type ServedRequestsContext = {
 	readonly writer: LinkWriter;
 	readonly executor: HomeExecutor;
 	readonly options: PeerOptions;
 	/** A host by its name, if it is known. */
-	hostNamed(name: string): Host | undefined;
+	findHost(name: string): Host | undefined;
 	/** Called when a request begins to be served. */
 	onBegin(): void;
 	/** Called when the executor failed in a way that is not a refusal. */
@@ -47,12 +47,12 @@
 	/** Controllers that aborted nothing: making one for each request is a good part of its cost. */
 	private readonly _spareControllers: AbortController[] = [];
 
-	constructor(private readonly _link: ServingLink) {
+	constructor(private readonly _link: ServedRequestsContext) {
 		this.windowBytes = _link.options.windowBytes;
 	}
 
 	/** Whether the asker waits for an answer; it may have given up on what it cancelled. */
-	get isAwaited(): boolean {
+	get hasUncancelledRequests(): boolean {
 		for (const served of this._served.values()) {
 			if (!served.isCancelled) {
 				return true;
@@ -136,7 +136,7 @@
 			writer: this._link.writer,
 			windowBytes: this.windowBytes,
 			partBytes: this._link.options.partBytes,
-			hostNamed: name => this._link.hostNamed(name),
+			findHost: name => this._link.findHost(name),
 			onSent: () => {
 				this._served.delete(id);
 			},
--- a/src/node/peers/testing/link-pair.ts
+++ b/src/node/peers/testing/link-pair.ts
@@ -51,7 +51,7 @@
 }
 
 /** A request that an executor of tests runs until the test ends it. */
-export type Running = {
+export type ManualExecution = {
 	readonly request: HomeRequest;
 	readonly sink: AnswerSink;
 	readonly signal: AbortSignal;
@@ -59,9 +59,9 @@
 };
 
 /** Executes nothing by itself: the test takes each request and ends it. */
-export class HeldExecutor implements HomeExecutor {
+export class ManualExecutor implements HomeExecutor {
 	readonly released: string[] = [];
-	private readonly _running: Running[] = [];
+	private readonly _running: ManualExecution[] = [];
 
 	async execute(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
 		return new Promise(resolve => {
@@ -76,8 +76,8 @@
 	}
 
 	/** The next request that arrives. */
-	async next(): Promise<Running> {
-		await eventually(() => this._running.length > 0);
+	async next(): Promise<ManualExecution> {
+		await waitUntil(() => this._running.length > 0);
 		return this._running.shift()!;
 	}
 }
@@ -87,7 +87,7 @@
 }
 
 /** Waits while events come in; throws when a condition does not come true. */
-export async function eventually(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
 	for (let round = 0; !condition(); round++) {
 		if (round > 5000) {
 			throw new Error('the condition did not come true');
@@ -100,7 +100,7 @@
 }
 
 /** Relays a port, and can be told to fall silent without closing anything. */
-export class Relay {
+export class TcpRelay {
 	port = 0;
 	private _isSilent = false;
 	private readonly _sockets = new Set<Socket>();
@@ -154,7 +154,7 @@
 export class LinkPair {
 	readonly clock = new VirtualClock();
 	readonly log = new RecordingLog();
-	readonly executor = new HeldExecutor();
+	readonly executor = new ManualExecutor();
 	/** Names of peers that the home was told are lost. */
 	readonly lost: string[] = [];
 	/** Announcements that the home received. */
--- a/src/node/peers/types.ts
+++ b/src/node/peers/types.ts
@@ -34,7 +34,7 @@
 	readonly options: PeerOptions;
 	send(requestId: number, body: Body): void;
 	/** Takes the request out of the link's book: from now on answers to it are late. */
-	forget(requestId: number): void;
+	removeRequest(requestId: number): void;
 	/** Ends the link, because the peer broke the protocol. */
 	fail(detail: string): void;
 };
--- a/src/node/peers/unanswered.test.ts
+++ b/src/node/peers/unanswered.test.ts
@@ -2,7 +2,7 @@
 import {expect} from 'earl';
 import {errorAnswers} from '../../common/errors/error-kinds.js';
 import type {HomeRequest} from '../../common/services/services.js';
-import {progressOf, unanswered, type UnansweredCause} from './unanswered.js';
+import {progressOf, unansweredRefusal, type UnansweredCause} from './unanswered.js';
 import {requestWith} from './testing/link-pair.js';
 
 const read: Partial<HomeRequest> = {};
@@ -39,7 +39,7 @@
 	for (const [name, changes, isSent, hasPushed, expected] of rows) {
 		it(`tells what is known of ${name}`, () => {
 			const progress = progressOf(requestWith(changes), isSent, hasPushed);
-			const answers = causes.map(cause => [cause, unanswered(cause, progress, '').kind]);
+			const answers = causes.map(cause => [cause, unansweredRefusal(cause, progress, '').kind]);
 			expect(Object.fromEntries(answers)).toLooseEqual(expected);
 		});
 	}
@@ -48,7 +48,7 @@
 		for (const request of [write, commit]) {
 			for (const hasPushed of [false, true]) {
 				const progress = progressOf(requestWith(request), true, hasPushed);
-				const outcomes = causes.map(cause => errorAnswers[unanswered(cause, progress, '').kind].outcome);
+				const outcomes = causes.map(cause => errorAnswers[unansweredRefusal(cause, progress, '').kind].outcome);
 				expect(outcomes).toEqual(['unknown', 'unknown', 'unknown', 'unknown']);
 			}
 		}
--- a/src/node/peers/unanswered.ts
+++ b/src/node/peers/unanswered.ts
@@ -8,7 +8,7 @@
 export type UnansweredCause = 'deadline' | 'linkLost' | 'cancelled' | 'receiverFailed';
 
 /** How far a request had come. */
-export type Progress
+export type SendProgress
 	= | 'unsent' | 'readSent' | 'readBegun' | 'writeSent'
 		| 'transactionUnsent' | 'transactionReadSent' | 'transactionWriteSent' | 'transactionBegun';
 
@@ -55,10 +55,10 @@
 		transactionWriteSent: 'outcomeUnknown',
 		transactionBegun: 'answerCutShort',
 	},
-} as const satisfies Record<UnansweredCause, Record<Progress, ErrorKind>>;
+} as const satisfies Record<UnansweredCause, Record<SendProgress, ErrorKind>>;
 
 /** How far a request has come, from what was sent and received. */
-export function progressOf(request: HomeRequest, isSent: boolean, hasPushed: boolean): Progress {
+export function progressOf(request: HomeRequest, isSent: boolean, hasPushed: boolean): SendProgress {
 	if (!isSent) {
 		return request.isInTransaction ? 'transactionUnsent' : 'unsent';
 	}
@@ -76,11 +76,11 @@
 }
 
 /** The refusal of a request that was given up on. */
-export function unanswered(cause: UnansweredCause, progress: Progress, detail: string): Refusal {
+export function unansweredRefusal(cause: UnansweredCause, progress: SendProgress, detail: string): Refusal {
 	return new Refusal(unansweredKinds[cause][progress], detail);
 }
 
 /** The kind that stands for a refusal which does not fit what was received before it. */
-export function unexplainedKind(request: HomeRequest): ErrorKind {
+export function ambiguousErrorKind(request: HomeRequest): ErrorKind {
 	return request.access === 'write' ? 'outcomeUnknown' : 'answerCutShort';
 }
--- a/src/node/platform/dynamo-table.test.ts
+++ b/src/node/platform/dynamo-table.test.ts
@@ -5,7 +5,7 @@
 import {kindOf, valueOf} from '../../common/testing/faults.js';
 import {RecordingLog, silentMetrics} from '../../common/testing/observers.js';
 import {LoopbackPlatform} from '../../../standins/platform/loopback-platform.js';
-import type {Faults} from '../../../standins/platform/settings.js';
+import type {InjectedFaults} from '../../../standins/platform/settings.js';
 import {SystemClock} from '../system-clock.js';
 import {DynamoTable} from './dynamo-table.js';
 
@@ -36,7 +36,7 @@
 });
 
 beforeEach(() => {
-	platform.heal();
+	platform.clearFaults();
 	nextKey++;
 });
 
@@ -94,7 +94,7 @@
 		expect(await sorts('h', 3)).toEqual('');
 	});
 
-	const outages: ReadonlyArray<readonly [string, Partial<Faults>, string]> = [
+	const outages: ReadonlyArray<readonly [string, Partial<InjectedFaults>, string]> = [
 		['answers with errors', {outage: 'refused'}, 'unavailable'],
 		['never answers', {outage: 'silent'}, 'unavailable'],
 		['is slower than the timeout', {latencyMs: 1000}, 'unavailable'],
--- a/src/node/platform/s3-objects.test.ts
+++ b/src/node/platform/s3-objects.test.ts
@@ -5,7 +5,7 @@
 import {kindOf, valueOf} from '../../common/testing/faults.js';
 import {RecordingLog, silentMetrics} from '../../common/testing/observers.js';
 import {LoopbackPlatform} from '../../../standins/platform/loopback-platform.js';
-import type {Faults} from '../../../standins/platform/settings.js';
+import type {InjectedFaults} from '../../../standins/platform/settings.js';
 import {SystemClock} from '../system-clock.js';
 import {S3Objects} from './s3-objects.js';
 
@@ -26,7 +26,7 @@
 });
 
 beforeEach(() => {
-	platform.heal();
+	platform.clearFaults();
 });
 
 after(() => {
@@ -43,7 +43,7 @@
 		expect(replaced.etag).not.toEqual(etag);
 	});
 
-	const outages: ReadonlyArray<readonly [string, Partial<Faults>, string]> = [
+	const outages: ReadonlyArray<readonly [string, Partial<InjectedFaults>, string]> = [
 		['answers with errors', {outage: 'refused'}, 'unavailable'],
 		['never answers', {outage: 'silent'}, 'unavailable'],
 		['limits the rate', {writesPerSecond: 0.001, readsPerSecond: 0.001}, 'throttled'],
--- a/src/node/platform/table-properties.test.ts
+++ b/src/node/platform/table-properties.test.ts
@@ -10,7 +10,7 @@
 import {z} from 'zod';
 import {LoopbackPlatform} from '../../../standins/platform/loopback-platform.js';
 import {MemoryPlatform} from '../../../standins/platform/memory-platform.js';
-import {makeFaults, type Faults} from '../../../standins/platform/settings.js';
+import {makeInjectedFaults, type InjectedFaults} from '../../../standins/platform/settings.js';
 import {SeededRandom} from '../../common/random/seeded-random.js';
 import type {Clock, Table, TableItem} from '../../common/services/services.js';
 import {valueOf} from '../../common/testing/faults.js';
@@ -133,14 +133,14 @@
 			await clock.advanceUntil(done, 3_600_000);
 			// What was late when its writer gave up takes effect now, or never.
 			await clock.advance(10_000);
-			Object.assign(platform.faults, makeFaults());
+			Object.assign(platform.faults, makeInjectedFaults());
 			await checkTable(tables[0]);
 		}), {seed, numRuns: 60});
 	});
 
 	describe('over the network', () => {
 		const clock = new SystemClock();
-		const cases: ReadonlyArray<Partial<Faults>> = [
+		const cases: ReadonlyArray<Partial<InjectedFaults>> = [
 			{lostAnswerShare: 0.3, latencySpreadMs: 55},
 			{lostAnswerShare: 0.1, writesPerSecond: 40},
 		];
@@ -152,7 +152,7 @@
 				Object.assign(platform.server.faults, faults);
 				const tables = Array.from({length: writerCount}, () => new DynamoTable(settings, clock, new RecordingLog(), silentMetrics));
 				await Promise.all(tables.map(async (table, writer) => runWriter(table, clock, writer)));
-				platform.heal();
+				platform.clearFaults();
 				await checkTable(tables[0]);
 				for (const table of tables) {
 					table.dispose();
--- a/src/node/settings/deployments.test.ts
+++ b/src/node/settings/deployments.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {deploymentSchema, endpointsOf, type Deployment} from '../../common/settings/deployment-schema.js';
-import {operationsOf, planDeployment, type Placement} from '../../common/settings/deployment-plan.js';
+import {operationsOf, planDeployment, type ListenAddresses} from '../../common/settings/deployment-plan.js';
 import {settingsSchema} from '../../common/settings/settings-schema.js';
 import {settingsSchema as endpointSchema} from '../../../standins/endpoint/settings.js';
 import {platformSettingsSchema} from '../../../standins/platform/settings.js';
@@ -14,7 +14,7 @@
 	return loaded.unsafeCoerce();
 }
 
-function place(deployment: Deployment): Placement {
+function place(deployment: Deployment): ListenAddresses {
 	const host = '127.0.0.1';
 	return {
 		platform: {host, port: 9000},
--- a/src/node/settings/environment.ts
+++ b/src/node/settings/environment.ts
@@ -13,7 +13,7 @@
 const reference = 'fromEnvironment';
 
 /** Puts values of variables in the place of references; collects those that are not set. */
-export function substitute(value: unknown, environment: Environment): {value: unknown; missing: MissingVariable[]} {
+export function substituteVariables(value: unknown, environment: Environment): {value: unknown; missing: MissingVariable[]} {
 	const missing: MissingVariable[] = [];
 	const visit = (part: unknown, path: readonly PathStep[]): unknown => {
 		if (Array.isArray(part)) {
--- a/src/node/settings/json-document.ts
+++ b/src/node/settings/json-document.ts
@@ -4,7 +4,7 @@
 import {
 	findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode, type Node, type ParseError,
 } from 'jsonc-parser';
-import {formatPath, placeOf} from './text-places.js';
+import {formatPath, lineAndColumnOf} from './text-positions.js';
 import type {PathStep, SettingsProblem} from './types.js';
 
 /** A parsed document. */
@@ -30,7 +30,7 @@
 	/** A problem with the value at a path, or with its closest container that exists. */
 	problemAt(path: readonly PathStep[], found: string, expected: string): SettingsProblem {
 		return {
-			...placeOf(this._text, this._offsetOf(path)), path: formatPath(path), found, expected,
+			...lineAndColumnOf(this._text, this._offsetOf(path)), path: formatPath(path), found, expected,
 		};
 	}
 
@@ -63,7 +63,7 @@
 	private _syntaxProblem({error, offset, length}: ParseError): SettingsProblem {
 		const found = this._text.slice(offset, offset + length);
 		return {
-			...placeOf(this._text, offset),
+			...lineAndColumnOf(this._text, offset),
 			path: '',
 			found: found === '' ? 'the end of the file' : JSON.stringify(found),
 			expected: `JSON with comments (${printParseErrorCode(error)})`,
@@ -82,7 +82,7 @@
 			const inner = [...path, name];
 			const own = seen.has(name)
 				? [{
-					...placeOf(this._text, property.offset), path: formatPath(inner), found: 'the property a second time', expected: 'it once',
+					...lineAndColumnOf(this._text, property.offset), path: formatPath(inner), found: 'the property a second time', expected: 'it once',
 				}]
 				: [];
 			seen.add(name);
--- a/src/node/settings/settings-file.ts
+++ b/src/node/settings/settings-file.ts
@@ -8,7 +8,7 @@
 import type {z} from 'zod';
 import {settingsSchema, type Settings} from '../../common/settings/settings-schema.js';
 import {describeExpected, describeFound, knownProperties} from './describe-issue.js';
-import {substitute} from './environment.js';
+import {substituteVariables} from './environment.js';
 import {JsonDocument} from './json-document.js';
 import type {Environment, PathStep, SettingsProblem} from './types.js';
 
@@ -56,7 +56,7 @@
 		return Left(new SettingsError(file, document.problems));
 	}
 
-	const {value, missing} = substitute(document.value, environment);
+	const {value, missing} = substituteVariables(document.value, environment);
 	const missingProblems = missing.map(({path, name}) =>
 		document.problemAt(path, `environment variable ${name}, which is not set`, 'a variable that is set'));
 	const result = schema.safeParse(value);
--- a/src/node/settings/text-places.ts
+++ b/src/node/settings/text-positions.ts
@@ -4,7 +4,7 @@
 import type {PathStep} from './types.js';
 
 /** Line and column of an offset, both counted from one. */
-export function placeOf(text: string, offset: number): {line: number; column: number} {
+export function lineAndColumnOf(text: string, offset: number): {line: number; column: number} {
 	const before = text.slice(0, offset).split('\n');
 	return {line: before.length, column: before.at(-1)!.length + 1};
 }
--- a/src/node/wiring.ts
+++ b/src/node/wiring.ts
@@ -24,21 +24,21 @@
 import {ConsolaLog} from './observability/consola-log.js';
 import {PromMetrics} from './observability/prom-metrics.js';
 import {FailoverRecord} from './operators/failover-record.js';
-import {GroupObserver} from './operators/group-observer.js';
+import {GroupViewCollector} from './operators/group-view-collector.js';
 import {NodeReadiness} from './operators/node-readiness.js';
 import {NodeStatusSource} from './operators/node-status.js';
 import {OperatorServer} from './operators/operator-server.js';
 import {PromotionLog} from './operators/promotion-log.js';
 import {ReachProbe} from './operators/reach.js';
 import {
-	callerOptionsOf, nodeOptionsOf, operatorOptionsOf, peerTlsOf, platformSettingsOf, selfOf,
-} from './part-options.js';
+	callerOptionsOf, nodeOptionsOf, operatorOptionsOf, peerTlsOf, platformSettingsOf, localHostOf,
+} from './component-options.js';
 import {PeerLinks} from './peers/peer-links.js';
 import {PeerServer} from './peers/peer-server.js';
 import {DynamoTable} from './platform/dynamo-table.js';
 import {S3Objects} from './platform/s3-objects.js';
 import {TableHostList} from './platform/table-host-list.js';
-import {StartGreeting} from './start-greeting.js';
+import {InitialDiscovery} from './initial-discovery.js';
 import {SystemClock} from './system-clock.js';
 import {SystemRandom} from './system-random.js';
 
@@ -82,7 +82,7 @@
 	const peerTls = peerTlsOf(settings);
 	const peerServer = owned.register(new PeerServer({}, peerTls));
 	const peerPort = await peerServer.listen(settings.peers.host, settings.peers.port);
-	const self = selfOf(settings, peerPort, incarnation);
+	const self = localHostOf(settings, peerPort, incarnation);
 	const core = owned.register(new NodeCore(self, {
 		...services,
 		createPeers: membership => new PeerLinks({...services, membership}, {}, peerTls),
@@ -95,7 +95,7 @@
 	const callerPort = await callers.listen(settings.callers.host, settings.callers.port);
 	const ports: NodePorts = {callers: callerPort, peers: peerPort, operators: self.operatorPort};
 	log.event('processStarted', {...ports, availabilityZone: self.availabilityZone});
-	const greeting = owned.register(new StartGreeting({...services, membership: core.membership, peers: core.peers}));
+	const greeting = owned.register(new InitialDiscovery({...services, membership: core.membership, peers: core.peers}));
 	const ready = core.start(async () => greeting.run()).then(() => {
 		log.event('processReady', {version: core.configuration.version});
 	});
@@ -209,7 +209,7 @@
 		membership, peers, clock, version: () => configuration.version,
 	});
 	const failovers = owned.register(new FailoverRecord({table: services.table, clock, writerId: services.processId}));
-	owned.register(log.onPromotion(promotion => {
+	owned.register(log.onPromotionFinished(promotion => {
 		failovers.note({...promotion, at: new Date(clock.wallClockMs()).toISOString()});
 	}));
 	const readiness = owned.register(new NodeReadiness({
@@ -218,11 +218,11 @@
 		clock,
 		random,
 		isConfigured: () => sync.isLoaded,
-		hearsAnyInstance: () => configuration.groups().some(({name}) =>
+		hasReachableInstance: () => configuration.groups().some(({name}) =>
 			groups.existing(name)?.view().instances.some(({isReachable}) => isReachable)),
 	}));
 	void readiness.run();
-	const observer = new GroupObserver({
+	const observer = new GroupViewCollector({
 		configuration, membership, peers, clock, ownView: group => groups.existing(group)?.view(),
 	});
 	return new OperatorServer({
@@ -237,7 +237,7 @@
 			configuration, membership, groups: observer, reach, failovers, metrics, clock,
 		}),
 		audit: services.audit,
-		metricsText: metrics,
+		metricsSource: metrics,
 		readiness: () => readiness.current,
 	}, operatorOptionsOf(settings));
 }
--- a/standins/endpoint/control-port.ts
+++ b/standins/endpoint/control-port.ts
@@ -5,12 +5,12 @@
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
-import {faultSchema, type FaultOrder} from './faults.js';
+import {faultSchema, type FaultCommand} from './faults.js';
 
 /** Whom the port belongs to. */
 export type ControlledEndpoint = {
 	readonly status: unknown;
-	applyFault(order: FaultOrder): void;
+	applyFaultCommand(order: FaultCommand): void;
 };
 
 type Answer = {
@@ -67,7 +67,7 @@
 	private async _takeFault(request: IncomingMessage): Promise<Answer> {
 		try {
 			const order = faultSchema.parse(JSON.parse(await readText(request)));
-			this._endpoint.applyFault(order);
+			this._endpoint.applyFaultCommand(order);
 			return {code: 200, body: this._endpoint.status};
 		} catch (error) {
 			return {code: 400, body: {error: String(error)}};
--- a/standins/endpoint/endpoint.test.ts
+++ b/standins/endpoint/endpoint.test.ts
@@ -10,27 +10,27 @@
 import type pg from 'pg';
 import {Endpoint} from './endpoint.js';
 import {readSettings, settingsSchema} from './settings.js';
-import type {FaultOrder} from './faults.js';
+import type {FaultCommand} from './faults.js';
 import {
-	EndpointBench, cancelKeyOf, codeOf, positionsOf, until,
-} from './testing/endpoint-bench.js';
+	EndpointHarness, cancelKeyOf, errorCodeOf, positionsOf, waitUntil,
+} from './testing/endpoint-harness.js';
 
 const limit = {timeout: 20_000};
-let bench: EndpointBench;
+let bench: EndpointHarness;
 
 async function order(client: pg.Client, call: string): Promise<unknown> {
 	const {rows} = await client.query<Record<string, unknown>>(`SELECT quetzalstream_${call}`);
 	return Object.values(rows[0]);
 }
 
-async function fault(endpoint: Endpoint, body: FaultOrder): Promise<void> {
+async function fault(endpoint: Endpoint, body: FaultCommand): Promise<void> {
 	const response = await fetch(`http://127.0.0.1:${endpoint.controlPort}/faults`, {method: 'POST', body: JSON.stringify(body)});
 	expect(response.status).toEqual(200);
 }
 
 describe('Endpoint', limit, () => {
 	beforeEach(() => {
-		bench = new EndpointBench();
+		bench = new EndpointHarness();
 	});
 	afterEach(async () => bench.dispose());
 
@@ -44,11 +44,11 @@
 		await client.query('INSERT INTO items VALUES ($1, $2)', [1, 'x']);
 		await client.query('COMMIT');
 		expect(positions).toEqual(['1/2', '1/3']);
-		await until(() => b.instance.applied.offset === 3);
+		await waitUntil(() => b.instance.applied.offset === 3);
 		const replica = await bench.client(b);
 		const {rows} = await replica.query('SELECT * FROM items');
 		expect(rows).toEqual([{id: 1, name: 'x'}]);
-		expect(await codeOf(replica.query('DELETE FROM items'))).toEqual('25006');
+		expect(await errorCodeOf(replica.query('DELETE FROM items'))).toEqual('25006');
 		const response = await fetch(`http://127.0.0.1:${a.controlPort}/status`);
 		expect(await response.json()).toEqual(a.status);
 		expect(a.status.commitCount).toEqual(2);
@@ -68,7 +68,7 @@
 			['SELECT id FROM items WHERE id = $1', [1, 2], '08P01'],
 			['SELECT id FROM items WHERE id = $1', [], '42P02'],
 		] as const) {
-			expect([text, await codeOf(client.query(text, [...values]))]).toEqual([text, code]);
+			expect([text, await errorCodeOf(client.query(text, [...values]))]).toEqual([text, code]);
 		}
 	});
 
@@ -79,36 +79,36 @@
 		const {slots} = a.status;
 		expect([slots.peak, slots.waitedCount, slots.running]).toEqual([2, 3, 0]);
 		const [first] = clients;
-		const sleeping = codeOf(first.query('SELECT pg_sleep(1000)'));
+		const sleeping = errorCodeOf(first.query('SELECT pg_sleep(1000)'));
 		const request = Buffer.alloc(16);
 		for (const [index, value] of [16, 80_877_102, ...cancelKeyOf(first)].entries()) {
 			request.writeInt32BE(value, index * 4);
 		}
 
-		await until(() => a.status.slots.running === 1);
+		await waitUntil(() => a.status.slots.running === 1);
 		connect(a.port, '127.0.0.1').end(request);
 		expect(await sleeping).toEqual('57014');
-		expect(await codeOf(first.query('SELECT 1'))).toEqual('done');
+		expect(await errorCodeOf(first.query('SELECT 1'))).toEqual('done');
 	});
 
 	it('refuses connections beyond its limit, of other homes and with a wrong password', async () => {
 		const [a] = await bench.group([], {connections: 4});
 		const control = await bench.client(a, 'quetzalstream-control:n1');
-		expect(await codeOf(bench.client(a, 'quetzalstream-work:one'))).toEqual('55006');
+		expect(await errorCodeOf(bench.client(a, 'quetzalstream-work:one'))).toEqual('55006');
 		expect(await order(control, 'attach(\'one\', false)')).toEqual(['t', 'one']);
 		const work = await bench.client(a, 'quetzalstream-work:one');
 		const other = await bench.client(a, 'quetzalstream-control:n2');
 		expect(await order(other, 'attach(\'two\', false)')).toEqual(['f', 'one']);
 		expect(await order(other, 'attach(\'two\', true)')).toEqual(['t', 'two']);
-		expect(await codeOf(work.query('SELECT 1'))).not.toEqual('done');
+		expect(await errorCodeOf(work.query('SELECT 1'))).not.toEqual('done');
 		await bench.client(a, 'quetzalstream-work:two');
-		expect(await codeOf(bench.client(a, 'test', 'wrong'))).toEqual('28P01');
-		await until(() => a.status.connections.open === 3);
+		expect(await errorCodeOf(bench.client(a, 'test', 'wrong'))).toEqual('28P01');
+		await waitUntil(() => a.status.connections.open === 3);
 		await bench.client(a);
-		expect(await codeOf(bench.client(a))).toEqual('53300');
+		expect(await errorCodeOf(bench.client(a))).toEqual('53300');
 		await other.end();
-		await until(() => a.instance.attachment.holder === '');
-		await until(() => a.status.connections.byPurpose.work === 0);
+		await waitUntil(() => a.instance.attachment.holder === '');
+		await waitUntil(() => a.status.connections.byPurpose.work === 0);
 	});
 
 	it('answers nothing while frozen, and everything afterwards', async () => {
@@ -134,10 +134,10 @@
 		const client = await bench.client(a);
 		await fault(a, {fault: 'cut', peers: ['b']});
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
-		await until(() => c.instance.applied.offset === 2);
+		await waitUntil(() => c.instance.applied.offset === 2);
 		expect(b.instance.received.offset).toEqual(1);
 		await fault(a, {fault: 'heal'});
-		await until(() => b.instance.applied.offset === 2);
+		await waitUntil(() => b.instance.applied.offset === 2);
 	});
 
 	it('is rebuilt after a crash that lost its memory', async () => {
@@ -145,14 +145,14 @@
 		const client = await bench.client(a);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
 		await fault(b, {fault: 'crash', isForgetting: true});
-		expect(await codeOf(bench.client(b))).toEqual('ECONNREFUSED');
+		expect(await errorCodeOf(bench.client(b))).toEqual('ECONNREFUSED');
 		await fault(b, {fault: 'heal'});
-		await until(() => !b.status.faults.isCrashed);
+		await waitUntil(() => !b.status.faults.isCrashed);
 		const control = await bench.client(b, 'quetzalstream-control:n1');
 		expect(await order(control, 'state()')).toEqual(['rebuilding 1 - 0/0 0/0 f']);
-		expect(await codeOf(control.query('SELECT 1'))).toEqual('57P03');
+		expect(await errorCodeOf(control.query('SELECT 1'))).toEqual('57P03');
 		await order(control, `follow(1, '127.0.0.1', ${a.port})`);
-		await until(() => b.instance.role === 'replica' && b.instance.database.tables.has('items'));
+		await waitUntil(() => b.instance.role === 'replica' && b.instance.database.tables.has('items'));
 	});
 
 	it('remembers over a restart of its process that it had a promise', async () => {
--- a/standins/endpoint/endpoint.ts
+++ b/standins/endpoint/endpoint.ts
@@ -6,16 +6,16 @@
 import {SystemClock} from '../../src/node/system-clock.js';
 import {makeRandom} from './make-random.js';
 import {ControlPort} from './control-port.js';
-import {Faults, type FaultOrder, type FaultsInForce} from './faults.js';
+import {EndpointFaults, type FaultCommand, type ActiveFaults} from './faults.js';
 import {Instance} from './instance.js';
-import {PromiseFile} from './promise-file.js';
+import {TermPromiseFile} from './term-promise-file.js';
 import type {EndpointSettings} from './settings.js';
 import {SqlEngine} from './sql/engine.js';
 import {loadParser} from './sql/planner.js';
 import type {InstanceOptions, LagDistribution, PrimaryAddress} from './types.js';
 import {ReplicationClient} from './wire/replication-client.js';
-import {EndpointServer, type ConnectionFigures} from './wire/server.js';
-import {Slots, type SlotFigures} from './wire/slots.js';
+import {EndpointServer, type ConnectionStatistics} from './wire/server.js';
+import {StatementSlots, type SlotStatistics} from './wire/slots.js';
 
 /** What `GET /status` answers. */
 export type EndpointStatus = InstanceState & {
@@ -26,11 +26,11 @@
 	readonly followers: readonly string[];
 	/** Home that is attached; empty for none. */
 	readonly holder: string;
-	readonly slots: SlotFigures;
-	readonly connections: ConnectionFigures;
+	readonly slots: SlotStatistics;
+	readonly connections: ConnectionStatistics;
 	/** Transactions with changes that were committed and answered here. */
 	readonly commitCount: number;
-	readonly faults: FaultsInForce;
+	readonly faults: ActiveFaults;
 	readonly lag: LagDistribution;
 };
 
@@ -40,16 +40,16 @@
 	private readonly _settings: EndpointSettings;
 	private readonly _clock: Clock = new SystemClock();
 	private readonly _random: Random;
-	private readonly _promiseFile: PromiseFile | undefined;
+	private readonly _promiseFile: TermPromiseFile | undefined;
 	private readonly _owned = new DisposableStore();
-	private readonly _faults: Faults;
+	private readonly _faults: EndpointFaults;
 	private readonly _server: EndpointServer;
 	private readonly _replication: ReplicationClient;
 	private readonly _controlPort: ControlPort;
 	private _lag: LagDistribution;
 	private _instance: Instance;
 	private _engine: SqlEngine;
-	private _slots: Slots;
+	private _slots: StatementSlots;
 	private _isDown = false;
 	private _commitCountBefore = 0;
 
@@ -58,8 +58,8 @@
 		this._settings = settings;
 		this._lag = settings.lag;
 		this._random = makeRandom(settings.seed);
-		this._promiseFile = settings.promiseFile === undefined ? undefined : new PromiseFile(settings.promiseFile);
-		this._faults = this._owned.register(new Faults(this._clock));
+		this._promiseFile = settings.promiseFile === undefined ? undefined : new TermPromiseFile(settings.promiseFile);
+		this._faults = this._owned.register(new EndpointFaults(this._clock));
 		this._replication = this._owned.register(new ReplicationClient({
 			group: settings.group,
 			user: settings.user,
@@ -98,10 +98,10 @@
 			...this._instance.state,
 			followers: this._instance.followers,
 			holder: this._instance.attachment.holder,
-			slots: this._slots.figures,
-			connections: this._server.figures,
+			slots: this._slots.statistics,
+			connections: this._server.statistics,
 			commitCount: this._commitCountBefore + this._engine.commitCount,
-			faults: this._faults.inForce,
+			faults: this._faults.active,
 			lag: this._lag,
 		};
 	}
@@ -115,7 +115,7 @@
 	}
 
 	/** Does what the control port was told. */
-	applyFault(order: FaultOrder): void {
+	applyFaultCommand(order: FaultCommand): void {
 		if (order.fault === 'lag') {
 			this._lag = {p50Ms: order.p50Ms, p99Ms: order.p99Ms};
 			this._instance.lag = this._lag;
@@ -145,21 +145,21 @@
 		return initialPrimary === name ? {start: 'primary'} : {start: 'replica', initialPrimary: peers.find(peer => peer.name === initialPrimary)};
 	}
 
-	private _makeInstance(start: Pick<InstanceOptions, 'start' | 'promise' | 'initialPrimary'>): {instance: Instance; engine: SqlEngine; slots: Slots} {
+	private _makeInstance(start: Pick<InstanceOptions, 'start' | 'promise' | 'initialPrimary'>): {instance: Instance; engine: SqlEngine; slots: StatementSlots} {
 		const {name, logEntriesKept, streamRetryMs, streamAliveMs, streamSilenceMs, lockTimeoutMs, slots} = this._settings;
 		const instance = new Instance({
 			name, lag: this._lag, logEntriesKept, streamRetryMs, streamAliveMs, streamSilenceMs, ...start,
 		}, this._clock, this._random, this._replication);
-		instance.onPromise(promise => {
+		instance.onTermPromised(promise => {
 			this._promiseFile?.write(promise);
 		});
 		instance.onState(() => {
-			this._server.noteState();
+			this._server.scheduleStateReport();
 		});
 		instance.attachment.onRevoked(homeId => {
-			this._server.closeWorkOf(homeId);
+			this._server.closeWorkConnections(homeId);
 		});
-		return {instance, engine: new SqlEngine(instance, this._clock, this._random, lockTimeoutMs), slots: new Slots(slots)};
+		return {instance, engine: new SqlEngine(instance, this._clock, this._random, lockTimeoutMs), slots: new StatementSlots(slots)};
 	}
 
 	/** Loses its memory, but not its promise. */
@@ -174,13 +174,13 @@
 	}
 
 	private async _followFaults(): Promise<void> {
-		const {isCrashed} = this._faults.inForce;
-		this._server.refresh();
-		this._replication.refresh();
+		const {isCrashed} = this._faults.active;
+		this._server.refreshHeldConnections();
+		this._replication.refreshHeldConnections();
 		if (isCrashed && !this._isDown) {
 			this._isDown = true;
 			this._server.close();
-			this._replication.dropAll();
+			this._replication.closeAll();
 		} else if (!isCrashed && this._isDown) {
 			this._isDown = false;
 			await this._server.listen();
--- a/standins/endpoint/faults.ts
+++ b/standins/endpoint/faults.ts
@@ -29,10 +29,10 @@
 ]);
 
 /** One order. */
-export type FaultOrder = z.infer<typeof faultSchema>;
+export type FaultCommand = z.infer<typeof faultSchema>;
 
 /** Faults in force. */
-export type FaultsInForce = {
+export type ActiveFaults = {
 	readonly isCrashed: boolean;
 	readonly isFrozen: boolean;
 	/** `all`, or names. */
@@ -40,17 +40,17 @@
 	readonly addedMs: number;
 };
 
-const noFaults: FaultsInForce = {
+const noFaults: ActiveFaults = {
 	isCrashed: false, isFrozen: false, cut: [], addedMs: 0,
 };
 
 /** Keeps which faults are in force, and ends those that have a time. */
-export class Faults implements Disposable {
+export class EndpointFaults implements Disposable {
 	/** What is in force has changed. */
-	readonly onChange: Event<FaultsInForce>;
+	readonly onChange: Event<ActiveFaults>;
 	private readonly _clock: Clock;
-	private readonly _timers = new Map<keyof FaultsInForce, Disposable>();
-	private readonly _onChange = new Emitter<FaultsInForce>();
+	private readonly _timers = new Map<keyof ActiveFaults, Disposable>();
+	private readonly _onChange = new Emitter<ActiveFaults>();
 	private _inForce = noFaults;
 
 	constructor(clock: Clock) {
@@ -58,7 +58,7 @@
 		this.onChange = this._onChange.event;
 	}
 
-	get inForce(): FaultsInForce {
+	get active(): ActiveFaults {
 		return this._inForce;
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	/** Puts a fault in force; `lag` has no place here. */
-	apply(order: FaultOrder): void {
+	apply(order: FaultCommand): void {
 		switch (order.fault) {
 			case 'crash': {
 				this._set({isCrashed: true}, 'isCrashed', order.forMs);
@@ -108,7 +108,7 @@
 		this._onChange.dispose();
 	}
 
-	private _set(change: Partial<FaultsInForce>, key: keyof FaultsInForce, durationMs: number | undefined): void {
+	private _set(change: Partial<ActiveFaults>, key: keyof ActiveFaults, durationMs: number | undefined): void {
 		this._timers.get(key)?.dispose();
 		this._timers.delete(key);
 		this._change({...this._inForce, ...change});
@@ -119,7 +119,7 @@
 		}
 	}
 
-	private _change(inForce: FaultsInForce): void {
+	private _change(inForce: ActiveFaults): void {
 		this._inForce = inForce;
 		this._onChange.fire(inForce);
 	}
--- a/standins/endpoint/instance-content.ts
+++ b/standins/endpoint/instance-content.ts
@@ -84,7 +84,7 @@
 		while (this._appliedOffset < offset) {
 			this._appliedOffset += 1;
 			const undo = this.database.apply(this.log.entry(this._appliedOffset).changes);
-			this.log.noteApplied(this._appliedOffset, undo);
+			this.log.recordApplied(this._appliedOffset, undo);
 		}
 	}
 }
