--- a/standins/endpoint/instance.ts
+++ b/standins/endpoint/instance.ts
@@ -10,10 +10,10 @@
 import type {
 	Clock, InstanceRole, InstanceState, Random, TermClaim,
 } from '../../src/common/services/services.js';
-import {doNothing} from './nothing.js';
+import {noop} from './noop.js';
 import {Attachment} from './attachment.js';
 import {InstanceContent} from './instance-content.js';
-import {LagSource} from './lag.js';
+import {LagSampler} from './lag-sampler.js';
 import {ReplicationFeed} from './replication-feed.js';
 import {ReplicationLink} from './replication-link.js';
 import type {Database} from './store/database.js';
@@ -28,12 +28,12 @@
 	/** Any part of the state has changed. */
 	readonly onState: Event<InstanceState>;
 	/** The promise has changed; a host stores it before any answer leaves. */
-	readonly onPromise: Event<TermPromise>;
+	readonly onTermPromised: Event<TermPromise>;
 	/** It has stopped being primary: open write transactions must end. */
 	readonly onStepDown: Event<void>;
 	private readonly _options: InstanceOptions;
 	private readonly _clock: Clock;
-	private readonly _lag: LagSource;
+	private readonly _lag: LagSampler;
 	private readonly _connector: ReplicationConnector;
 	private readonly _content: InstanceContent;
 	private readonly _feeds = new Set<ReplicationFeed>();
@@ -51,9 +51,9 @@
 	constructor(options: InstanceOptions, clock: Clock, random: Random, connector: ReplicationConnector) {
 		this.name = options.name;
 		this.onState = this._onState.event;
-		this.onPromise = this._onPromise.event;
+		this.onTermPromised = this._onPromise.event;
 		this.onStepDown = this._onStepDown.event;
-		this._lag = new LagSource(options.lag, clock, random);
+		this._lag = new LagSampler(options.lag, clock, random);
 		this._options = options;
 		this._clock = clock;
 		this._connector = connector;
@@ -189,7 +189,7 @@
 
 		const position = this._content.appendOwn(this._promise.term, changes);
 		for (const feed of this._feeds) {
-			feed.pump();
+			feed.sendPending();
 		}
 
 		this._changed();
@@ -200,10 +200,10 @@
 	serve(request: StreamRequest, sink: StreamSink): Disposable {
 		if (!this.isPrimary || request.term !== this._promise.term) {
 			sink.end(`not the primary of term ${request.term}`);
-			return toDisposable(doNothing);
+			return toDisposable(noop);
 		}
 
-		const feed = new ReplicationFeed({term: this._promise.term, aliveMs: this._options.streamAliveMs, request}, this._content, sink, this._clock);
+		const feed = new ReplicationFeed({term: this._promise.term, heartbeatMs: this._options.streamAliveMs, request}, this._content, sink, this._clock);
 		this._feeds.add(feed);
 		return {
 			dispose: () => {
@@ -259,7 +259,7 @@
 			receive: message => {
 				this._receive(message);
 			},
-			onStreaming: () => {
+			onStreamingChange: () => {
 				this._changed();
 			},
 		}, this._clock);
--- a/standins/endpoint/lag.ts
+++ b/standins/endpoint/lag-sampler.ts
@@ -33,7 +33,7 @@
  * drawn for each entry would make every entry wait for the longest one before it, and a
  * busy instance would lag far more than the distribution says.
  */
-export class LagSource {
+export class LagSampler {
 	private readonly _clock: Clock;
 	private readonly _random: Random;
 	private _distribution: LagDistribution;
--- a/standins/endpoint/nothing.ts
+++ b/standins/endpoint/noop.ts
@@ -3,6 +3,6 @@
  */
 
 /** Does nothing. */
-export function doNothing(): void {
+export function noop(): void {
 	// That is its job.
 }
--- a/standins/endpoint/replication-feed.ts
+++ b/standins/endpoint/replication-feed.ts
@@ -13,7 +13,7 @@
 /** What one stream is for. */
 export type FeedOptions = {
 	readonly term: number;
-	readonly aliveMs: number;
+	readonly heartbeatMs: number;
 	readonly request: StreamRequest;
 };
 
@@ -41,18 +41,18 @@
 	constructor(options: FeedOptions, content: FeedContent, sink: StreamSink, clock: Clock) {
 		this.follower = options.request.follower;
 		this._term = options.term;
-		this._aliveMs = options.aliveMs;
+		this._aliveMs = options.heartbeatMs;
 		this._log = content.log;
 		this._database = content.database;
 		this._sink = sink;
 		this._clock = clock;
 		this._start(options.request);
 		this._armAlive();
-		this.pump();
+		this.sendPending();
 	}
 
 	/** Sends what is new, unless the sink asked to wait. */
-	pump(): void {
+	sendPending(): void {
 		while (!this._isBlocked && !this._isEnded && this._sentOffset < this._log.end.offset) {
 			if (this._sentOffset < this._log.droppedOffset) {
 				this.end('the follower fell behind the log that is kept');
@@ -105,7 +105,7 @@
 	private async _unblock(pushed: Promise<void>): Promise<void> {
 		await pushed;
 		this._isBlocked = false;
-		this.pump();
+		this.sendPending();
 	}
 
 	private _armAlive(): void {
--- a/standins/endpoint/replication-link.ts
+++ b/standins/endpoint/replication-link.ts
@@ -8,16 +8,16 @@
 } from './types.js';
 
 /** What a link tells its instance. */
-export type LinkListener = {
+export type ReplicationLinkListener = {
 	/** The request with the log's current end. */
 	request(): StreamRequest;
 	receive(message: StreamMessage): void;
 	/** Whether the stream is alive has changed. */
-	onStreaming(isStreaming: boolean): void;
+	onStreamingChange(isStreaming: boolean): void;
 };
 
 /** Whom a link follows, and how patiently. */
-export type LinkTarget = {
+export type ReplicationLinkOptions = {
 	readonly term: number;
 	readonly primary: PrimaryAddress;
 	readonly timing: Pick<InstanceOptions, 'streamRetryMs' | 'streamSilenceMs'>;
@@ -28,9 +28,9 @@
 	readonly term: number;
 	readonly primary: PrimaryAddress;
 	private readonly _connector: ReplicationConnector;
-	private readonly _listener: LinkListener;
+	private readonly _listener: ReplicationLinkListener;
 	private readonly _clock: Clock;
-	private readonly _timing: LinkTarget['timing'];
+	private readonly _timing: ReplicationLinkOptions['timing'];
 	private _stream: Disposable | undefined;
 	private _timer: Disposable | undefined;
 	private _streamNumber = 0;
@@ -38,7 +38,7 @@
 	private _isStreaming = false;
 	private _isDisposed = false;
 
-	constructor(target: LinkTarget, connector: ReplicationConnector, listener: LinkListener, clock: Clock) {
+	constructor(target: ReplicationLinkOptions, connector: ReplicationConnector, listener: ReplicationLinkListener, clock: Clock) {
 		this.term = target.term;
 		this.primary = target.primary;
 		this._connector = connector;
@@ -122,7 +122,7 @@
 	private _setStreaming(isStreaming: boolean): void {
 		if (this._isStreaming !== isStreaming) {
 			this._isStreaming = isStreaming;
-			this._listener.onStreaming(isStreaming);
+			this._listener.onStreamingChange(isStreaming);
 		}
 	}
 }
--- a/standins/endpoint/sql/access-path.ts
+++ b/standins/endpoint/sql/access-path.ts
@@ -21,7 +21,7 @@
 export type AccessPath = {
 	readonly rows: (transaction: Transaction, evaluation: Omit<Evaluation, 'row'>) => KeyedRow[];
 	/** The whole condition, to be checked again after waiting for a lock. */
-	readonly holds: (row: Row, evaluation: Omit<Evaluation, 'row'>) => boolean;
+	readonly matches: (row: Row, evaluation: Omit<Evaluation, 'row'>) => boolean;
 };
 
 type KeyFinder = (evaluation: Evaluation) => readonly string[];
@@ -36,7 +36,7 @@
 	}
 
 	return {
-		holds,
+		matches: holds,
 		rows(transaction, evaluation) {
 			return findKeys
 				? rowsOfKeys(table, findKeys({row: emptyRow, parameters: evaluation.parameters, facts: evaluation.facts}), transaction).filter(([, row]) => holds(row, evaluation))
--- a/standins/endpoint/sql/aggregates.ts
+++ b/standins/endpoint/sql/aggregates.ts
@@ -3,7 +3,7 @@
  */
 import type {SqlValue} from '../types.js';
 import {
-	compareValues, settle, type Evaluation, type Expression,
+	compareValues, resolveUnknownType, type Evaluation, type Expression,
 } from './expression.js';
 import {SqlError} from './sql-error.js';
 import {sqlTypes, type SqlType} from './sql-types.js';
@@ -20,7 +20,7 @@
 	/** Undefined for count(*). */
 	readonly argument: Expression | undefined;
 	readonly isDistinct: boolean;
-	readonly make: () => Accumulator;
+	readonly createAccumulator: () => Accumulator;
 };
 
 function counter(): Accumulator {
@@ -86,16 +86,16 @@
 		throw new SqlError('42883', `function ${name} with ${rawArguments.length} arguments does not exist`);
 	}
 
-	const argument = isStar ? undefined : settle(rawArguments[0]);
+	const argument = isStar ? undefined : resolveUnknownType(rawArguments[0]);
 	const definition = definitions[name];
 	return {
-		type: definition.type(argument?.type ?? sqlTypes.int8), argument, isDistinct, make: definition.make,
+		type: definition.type(argument?.type ?? sqlTypes.int8), argument, isDistinct, createAccumulator: definition.make,
 	};
 }
 
 /** Runs aggregates over the rows of one group. */
 export function aggregate(aggregates: readonly Aggregate[], evaluations: readonly Evaluation[]): SqlValue[] {
-	return aggregates.map(({argument, isDistinct, make}) => {
+	return aggregates.map(({argument, isDistinct, createAccumulator: make}) => {
 		const accumulator = make();
 		const seen = new Set<SqlValue>();
 		for (const evaluation of evaluations) {
--- a/standins/endpoint/sql/compilation.ts
+++ b/standins/endpoint/sql/compilation.ts
@@ -31,7 +31,7 @@
 	sources: readonly ColumnSource[] = [];
 	/** Columns that may stand outside aggregates once there are any; undefined while not checked. */
 	isInsideAggregate = false;
-	readonly columnsOutside = new Set<number>();
+	readonly columnsOutsideAggregates = new Set<number>();
 
 	constructor(declaredTypes: ReadonlyArray<SqlType | undefined>) {
 		this.parameterTypes = [...declaredTypes];
@@ -50,7 +50,7 @@
 	}
 
 	/** Types of all parameters; those that nothing decided are text. */
-	settledParameterTypes(): SqlType[] {
+	resolvedParameterTypes(): SqlType[] {
 		return Array.from(this.parameterTypes, type => type ?? sqlTypes.text);
 	}
 
@@ -80,7 +80,7 @@
 		}
 
 		if (!this.isInsideAggregate) {
-			this.columnsOutside.add(index);
+			this.columnsOutsideAggregates.add(index);
 		}
 
 		return {
--- a/standins/endpoint/sql/compile-expression.ts
+++ b/standins/endpoint/sql/compile-expression.ts
@@ -9,11 +9,11 @@
 import {isAggregate, makeAggregate} from './aggregates.js';
 import type {Compilation} from './compilation.js';
 import {
-	asCondition, coerce, compareValues, literal, settle, type Expression,
+	asCondition, coerce, compareValues, literal, resolveUnknownType, type Expression,
 } from './expression.js';
 import {callFunction} from './functions.js';
 import {
-	applyOperator, compareExpressions, isAmong, joinConditions, matchTypes, negate, widerNumber,
+	applyOperator, compareExpressions, compileInList, combineConditions, matchTypes, negate, widerNumber,
 } from './operators.js';
 import {parseArray} from './array-text.js';
 import {SqlError, notSupported} from './sql-error.js';
@@ -22,7 +22,7 @@
 } from './sql-types.js';
 
 /** Kind and content of a node. */
-export function openNode(node: Node): [string, unknown] {
+export function unwrapNode(node: Node): [string, unknown] {
 	return Object.entries(node)[0];
 }
 
@@ -64,7 +64,7 @@
 		throw new SqlError('42601', 'an expression is missing');
 	}
 
-	const [kind, body] = openNode(node);
+	const [kind, body] = unwrapNode(node);
 	const handler = handlers[kind] as Handler | undefined;
 	if (!handler) {
 		throw notSupported(`an expression of kind ${kind}`);
@@ -131,7 +131,7 @@
 	AEXPR_IN(body, name, compilation) {
 		const left = compileExpression(body.lexpr, compilation);
 		const items = listItems(body.rexpr).map(item => compileExpression(item, compilation, left.type));
-		return isAmong(left, items, name === '<>');
+		return compileInList(left, items, name === '<>');
 	},
 	AEXPR_BETWEEN: (body, _name, compilation) => compileBetween(body, compilation),
 	AEXPR_NOT_BETWEEN: (body, _name, compilation) => negate(compileBetween(body, compilation)),
@@ -157,12 +157,12 @@
 function compileBetween(body: OperatorExpression, compilation: Compilation): Expression {
 	const left = compileExpression(body.lexpr, compilation);
 	const [low, high] = listItems(body.rexpr).map(item => compileExpression(item, compilation, left.type));
-	return joinConditions([compareExpressions('>=', left, low), compareExpressions('<=', left, high)], false);
+	return combineConditions([compareExpressions('>=', left, low), compareExpressions('<=', left, high)], false);
 }
 
 /** `value = ANY ($1)` with an array in text form. */
 function compileAny(body: OperatorExpression, name: string, compilation: Compilation): Expression {
-	const left = settle(compileExpression(body.lexpr, compilation));
+	const left = resolveUnknownType(compileExpression(body.lexpr, compilation));
 	const right = compileExpression(body.rexpr, compilation, sqlTypes.text);
 	const item: {value: SqlValue} = {value: undefined};
 	const comparison = compareExpressions(name, left, {type: left.type, readsRow: false, evaluate: () => item.value});
@@ -192,7 +192,7 @@
 
 function compileBoolean(body: BoolExpr, compilation: Compilation): Expression {
 	const conditions = (body.args ?? []).map(argument => asCondition(compileExpression(argument, compilation, sqlTypes.bool)));
-	return body.boolop === 'NOT_EXPR' ? negate(conditions[0]) : joinConditions(conditions, body.boolop === 'OR_EXPR');
+	return body.boolop === 'NOT_EXPR' ? negate(conditions[0]) : combineConditions(conditions, body.boolop === 'OR_EXPR');
 }
 
 function compileNullTest(body: NullTest, compilation: Compilation): Expression {
--- a/standins/endpoint/sql/engine.ts
+++ b/standins/endpoint/sql/engine.ts
@@ -38,7 +38,7 @@
 		return this._commitCount;
 	}
 
-	noteCommit(): void {
+	countCommit(): void {
 		this._commitCount += 1;
 	}
 
@@ -47,7 +47,7 @@
 		this._sessions.add(session);
 	}
 
-	forget(session: SqlSession): void {
+	unregister(session: SqlSession): void {
 		this._sessions.delete(session);
 	}
 
--- a/standins/endpoint/sql/expression.ts
+++ b/standins/endpoint/sql/expression.ts
@@ -65,7 +65,7 @@
 }
 
 /** Gives a constant without a type the type text. */
-export function settle(expression: Expression): Expression {
+export function resolveUnknownType(expression: Expression): Expression {
 	return expression.type === sqlTypes.unknown ? coerce(expression, sqlTypes.text) : expression;
 }
 
--- a/standins/endpoint/sql/functions.ts
+++ b/standins/endpoint/sql/functions.ts
@@ -4,7 +4,7 @@
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {SqlValue} from '../types.js';
 import {
-	coerce, settle, type Evaluation, type Expression,
+	coerce, resolveUnknownType, type Evaluation, type Expression,
 } from './expression.js';
 import {SqlError} from './sql-error.js';
 import {
@@ -109,7 +109,7 @@
 		throw new SqlError('42883', `function ${name}(${rawArguments.map(argument => argument.type.name).join(', ')}) does not exist`);
 	}
 
-	const parts = rawArguments.map(argument => definition.argument ? coerce(argument, definition.argument) : settle(argument));
+	const parts = rawArguments.map(argument => definition.argument ? coerce(argument, definition.argument) : resolveUnknownType(argument));
 	return {
 		type: definition.type ?? parts[0].type,
 		readsRow: parts.some(argument => argument.readsRow),
--- a/standins/endpoint/sql/insert.ts
+++ b/standins/endpoint/sql/insert.ts
@@ -138,7 +138,7 @@
 function defaultValue(table: Table, index: number, facts: SessionFacts): SqlValue {
 	const column = table.definition.columns[index];
 	if (column.default?.kind === 'serial') {
-		return table.takeNumber();
+		return table.nextSequenceValue();
 	}
 
 	if (column.default?.kind === 'now') {
--- a/standins/endpoint/sql/lock-rows.ts
+++ b/standins/endpoint/sql/lock-rows.ts
@@ -19,7 +19,7 @@
 	for (const [key] of access.rows(execution.transaction, execution)) {
 		yield * lockKey(table, key, execution);
 		const row = execution.transaction.row(table, key);
-		if (row && access.holds(row, execution)) {
+		if (row && access.matches(row, execution)) {
 			locked.push([key, row]);
 		}
 	}
--- a/standins/endpoint/sql/operators.ts
+++ b/standins/endpoint/sql/operators.ts
@@ -4,7 +4,7 @@
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {SqlValue} from '../types.js';
 import {
-	coerce, compareValues, settle, type Expression,
+	coerce, compareValues, resolveUnknownType, type Expression,
 } from './expression.js';
 import {SqlError} from './sql-error.js';
 import {formatValue, sqlTypes, type SqlType} from './sql-types.js';
@@ -53,7 +53,7 @@
 /** Gives constants without a type the type of the other side. */
 export function matchTypes(left: Expression, right: Expression): [Expression, Expression] {
 	if (left.type === sqlTypes.unknown) {
-		const settled = settle(right);
+		const settled = resolveUnknownType(right);
 		return [coerce(left, settled.type), settled];
 	}
 
@@ -126,8 +126,8 @@
 }
 
 function match(leftRaw: Expression, rightRaw: Expression, isCaseSensitive: boolean, isNegated: boolean): Expression {
-	const left = settle(leftRaw);
-	const right = settle(rightRaw);
+	const left = resolveUnknownType(leftRaw);
+	const right = resolveUnknownType(rightRaw);
 	// The pattern is the same for all rows of a query: it is made once.
 	let made: {readonly pattern: Present; readonly expression: RegExp} | undefined;
 	return combine(sqlTypes.bool, left, right, (a, b) => {
@@ -140,7 +140,7 @@
 }
 
 const others: Readonly<Record<string, (left: Expression, right: Expression) => Expression>> = {
-	'||': (left, right) => combine(sqlTypes.text, settle(left), settle(right), (a, b) => formatValue(a) + formatValue(b)),
+	'||': (left, right) => combine(sqlTypes.text, resolveUnknownType(left), resolveUnknownType(right), (a, b) => formatValue(a) + formatValue(b)),
 	'~~': (left, right) => match(left, right, true, false),
 	'!~~': (left, right) => match(left, right, true, true),
 	'~~*': (left, right) => match(left, right, false, false),
@@ -165,7 +165,7 @@
 }
 
 /** AND and OR with NULL as unknown: `deciding` decides at once. */
-export function joinConditions(conditions: readonly Expression[], deciding: boolean): Expression {
+export function combineConditions(conditions: readonly Expression[], deciding: boolean): Expression {
 	return {
 		type: sqlTypes.bool,
 		readsRow: conditions.some(condition => condition.readsRow),
@@ -186,8 +186,8 @@
 }
 
 /** Whether a value is among others; unknown when a NULL is among them and none fits. */
-export function isAmong(left: Expression, list: readonly Expression[], isNegated: boolean): Expression {
-	const any = joinConditions(list.map(item => compareExpressions('=', left, item)), true);
+export function compileInList(left: Expression, list: readonly Expression[], isNegated: boolean): Expression {
+	const any = combineConditions(list.map(item => compareExpressions('=', left, item)), true);
 	return isNegated ? negate(any) : any;
 }
 
--- a/standins/endpoint/sql/planner.ts
+++ b/standins/endpoint/sql/planner.ts
@@ -6,10 +6,10 @@
 	hasSqlDetails, loadModule, parseSync, type Node,
 } from 'libpg-query';
 import {Compilation} from './compilation.js';
-import {openNode} from './compile-expression.js';
+import {unwrapNode} from './compile-expression.js';
 import {planCreateTable, planDropTable} from './definitions.js';
 import {planInsert} from './insert.js';
-import {liftLiterals} from './literal-lifting.js';
+import {parameteriseLiterals} from './query-parameterisation.js';
 import type {Plan} from './plan.js';
 import {planSelect} from './select.js';
 import {SqlError, notSupported} from './sql-error.js';
@@ -18,7 +18,7 @@
 import {planDelete, planUpdate} from './update-delete.js';
 
 /** A plan with the types of its parameters. */
-export type Planned = {
+export type PlannedStatement = {
 	readonly plan: Plan;
 	readonly parameterTypes: readonly SqlType[];
 };
@@ -28,7 +28,7 @@
 	readonly kind: string;
 	readonly node: Node;
 	readonly body: unknown;
-	planned: {readonly planned: Planned; readonly catalogVersion: number; readonly declared: string} | undefined;
+	cachedPlan: {readonly planned: PlannedStatement; readonly catalogVersion: number; readonly declared: string} | undefined;
 };
 
 type Planner = (body: never, compilation: Compilation, transaction: Transaction) => Plan;
@@ -47,7 +47,7 @@
 	readonly statements: readonly ParsedStatement[];
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
 	/** Text of each parameter that stands for a literal. */
-	readonly texts: readonly string[];
+	readonly literalTexts: readonly string[];
 };
 
 /** Must have resolved before the first statement is parsed. */
@@ -87,11 +87,11 @@
 
 	/** The statements of a simple query, with its literals as parameters where that is safe. */
 	parseSimple(text: string): SimpleQuery {
-		const lifted = liftLiterals(text);
+		const lifted = parameteriseLiterals(text);
 		if (lifted) {
 			try {
 				const statements = this.parse(lifted.shape);
-				return {statements, declaredTypes: lifted.declaredTypes, texts: lifted.texts};
+				return {statements, declaredTypes: lifted.declaredTypes, literalTexts: lifted.literalTexts};
 			} catch {
 				// The text itself gives the error that belongs to it.
 			}
@@ -102,7 +102,7 @@
 
 	/** The statements of a simple query as they are written. */
 	parseVerbatim(text: string): SimpleQuery {
-		return {statements: this.parse(text), declaredTypes: [], texts: []};
+		return {statements: this.parse(text), declaredTypes: [], literalTexts: []};
 	}
 }
 
@@ -110,9 +110,9 @@
 	try {
 		const {stmts = []} = parseSync(text);
 		return stmts.map(({stmt}) => {
-			const [kind, body] = openNode(stmt!);
+			const [kind, body] = unwrapNode(stmt!);
 			return {
-				kind, node: stmt!, body, planned: undefined,
+				kind, node: stmt!, body, cachedPlan: undefined,
 			};
 		});
 	} catch (error) {
@@ -127,10 +127,10 @@
 }
 
 /** The plan of a statement for the tables that a transaction sees. */
-export function planStatement(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, transaction: Transaction, catalogVersion: number): Planned {
+export function planStatement(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, transaction: Transaction, catalogVersion: number): PlannedStatement {
 	const declared = declaredTypes.length === 0 ? '' : declaredTypes.map(type => type?.name ?? '').join(',');
-	const known = statement.planned;
-	if (known?.catalogVersion === catalogVersion && known.declared === declared && !transaction.hasOwnTables) {
+	const known = statement.cachedPlan;
+	if (known?.catalogVersion === catalogVersion && known.declared === declared && !transaction.hasCatalogChanges) {
 		return known.planned;
 	}
 
@@ -141,9 +141,9 @@
 
 	const compilation = new Compilation(declaredTypes);
 	const plan = planner(statement.body as never, compilation, transaction); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the kind decides the content's type.
-	const planned: Planned = {plan, parameterTypes: compilation.settledParameterTypes()};
-	if (!transaction.hasOwnTables) {
-		statement.planned = {planned, catalogVersion, declared};
+	const planned: PlannedStatement = {plan, parameterTypes: compilation.resolvedParameterTypes()};
+	if (!transaction.hasCatalogChanges) {
+		statement.cachedPlan = {planned, catalogVersion, declared};
 	}
 
 	return planned;
--- a/standins/endpoint/sql/literal-lifting.ts
+++ b/standins/endpoint/sql/query-parameterisation.ts
@@ -7,11 +7,11 @@
 import {sqlTypes, type SqlType} from './sql-types.js';
 
 /** A query text with parameters in place of literals. */
-export type LiftedQuery = {
+export type ParameterisedQuery = {
 	readonly shape: string;
 	/** Undefined for text literals, whose type the context decides. */
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
-	readonly texts: readonly string[];
+	readonly literalTexts: readonly string[];
 };
 
 const liftable = /^\s*(?:select|insert|update|delete)\b/iv;
@@ -30,7 +30,7 @@
 }
 
 /** Takes the literals out; undefined where that might change what the query means. */
-export function liftLiterals(text: string): LiftedQuery | undefined {
+export function parameteriseLiterals(text: string): ParameterisedQuery | undefined {
 	if (!liftable.test(text) || unliftable.test(text)) {
 		return undefined;
 	}
@@ -46,5 +46,5 @@
 		texts.push(quoted === undefined ? literal : quoted.replaceAll('\'\'', '\''));
 		return `$${texts.length}`;
 	});
-	return texts.length === 0 || texts.some(value => /^\d{16,}$/v.test(value)) ? undefined : {shape, declaredTypes, texts};
+	return texts.length === 0 || texts.some(value => /^\d{16,}$/v.test(value)) ? undefined : {shape, declaredTypes, literalTexts: texts};
 }
--- a/standins/endpoint/sql/select.ts
+++ b/standins/endpoint/sql/select.ts
@@ -8,7 +8,7 @@
 import type {Compilation} from './compilation.js';
 import {compileExpression, namesOf} from './compile-expression.js';
 import {
-	asCondition, coerce, compareValues, emptyRow, settle, type Evaluation, type Expression,
+	asCondition, coerce, compareValues, emptyRow, resolveUnknownType, type Evaluation, type Expression,
 } from './expression.js';
 import {lockRows} from './lock-rows.js';
 import type {
@@ -71,11 +71,11 @@
 
 function planParts(statement: SelectStmt, compilation: Compilation, transaction: Transaction): SelectParts {
 	const source = planSource(statement, compilation, transaction);
-	compilation.columnsOutside.clear();
+	compilation.columnsOutsideAggregates.clear();
 	const targets = compileTargets(statement.targetList, compilation);
 	const having = statement.havingClause ? asCondition(compileExpression(statement.havingClause, compilation, sqlTypes.bool)) : undefined;
 	const sortings = (statement.sortClause ?? []).flatMap(node => 'SortBy' in node ? [planSorting(node.SortBy, targets, compilation)] : []);
-	const outside = new Set(compilation.columnsOutside);
+	const outside = new Set(compilation.columnsOutsideAggregates);
 	const grouping = (statement.groupClause ?? []).map(node => referenceOrExpression(node, targets, compilation));
 	const isGrouped = grouping.length > 0 || compilation.aggregates.length > 0;
 	if (isGrouped) {
@@ -117,7 +117,7 @@
 
 	const names = 'ColumnRef' in node ? namesOf(node.ColumnRef.fields) : [];
 	const named = names.length === 1 ? targets.find(target => target.name === names[0]) : undefined;
-	return named ? named.expression : settle(compileExpression(node, compilation));
+	return named ? named.expression : resolveUnknownType(compileExpression(node, compilation));
 }
 
 function planSorting(sort: SortBy, targets: readonly Target[], compilation: Compilation): Sorting {
@@ -128,7 +128,7 @@
 }
 
 function planValues(lists: readonly Node[], compilation: Compilation): Plan {
-	const rows = lists.map(node => ('List' in node ? node.List.items ?? [] : []).map(item => settle(compileExpression(item, compilation))));
+	const rows = lists.map(node => ('List' in node ? node.List.items ?? [] : []).map(item => resolveUnknownType(compileExpression(item, compilation))));
 	const columns = rows[0].map((expression, index) => ({name: `column${index + 1}`, type: expression.type}));
 	return {
 		isWrite: false,
--- a/standins/endpoint/sql/session-transaction.ts
+++ b/standins/endpoint/sql/session-transaction.ts
@@ -31,8 +31,8 @@
 	}
 
 	/** Why the instance ended it from outside, if it did. */
-	get endedBy(): SqlError | undefined {
-		return this._current?.endedBy;
+	get terminationError(): SqlError | undefined {
+		return this._current?.terminationError;
 	}
 
 	/** Wall-clock time at which it began. */
@@ -105,7 +105,7 @@
 	}
 
 	/** Commits what ran outside BEGIN and COMMIT. */
-	finishCycle(): void {
+	commitImplicit(): void {
 		if (!this._isExplicit) {
 			this._append();
 		}
@@ -121,7 +121,7 @@
 	endIfWriting(error: SqlError): void {
 		const transaction = this._current;
 		if (transaction && (transaction.hasWrites || transaction.locks.size > 0 || transaction.awaitedLock !== undefined)) {
-			transaction.endedBy = error;
+			transaction.terminationError = error;
 			this._engine.locks.releaseAll(transaction);
 		}
 	}
@@ -129,7 +129,7 @@
 	/** Ends it for good; a statement that is about to go on must not take locks any more. */
 	abandon(error: SqlError): void {
 		if (this._current) {
-			this._current.endedBy = error;
+			this._current.terminationError = error;
 			this._drop();
 		}
 	}
@@ -152,15 +152,15 @@
 	}
 
 	private _appendChanges(transaction: Transaction): void {
-		if (transaction.endedBy) {
-			throw transaction.endedBy;
+		if (transaction.terminationError) {
+			throw transaction.terminationError;
 		}
 
 		if (!transaction.hasWrites) {
 			return;
 		}
 
-		if (!transaction.fitsCatalog()) {
+		if (!transaction.matchesCatalog()) {
 			throw new SqlError('40001', 'a table that the transaction wrote to was changed meanwhile');
 		}
 
@@ -168,7 +168,7 @@
 			throw new SqlError('25006', 'cannot commit: this instance is no longer the primary');
 		}
 
-		this._engine.noteCommit();
+		this._engine.countCommit();
 	}
 
 	private _drop(): void {
--- a/standins/endpoint/sql/session.test.ts
+++ b/standins/endpoint/sql/session.test.ts
@@ -30,10 +30,10 @@
 				answer = rows ?? tag;
 			}
 
-			session.finishCycle();
+			session.commitImplicitTransaction();
 			return answer;
 		} catch (error) {
-			session.onError();
+			session.failTransaction();
 			return error instanceof SqlError ? error.sqlState : String(error);
 		}
 	}
@@ -112,7 +112,7 @@
 			['SELECT E\'x\', 5', ['5']],
 		];
 		for (const [text, texts] of cases) {
-			expect([text, cache.parseSimple(text).texts]).toEqual([text, texts]);
+			expect([text, cache.parseSimple(text).literalTexts]).toEqual([text, texts]);
 		}
 
 		expect(cache.parse('SELECT * FROM t WHERE id = $1 AND name = $2')).toExactlyEqual(cache.parseSimple('SELECT * FROM t WHERE id = 5 AND name = \'x\'').statements);
--- a/standins/endpoint/sql/session.ts
+++ b/standins/endpoint/sql/session.ts
@@ -9,7 +9,7 @@
 	Execution, ResultColumn, StatementResult, Steps,
 } from './plan.js';
 import {
-	isDataStatement, planStatement, type ParsedStatement, type Planned,
+	isDataStatement, planStatement, type ParsedStatement, type PlannedStatement,
 } from './planner.js';
 import {SessionTransaction, type StatusCode} from './session-transaction.js';
 import {SessionSettings} from './settings.js';
@@ -86,12 +86,12 @@
 	}
 
 	/** Commits what ran outside BEGIN and COMMIT since the last call. */
-	finishCycle(): void {
-		this.transaction.finishCycle();
+	commitImplicitTransaction(): void {
+		this.transaction.commitImplicit();
 	}
 
 	/** A statement failed: an open transaction can only be rolled back now. */
-	onError(): void {
+	failTransaction(): void {
 		this.transaction.fail();
 	}
 
@@ -126,7 +126,7 @@
 		this._isDisposed = true;
 		this.cancelWait(connectionEnded());
 		this.transaction.abandon(connectionEnded());
-		this._engine.forget(this);
+		this._engine.unregister(this);
 	}
 
 	private _makeFacts(identity: SessionIdentity): SessionFacts {
@@ -150,8 +150,8 @@
 			throw new SqlError('57P03', 'this instance is rebuilding and takes no statements');
 		}
 
-		if (this.transaction.endedBy) {
-			throw this.transaction.endedBy;
+		if (this.transaction.terminationError) {
+			throw this.transaction.terminationError;
 		}
 
 		const transaction = this.transaction.open();
@@ -167,7 +167,7 @@
 		return 'tag' in run ? run : this._step(run, transaction);
 	}
 
-	private _plan(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, transaction: Transaction): Planned {
+	private _plan(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, transaction: Transaction): PlannedStatement {
 		return planStatement(statement, declaredTypes, transaction, this._engine.instance.database.catalogVersion);
 	}
 
@@ -181,8 +181,8 @@
 		let wait = firstWait;
 		for (;;) {
 			await this._waitInStatement(wait);
-			if (transaction.endedBy) {
-				throw transaction.endedBy;
+			if (transaction.terminationError) {
+				throw transaction.terminationError;
 			}
 
 			const next = steps.next();
--- a/standins/endpoint/sql/targets.ts
+++ b/standins/endpoint/sql/targets.ts
@@ -6,9 +6,9 @@
 import type {Row} from '../types.js';
 import type {Compilation} from './compilation.js';
 import {
-	compileExpression, namesOf, openNode, typeOf,
+	compileExpression, namesOf, unwrapNode, typeOf,
 } from './compile-expression.js';
-import {settle, type Evaluation, type Expression} from './expression.js';
+import {resolveUnknownType, type Evaluation, type Expression} from './expression.js';
 import type {ResultColumn} from './plan.js';
 
 /** A result column and how it is computed. */
@@ -29,7 +29,7 @@
 			return compilation.star(namesOf(fields.slice(0, -1)).at(-1)).map(column => ({...column, node: undefined}));
 		}
 
-		const expression = settle(compileExpression(target.val, compilation));
+		const expression = resolveUnknownType(compileExpression(target.val, compilation));
 		return [{name: target.name ?? defaultName(target.val), expression, node: target.val}];
 	});
 }
@@ -74,5 +74,5 @@
 		return (node.SQLValueFunction.op ?? '').replace('SVFOP_', '').toLowerCase();
 	}
 
-	return fixedNames[openNode(node)[0]] ?? '?column?';
+	return fixedNames[unwrapNode(node)[0]] ?? '?column?';
 }
--- a/standins/endpoint/sql/transaction.ts
+++ b/standins/endpoint/sql/transaction.ts
@@ -18,7 +18,7 @@
 	awaitedLock: string | undefined;
 	isReadOnly: boolean;
 	/** Set when the instance ended it from outside. */
-	endedBy: SqlError | undefined;
+	terminationError: SqlError | undefined;
 	private readonly _database: Database;
 	private readonly _writes = new Map<Table, TableWrites>();
 	private readonly _catalogChanges: Change[] = [];
@@ -35,7 +35,7 @@
 	}
 
 	/** Whether it changed which tables there are, so that shared plans don't fit. */
-	get hasOwnTables(): boolean {
+	get hasCatalogChanges(): boolean {
 		return this._tables.size > 0;
 	}
 
@@ -120,7 +120,7 @@
 	}
 
 	/** Whether every table that it wrote to is still there. */
-	fitsCatalog(): boolean {
+	matchesCatalog(): boolean {
 		return [...this._writes.keys()].every(table => this.findTable(table.definition.name) === table);
 	}
 
--- a/standins/endpoint/store/replicated-log.ts
+++ b/standins/endpoint/store/replicated-log.ts
@@ -55,7 +55,7 @@
 	}
 
 	/** Notes how to undo an applied entry, and drops entries that are too old to be needed. */
-	noteApplied(offset: number, undo: Undo): void {
+	recordApplied(offset: number, undo: Undo): void {
 		this._entries[offset - this._droppedOffset - 1].undo = undo;
 		if (offset - this._droppedOffset > 2 * this._entriesKept) {
 			const dropped = offset - this._droppedOffset - this._entriesKept;
--- a/standins/endpoint/store/table.ts
+++ b/standins/endpoint/store/table.ts
@@ -25,7 +25,7 @@
 	}
 
 	/** Takes the next number; numbers of rolled back transactions are lost, as in any sequence. */
-	takeNumber(): number {
+	nextSequenceValue(): number {
 		const number = this._nextNumber;
 		this._nextNumber += 1;
 		return number;
@@ -34,7 +34,7 @@
 	/** Key of a row; a row without primary key gets a hidden number. */
 	keyOf(row: Row): string {
 		const {keyColumns} = this.definition;
-		return keyColumns.length === 0 ? hiddenKeyMark + this.takeNumber() : encodeKey(keyColumns.map(index => row[index]));
+		return keyColumns.length === 0 ? hiddenKeyMark + this.nextSequenceValue() : encodeKey(keyColumns.map(index => row[index]));
 	}
 
 	/** Puts a row and returns the one that was there. */
--- a/standins/endpoint/promise-file.ts
+++ b/standins/endpoint/term-promise-file.ts
@@ -10,7 +10,7 @@
 const promiseSchema = z.object({term: z.int().min(0), claimId: z.string()});
 
 /** One small file, replaced as a whole before the promise is answered. */
-export class PromiseFile {
+export class TermPromiseFile {
 	private readonly _path: string;
 
 	constructor(path: string) {
--- a/standins/endpoint/testing/endpoint-bench.ts
+++ b/standins/endpoint/testing/endpoint-harness.ts
@@ -4,7 +4,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import pg from 'pg';
 import {DisposableStore} from '../../../src/common/lifecycle/disposable.js';
-import {doNothing} from '../nothing.js';
+import {noop} from '../noop.js';
 import {reportedParameters} from '../constants.js';
 import {Endpoint} from '../endpoint.js';
 import {settingsSchema, type EndpointSettingsInput} from '../settings.js';
@@ -13,7 +13,7 @@
 const access = {group: 'group', user: 'tester', password: 'secret'};
 
 /** Owns what a test starts. */
-export class EndpointBench {
+export class EndpointHarness {
 	private readonly _owned = new DisposableStore();
 	private readonly _clients: pg.Client[] = [];
 
@@ -30,7 +30,7 @@
 		const replicas = await Promise.all(names.map(async name => this.endpoint({
 			...settings, name, initialPrimary: 'a', peers: [{name: 'a', host: '127.0.0.1', port: primary.port}],
 		})));
-		await until(() => replicas.every(({instance}) => instance.state.isStreaming));
+		await waitUntil(() => replicas.every(({instance}) => instance.state.isStreaming));
 		return [primary, ...replicas];
 	}
 
@@ -40,7 +40,7 @@
 			host: '127.0.0.1', port: endpoint.port, user: access.user, password, database: access.group, application_name: appName, // eslint-disable-line @typescript-eslint/naming-convention -- the driver's name.
 		});
 		// Connections are ended by the endpoints in many tests.
-		client.on('error', doNothing);
+		client.on('error', noop);
 		await client.connect();
 		this._clients.push(client);
 		return client;
@@ -53,7 +53,7 @@
 }
 
 /** SQLSTATE or code of a failure; `done` without one. */
-export async function codeOf(promise: Promise<unknown>): Promise<string> {
+export async function errorCodeOf(promise: Promise<unknown>): Promise<string> {
 	try {
 		await promise;
 		return 'done';
@@ -63,7 +63,7 @@
 }
 
 /** Waits until a condition holds; the test's own timeout bounds it. */
-export async function until(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
 	while (!condition()) {
 		await pause(2);
 	}
--- a/standins/endpoint/wire/answer-writer.ts
+++ b/standins/endpoint/wire/backend-message-writer.ts
@@ -29,7 +29,7 @@
 } as const;
 
 /** Encodes messages; `take` hands them over. */
-export class AnswerWriter {
+export class BackendMessageWriter {
 	private _buffer = Buffer.allocUnsafe(initialSizeBytes);
 	private _length = 0;
 	private _start = 0;
--- a/standins/endpoint/wire/connection.ts
+++ b/standins/endpoint/wire/connection.ts
@@ -13,17 +13,17 @@
 import type {ParsedStatement, SimpleQuery} from '../sql/planner.js';
 import {SqlSession, type SessionIdentity} from '../sql/session.js';
 import {SqlError} from '../sql/sql-error.js';
-import {AnswerWriter} from './answer-writer.js';
+import {BackendMessageWriter} from './backend-message-writer.js';
 import {
-	ExtendedProtocol, readExecute, readSubject, type Portal, type Prepared,
+	ExtendedProtocol, readExecute, readDescribeTarget, type Portal, type PreparedStatement,
 } from './extended-protocol.js';
 import {flushSizeBytes, startParameters} from './constants.js';
 import type {Frame} from './frame-reader.js';
 import {MessagePump} from './message-pump.js';
 import {RowSender} from './row-sender.js';
 import {MessageReader} from './message-reader.js';
-import {formatState} from './orders.js';
-import {StatementPort} from './statement-port.js';
+import {formatState} from './control-commands.js';
+import {StatementDispatcher} from './statement-dispatcher.js';
 import type {ConnectionOptions, ConnectionOutput, ConnectionPurpose} from './types.js';
 import {StatementRunner} from './statement-runner.js';
 
@@ -56,11 +56,11 @@
 	private readonly _instance: Instance;
 	private readonly _engine: SqlEngine;
 	private readonly _session: SqlSession;
-	private readonly _port: StatementPort;
+	private readonly _port: StatementDispatcher;
 	private readonly _protocol: ExtendedProtocol;
 	private readonly _pump: MessagePump;
 	private readonly _rows: RowSender;
-	private readonly _writer = new AnswerWriter();
+	private readonly _writer = new BackendMessageWriter();
 	private readonly _output: ConnectionOutput;
 	private readonly _identity: SessionIdentity;
 	private _sentPosition = zeroPosition;
@@ -76,22 +76,22 @@
 		this._output = output;
 		this._session = new SqlSession(options.engine, options.identity);
 		this._protocol = new ExtendedProtocol(options.engine.statements);
-		this._port = new StatementPort({
+		this._port = new StatementDispatcher({
 			instance: this._instance,
 			session: this._session,
 			runner: new StatementRunner(this._session, options.purpose === 'control' ? undefined : options.slots, options.serviceTime, options.engine.clock),
 			isControl: options.purpose === 'control',
-			binding: this,
+			controlConnection: this,
 		});
 		this._rows = new RowSender(this._writer, () => {
 			this._flush();
 		});
 		this._pump = new MessagePump({
 			handle: async frame => this._handle(frame),
-			onDrained: () => {
+			onInputDrained: () => {
 				this._flush();
 			},
-			onBroken: error => {
+			onError: error => {
 				this.shutDown(new SqlError('08P01', String(error)));
 			},
 		});
@@ -188,7 +188,7 @@
 	}
 
 	describe(body: Uint8Array): void {
-		const {kind, name} = readSubject(body);
+		const {kind, name} = readDescribeTarget(body);
 		const prepared = kind === 'S' ? this._protocol.statement(name) : this._protocol.portal(name).prepared;
 		const {parameterTypes, columns} = this._port.describe(prepared);
 		if (kind === 'S') {
@@ -212,7 +212,7 @@
 		}
 
 		if (portal.rest) {
-			this._rows.sendPart(portal, rowLimit);
+			this._rows.sendPortalRows(portal, rowLimit);
 			return;
 		}
 
@@ -222,7 +222,7 @@
 		}
 
 		this._keep(result, portal);
-		this._rows.sendPart(portal, rowLimit);
+		this._rows.sendPortalRows(portal, rowLimit);
 	}
 
 	close(body: Uint8Array): void {
@@ -290,13 +290,13 @@
 
 	private _finishCycle(): void {
 		try {
-			this._session.finishCycle();
+			this._session.commitImplicitTransaction();
 		} catch (error) {
 			this._fail(error);
 		}
 	}
 
-	private async _querySingle(statement: ParsedStatement, {declaredTypes, texts}: SimpleQuery, isLast: boolean): Promise<void> {
+	private async _querySingle(statement: ParsedStatement, {declaredTypes, literalTexts: texts}: SimpleQuery, isLast: boolean): Promise<void> {
 		const {columns, parameterTypes} = this._port.describe({statement, declaredTypes});
 		if (parameterTypes.length > texts.length) {
 			throw new SqlError('42P02', `there is no parameter $${texts.length + 1}`);
@@ -306,14 +306,14 @@
 		const pending = this._port.run(statement, declaredTypes, parameters);
 		const result = pending instanceof Promise ? await this._flushed(pending) : pending;
 		if (isLast) {
-			this._session.finishCycle();
+			this._session.commitImplicitTransaction();
 		}
 
 		if (columns) {
 			this._writer.rowDescription(columns);
 		}
 
-		this._rows.sendAll(result);
+		this._rows.sendResult(result);
 	}
 
 	/** Hands over the answers of earlier requests before waiting. */
@@ -324,7 +324,7 @@
 
 	private async _executeLater(pending: Promise<StatementResult>, portal: Portal, rowLimit: number): Promise<void> {
 		this._keep(await this._flushed(pending), portal);
-		this._rows.sendPart(portal, rowLimit);
+		this._rows.sendPortalRows(portal, rowLimit);
 	}
 
 	private _keep({tag, rows = []}: StatementResult, portal: Portal): void {
@@ -332,7 +332,7 @@
 	}
 
 	private _fail(error: unknown): void {
-		this._session.onError();
+		this._session.failTransaction();
 		this._writer.error(error instanceof SqlError ? error : new SqlError('XX000', String(error)), 'ERROR');
 	}
 
--- a/standins/endpoint/wire/orders.ts
+++ b/standins/endpoint/wire/control-commands.ts
@@ -15,7 +15,7 @@
 import {sqlTypes} from '../sql/sql-types.js';
 
 /** An order that can be described and run. */
-export type Order = {
+export type ControlCommand = {
 	readonly columns: readonly ResultColumn[];
 	run(instance: Instance, binding: unknown): StatementResult;
 };
@@ -73,7 +73,7 @@
 };
 
 /** The order in a statement; undefined when it is none. */
-export function findOrder(statement: ParsedStatement): Order | undefined {
+export function findControlCommand(statement: ParsedStatement): ControlCommand | undefined {
 	const call = 'SelectStmt' in statement.node ? singleCall(statement.node.SelectStmt) : undefined;
 	const definition = call && orders[namesOf(call.funcname).at(-1) ?? ''] as OrderDefinition | undefined;
 	if (!call || !definition) {
--- a/standins/endpoint/wire/extended-protocol.ts
+++ b/standins/endpoint/wire/extended-protocol.ts
@@ -10,26 +10,26 @@
 import {readParameter} from './parameters.js';
 
 /** A prepared statement; without a statement it is the empty query. */
-export type Prepared = {
+export type PreparedStatement = {
 	readonly statement: ParsedStatement | undefined;
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
 };
 
 /** A bound statement, and the rows of its answer that were not sent yet. */
 export type Portal = {
-	readonly prepared: Prepared;
+	readonly prepared: PreparedStatement;
 	readonly parameters: readonly SqlValue[];
 	rest: {readonly rows: readonly Row[]; readonly tag: string; sentCount: number} | undefined;
 };
 
 /** Kind and name in Describe and Close. */
-export type Subject = {
+export type DescribeTarget = {
 	readonly kind: string;
 	readonly name: string;
 };
 
 /** Reads Describe and Close. */
-export function readSubject(body: Uint8Array): Subject {
+export function readDescribeTarget(body: Uint8Array): DescribeTarget {
 	const reader = new MessageReader(body);
 	return {kind: reader.byte(), name: reader.cString()};
 }
@@ -42,7 +42,7 @@
 
 /** Names to statements and portals. */
 export class ExtendedProtocol {
-	private readonly _statements = new Map<string, Prepared>();
+	private readonly _statements = new Map<string, PreparedStatement>();
 	private readonly _portals = new Map<string, Portal>();
 	private readonly _cache: StatementCache;
 
@@ -51,7 +51,7 @@
 	}
 
 	/** Takes a Parse message in. */
-	parse(body: Uint8Array): Prepared {
+	parse(body: Uint8Array): PreparedStatement {
 		const reader = new MessageReader(body);
 		const name = reader.cString();
 		const statements = this._cache.parse(reader.cString());
@@ -64,13 +64,13 @@
 			throw new SqlError('42P05', `prepared statement "${name}" already exists`);
 		}
 
-		const prepared: Prepared = {statement: statements.at(0), declaredTypes};
+		const prepared: PreparedStatement = {statement: statements.at(0), declaredTypes};
 		this._statements.set(name, prepared);
 		return prepared;
 	}
 
 	/** Takes a Bind message in. */
-	bind(body: Uint8Array, describe: (prepared: Prepared) => StatementDescription): void {
+	bind(body: Uint8Array, describe: (prepared: PreparedStatement) => StatementDescription): void {
 		const reader = new MessageReader(body);
 		const name = reader.cString();
 		const prepared = this.statement(reader.cString());
@@ -89,7 +89,7 @@
 		this._portals.set(name, {prepared, parameters, rest: undefined});
 	}
 
-	statement(name: string): Prepared {
+	statement(name: string): PreparedStatement {
 		const prepared = this._statements.get(name);
 		if (!prepared) {
 			throw new SqlError('26000', `prepared statement "${name}" does not exist`);
@@ -109,7 +109,7 @@
 
 	/** Takes a Close message in. */
 	close(body: Uint8Array): void {
-		const {kind, name} = readSubject(body);
+		const {kind, name} = readDescribeTarget(body);
 		(kind === 'S' ? this._statements : this._portals).delete(name);
 	}
 
--- a/standins/endpoint/wire/gated-socket.ts
+++ b/standins/endpoint/wire/gated-socket.ts
@@ -2,7 +2,7 @@
  * A socket that can be held: nothing comes in and nothing goes out until it is let go.
  */
 import type {Socket} from 'node:net';
-import {doNothing} from '../nothing.js';
+import {noop} from '../noop.js';
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 
 /** Bytes to either side are kept while held, as a network does that drops and sends again. */
@@ -21,7 +21,7 @@
 		this._isHeldFor = isHeldFor;
 		socket.setNoDelay(true);
 		// An error is always followed by 'close', which is where owners react.
-		socket.on('error', doNothing);
+		socket.on('error', noop);
 		this.refresh();
 	}
 
--- a/standins/endpoint/wire/message-pump.ts
+++ b/standins/endpoint/wire/message-pump.ts
@@ -8,9 +8,9 @@
 	/** A promise makes the next message wait. */
 	handle(frame: Frame): void | Promise<void>;
 	/** Everything that has arrived is handled. */
-	onDrained(): void;
+	onInputDrained(): void;
 	/** The bytes make no sense, or handling failed. */
-	onBroken(error: unknown): void;
+	onError(error: unknown): void;
 };
 
 /** One task, which ends with `stop`. */
@@ -42,12 +42,12 @@
 						await pending;
 					}
 				} else {
-					this._handler.onDrained();
+					this._handler.onInputDrained();
 					await this._arrival();
 				}
 			}
 		} catch (error) {
-			this._handler.onBroken(error);
+			this._handler.onError(error);
 		}
 	}
 
--- a/standins/endpoint/wire/replication-client.ts
+++ b/standins/endpoint/wire/replication-client.ts
@@ -53,21 +53,21 @@
 	}
 
 	/** Looks again which connections are held. */
-	refresh(): void {
+	refreshHeldConnections(): void {
 		for (const gate of this._gates) {
 			gate.refresh();
 		}
 	}
 
 	/** Drops all streams; the instance opens new ones when it can. */
-	dropAll(): void {
+	closeAll(): void {
 		for (const gate of this._gates) {
 			gate.dispose();
 		}
 	}
 
 	dispose(): void {
-		this.dropAll();
+		this.closeAll();
 	}
 
 	private async _run(gate: GatedSocket, primary: PrimaryAddress, request: StreamRequest, receiver: StreamReceiver): Promise<void> {
--- a/standins/endpoint/wire/replication-sender.ts
+++ b/standins/endpoint/wire/replication-sender.ts
@@ -2,12 +2,12 @@
  * The primary's side of a replication connection.
  */
 import {toDisposable, type Disposable} from '../../../src/common/lifecycle/disposable.js';
-import {doNothing} from '../nothing.js';
+import {noop} from '../noop.js';
 import type {Instance} from '../instance.js';
 import {SqlError} from '../sql/sql-error.js';
 import {sqlTypes} from '../sql/sql-types.js';
 import type {StreamMessage, StreamSink} from '../types.js';
-import {AnswerWriter} from './answer-writer.js';
+import {BackendMessageWriter} from './backend-message-writer.js';
 import {FrameReader} from './frame-reader.js';
 import type {GatedSocket} from './gated-socket.js';
 import {MessageReader} from './message-reader.js';
@@ -20,8 +20,8 @@
 	private readonly _instance: Instance;
 	private readonly _gate: GatedSocket;
 	private readonly _reader = new FrameReader();
-	private readonly _writer = new AnswerWriter();
-	private _feed: Disposable = toDisposable(doNothing);
+	private readonly _writer = new BackendMessageWriter();
+	private _feed: Disposable = toDisposable(noop);
 
 	private _isFlushPlanned = false;
 
--- a/standins/endpoint/wire/row-sender.ts
+++ b/standins/endpoint/wire/row-sender.ts
@@ -3,28 +3,28 @@
  */
 import type {Row} from '../types.js';
 import type {StatementResult} from '../sql/plan.js';
-import type {AnswerWriter} from './answer-writer.js';
+import type {BackendMessageWriter} from './backend-message-writer.js';
 import {flushSizeBytes} from './constants.js';
 import type {Portal} from './extended-protocol.js';
 
 /** Writes rows; large answers are handed over in parts. */
 export class RowSender {
-	private readonly _writer: AnswerWriter;
+	private readonly _writer: BackendMessageWriter;
 	private readonly _flush: () => void;
 
-	constructor(writer: AnswerWriter, flush: () => void) {
+	constructor(writer: BackendMessageWriter, flush: () => void) {
 		this._writer = writer;
 		this._flush = flush;
 	}
 
 	/** Sends a whole answer. */
-	sendAll({tag, rows = []}: StatementResult): void {
+	sendResult({tag, rows = []}: StatementResult): void {
 		this._sendRows(rows);
 		this._complete(tag, rows.length);
 	}
 
 	/** Sends as many of a portal's rows as were asked for; zero for all. */
-	sendPart(portal: Portal, rowLimit: number): void {
+	sendPortalRows(portal: Portal, rowLimit: number): void {
 		const {rest} = portal;
 		if (!rest) {
 			return;
--- a/standins/endpoint/wire/server.ts
+++ b/standins/endpoint/wire/server.ts
@@ -6,7 +6,7 @@
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 import type {Clock, Random} from '../../../src/common/services/services.js';
 import {appNames, stateReports} from '../constants.js';
-import type {Faults} from '../faults.js';
+import type {EndpointFaults} from '../faults.js';
 import type {EndpointSettings} from '../settings.js';
 import type {SqlEngine} from '../sql/engine.js';
 import {SqlError} from '../sql/sql-error.js';
@@ -14,24 +14,24 @@
 import type {ConnectionPurpose} from './types.js';
 import {GatedSocket} from './gated-socket.js';
 import {ReplicationSender} from './replication-sender.js';
-import type {Slots} from './slots.js';
-import {beginStartUp, refuse, type StartUpHost} from './start-up.js';
+import type {StatementSlots} from './slots.js';
+import {beginStartUp, rejectConnection, type StartUpHandler} from './start-up.js';
 import type {ServiceTime} from './statement-runner.js';
 
 /** What connections are made for; a restart within the process replaces it. */
-export type ServedInstance = {
+export type InstanceServices = {
 	readonly engine: SqlEngine;
-	readonly slots: Slots;
+	readonly slots: StatementSlots;
 };
 
 /** Time and chance of the server. */
-export type ServerHost = {
+export type ServerEnvironment = {
 	readonly clock: Clock;
 	readonly random: Random;
 };
 
 /** Figures for the status page. */
-export type ConnectionFigures = {
+export type ConnectionStatistics = {
 	readonly limit: number;
 	readonly open: number;
 	readonly peak: number;
@@ -47,13 +47,13 @@
 };
 
 /** Accepts connections on one port. */
-export class EndpointServer implements StartUpHost, Disposable {
+export class EndpointServer implements StartUpHandler, Disposable {
 	readonly user: string;
 	readonly password: string | undefined;
 	readonly authentication: 'md5' | 'cleartext';
 	private readonly _settings: EndpointSettings;
-	private readonly _served: () => ServedInstance;
-	private readonly _faults: Faults;
+	private readonly _served: () => InstanceServices;
+	private readonly _faults: EndpointFaults;
 	private readonly _clock: Clock;
 	private readonly _random: Random;
 	private readonly _serviceTime: ServiceTime;
@@ -70,7 +70,7 @@
 	private _isReportDue = false;
 	private _heartbeatTimer: Disposable | undefined;
 
-	constructor(settings: EndpointSettings, served: () => ServedInstance, faults: Faults, host: ServerHost) {
+	constructor(settings: EndpointSettings, served: () => InstanceServices, faults: EndpointFaults, host: ServerEnvironment) {
 		this.user = settings.user;
 		this.password = settings.password;
 		this.authentication = settings.authentication;
@@ -79,7 +79,7 @@
 		this._faults = faults;
 		this._clock = host.clock;
 		this._random = host.random;
-		this._serviceTime = {nextMs: () => settings.serviceTimeMs + faults.inForce.addedMs};
+		this._serviceTime = {nextMs: () => settings.serviceTimeMs + faults.active.addedMs};
 		this._port = settings.port;
 	}
 
@@ -87,7 +87,7 @@
 		return this._port;
 	}
 
-	get figures(): ConnectionFigures {
+	get statistics(): ConnectionStatistics {
 		const byPurpose = {control: 0, work: 0, direct: 0};
 		for (const {purpose} of this._admitted.values()) {
 			byPurpose[purpose] += 1;
@@ -127,14 +127,14 @@
 	}
 
 	/** Looks again which connections are held. */
-	refresh(): void {
+	refreshHeldConnections(): void {
 		for (const gate of this._gates) {
 			gate.refresh();
 		}
 	}
 
 	/** The instance's state has changed: control connections hear of it at once, but not more often than they should. */
-	noteState(): void {
+	scheduleStateReport(): void {
 		if (this._isReportDue) {
 			return;
 		}
@@ -147,7 +147,7 @@
 	}
 
 	/** Closes the work connections of a home that is not attached any more. */
-	closeWorkOf(homeId: string): void {
+	closeWorkConnections(homeId: string): void {
 		for (const {purpose, owner, connection} of this._admitted.values()) {
 			if (purpose === 'work' && owner === homeId) {
 				connection?.shutDown(new SqlError('57P01', `the home ${homeId} is no longer attached`));
@@ -191,7 +191,7 @@
 
 		const {purpose, owner} = admitted;
 		if (purpose === 'work' && engine.instance.attachment.holder !== owner) {
-			refuse(gate, notAttached(owner));
+			rejectConnection(gate, notAttached(owner));
 			return;
 		}
 
--- a/standins/endpoint/wire/slots.ts
+++ b/standins/endpoint/wire/slots.ts
@@ -4,7 +4,7 @@
 import {Wait} from '../sql/wait.js';
 
 /** Figures for the status page. */
-export type SlotFigures = {
+export type SlotStatistics = {
 	readonly limit: number;
 	readonly running: number;
 	readonly peak: number;
@@ -14,7 +14,7 @@
 };
 
 /** Counts what runs. */
-export class Slots {
+export class StatementSlots {
 	private readonly _limit: number;
 	private _running = 0;
 	private _peak = 0;
@@ -25,14 +25,14 @@
 		this._limit = limit;
 	}
 
-	get figures(): SlotFigures {
+	get statistics(): SlotStatistics {
 		return {
 			limit: this._limit, running: this._running, peak: this._peak, waitedCount: this._waitedCount, waiting: this._queue.length,
 		};
 	}
 
 	/** Takes a slot at once, or gives what must be waited for; when that resolves the slot is taken. */
-	take(): Wait | undefined {
+	acquire(): Wait | undefined {
 		if (this._running < this._limit) {
 			this._running += 1;
 			this._peak = Math.max(this._peak, this._running);
--- a/standins/endpoint/wire/start-up.ts
+++ b/standins/endpoint/wire/start-up.ts
@@ -6,11 +6,11 @@
 } from 'pg-gateway';
 import {type SqlError} from '../sql/sql-error.js';
 import {asReadable, type ReadableBytes} from './bytes.js';
-import {AnswerWriter} from './answer-writer.js';
+import {BackendMessageWriter} from './backend-message-writer.js';
 import type {GatedSocket} from './gated-socket.js';
 
 /** What start-up asks its server. */
-export type StartUpHost = {
+export type StartUpHandler = {
 	readonly user: string;
 	readonly password: string | undefined;
 	readonly authentication: 'md5' | 'cleartext';
@@ -27,9 +27,9 @@
 /** Speaks the start-up phase; afterwards the socket is handed over. */
 class StartUp extends PostgresConnection {
 	private readonly _gate: GatedSocket;
-	private readonly _host: StartUpHost;
+	private readonly _host: StartUpHandler;
 
-	constructor(gate: GatedSocket, host: StartUpHost) {
+	constructor(gate: GatedSocket, host: StartUpHandler) {
 		super(gate.socket, {
 			authMode: authModeOf(host),
 			onMessage: (data, state) => this._takeCancel(asReadable(data), state),
@@ -58,7 +58,7 @@
 	private async _refuse({clientInfo}: State): Promise<boolean> {
 		const error = await this._host.admit(clientInfo?.parameters ?? {user: ''}, this._gate);
 		if (error) {
-			refuse(this._gate, error);
+			rejectConnection(this._gate, error);
 		}
 
 		return error !== undefined;
@@ -76,19 +76,19 @@
 }
 
 /** Begins the start-up phase of a connection. */
-export function beginStartUp(gate: GatedSocket, host: StartUpHost): void {
+export function beginStartUp(gate: GatedSocket, host: StartUpHandler): void {
 	new StartUp(gate, host).begin();
 }
 
 /** Ends a connection with an error. */
-export function refuse(gate: GatedSocket, error: SqlError): void {
-	const writer = new AnswerWriter();
+export function rejectConnection(gate: GatedSocket, error: SqlError): void {
+	const writer = new BackendMessageWriter();
 	writer.error(error, 'FATAL');
 	gate.write(writer.take());
 	gate.end();
 }
 
-function authModeOf(host: StartUpHost): 'none' | 'md5Password' | 'cleartextPassword' {
+function authModeOf(host: StartUpHandler): 'none' | 'md5Password' | 'cleartextPassword' {
 	if (host.password === undefined) {
 		return 'none';
 	}
@@ -96,7 +96,7 @@
 	return host.authentication === 'md5' ? 'md5Password' : 'cleartextPassword';
 }
 
-async function areValid(credentials: Credentials, {user, password = ''}: StartUpHost): Promise<boolean> {
+async function areValid(credentials: Credentials, {user, password = ''}: StartUpHandler): Promise<boolean> {
 	if (credentials.user !== user) {
 		return false;
 	}
--- a/standins/endpoint/wire/statement-port.ts
+++ b/standins/endpoint/wire/statement-dispatcher.ts
@@ -4,30 +4,30 @@
 import type {Instance} from '../instance.js';
 import type {StatementResult} from '../sql/plan.js';
 import type {StatementDescription, SqlSession} from '../sql/session.js';
-import type {Prepared} from './extended-protocol.js';
-import {findOrder, type Order} from './orders.js';
+import type {PreparedStatement} from './extended-protocol.js';
+import {findControlCommand, type ControlCommand} from './control-commands.js';
 import type {StatementRunner} from './statement-runner.js';
 
 /** What one connection's statements work with. */
-export type StatementPortOptions = {
+export type StatementDispatcherOptions = {
 	readonly instance: Instance;
 	readonly session: SqlSession;
 	readonly runner: StatementRunner;
 	/** Whether orders are taken. */
 	readonly isControl: boolean;
 	/** What an attached home is bound to. */
-	readonly binding: unknown;
+	readonly controlConnection: unknown;
 };
 
 /** Describes and runs statements, whichever kind they are. */
-export class StatementPort {
-	private readonly _options: StatementPortOptions;
+export class StatementDispatcher {
+	private readonly _options: StatementDispatcherOptions;
 
-	constructor(options: StatementPortOptions) {
+	constructor(options: StatementDispatcherOptions) {
 		this._options = options;
 	}
 
-	describe({statement, declaredTypes}: Prepared): StatementDescription {
+	describe({statement, declaredTypes}: PreparedStatement): StatementDescription {
 		const order = this._order(statement);
 		if (order) {
 			return {parameterTypes: [], columns: order.columns};
@@ -39,10 +39,10 @@
 	/** Gives the result at once where nothing must be waited for. */
 	run(...[statement, declaredTypes, parameters]: Parameters<StatementRunner['run']>): StatementResult | Promise<StatementResult> {
 		const order = this._order(statement);
-		return order ? order.run(this._options.instance, this._options.binding) : this._options.runner.run(statement, declaredTypes, parameters);
+		return order ? order.run(this._options.instance, this._options.controlConnection) : this._options.runner.run(statement, declaredTypes, parameters);
 	}
 
-	private _order(statement: Prepared['statement']): Order | undefined {
-		return statement && this._options.isControl ? findOrder(statement) : undefined;
+	private _order(statement: PreparedStatement['statement']): ControlCommand | undefined {
+		return statement && this._options.isControl ? findControlCommand(statement) : undefined;
 	}
 }
--- a/standins/endpoint/wire/statement-runner.ts
+++ b/standins/endpoint/wire/statement-runner.ts
@@ -8,7 +8,7 @@
 import type {SqlSession} from '../sql/session.js';
 import type {SqlType} from '../sql/sql-types.js';
 import {sleep} from '../sql/wait.js';
-import type {Slots} from './slots.js';
+import type {StatementSlots} from './slots.js';
 
 /** Time that each statement takes beside its own work. */
 export type ServiceTime = {
@@ -20,11 +20,11 @@
 export class StatementRunner {
 	private readonly _session: SqlSession;
 	/** Undefined on control connections. */
-	private readonly _slots: Slots | undefined;
+	private readonly _slots: StatementSlots | undefined;
 	private readonly _serviceTime: ServiceTime;
 	private readonly _clock: Clock;
 
-	constructor(session: SqlSession, slots: Slots | undefined, serviceTime: ServiceTime, clock: Clock) {
+	constructor(session: SqlSession, slots: StatementSlots | undefined, serviceTime: ServiceTime, clock: Clock) {
 		this._session = session;
 		this._slots = slots;
 		this._serviceTime = serviceTime;
@@ -34,13 +34,13 @@
 				slots?.release();
 			},
 			// Must end with a slot in any case, since the statement's end gives one back.
-			after: async () => slots?.take()?.promise,
+			after: async () => slots?.acquire()?.promise,
 		};
 	}
 
 	/** Gives the result at once where nothing must be waited for. */
 	run(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, parameters: readonly SqlValue[]): StatementResult | Promise<StatementResult> {
-		const wait = this._slots?.take();
+		const wait = this._slots?.acquire();
 		const serviceMs = isDataStatement(statement) ? this._serviceTime.nextMs() : 0;
 		if (wait ?? serviceMs > 0) {
 			return this._runLater(wait, serviceMs, async () => this._session.execute(statement, declaredTypes, parameters));
@@ -62,7 +62,7 @@
 		}
 	}
 
-	private async _runLater(wait: ReturnType<Slots['take']>, serviceMs: number, execute: () => StatementResult | Promise<StatementResult>): Promise<StatementResult> {
+	private async _runLater(wait: ReturnType<StatementSlots['acquire']>, serviceMs: number, execute: () => StatementResult | Promise<StatementResult>): Promise<StatementResult> {
 		if (wait) {
 			await this._session.waitFor(wait);
 		}
--- a/standins/endpoint/wire/types.ts
+++ b/standins/endpoint/wire/types.ts
@@ -3,7 +3,7 @@
  */
 import type {SqlEngine} from '../sql/engine.js';
 import type {SessionIdentity} from '../sql/session.js';
-import type {Slots} from './slots.js';
+import type {StatementSlots} from './slots.js';
 import type {ServiceTime} from './statement-runner.js';
 
 /** Where answers go. */
@@ -21,7 +21,7 @@
 /** What one connection works with. */
 export type ConnectionOptions = {
 	readonly engine: SqlEngine;
-	readonly slots: Slots;
+	readonly slots: StatementSlots;
 	readonly serviceTime: ServiceTime;
 	readonly purpose: ConnectionPurpose;
 	readonly identity: SessionIdentity;
--- a/standins/line/events.test.ts
+++ b/standins/line/events.test.ts
@@ -3,9 +3,9 @@
 import {z} from 'zod';
 import {primacyDefaults} from '../../src/common/primacy/constants.js';
 import type {LogEventName} from '../../src/common/services/services.js';
-import {startsWith} from './bench-session.js';
-import {databases, LineBench, service} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
+import {answerStartsWith} from './line-test-session.js';
+import {databases, LineTestCluster, service} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
 
 type Fields = Readonly<Record<string, unknown>>;
 
@@ -17,16 +17,16 @@
 const replacedWithinMs = 6000;
 
 describe('log events of leases and promotions', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(nodes: number): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(nodes: number): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		await bench.start(nodes);
 		return bench;
 	}
 
 	/** Ends the primary and lets a node replace it; resolves with the node that did. */
-	async function replacePrimary(): Promise<BenchNode> {
+	async function replacePrimary(): Promise<LineTestNode> {
 		const {clock, group, nodes, ordered} = bench;
 		await nodes[0].session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
@@ -43,7 +43,7 @@
 	}
 
 	/** The one event of a name that fits. */
-	function only(node: BenchNode, name: LogEventName, doesFit: (fields: Fields) => boolean = () => true): Fields {
+	function only(node: LineTestNode, name: LogEventName, doesFit: (fields: Fields) => boolean = () => true): Fields {
 		const found = node.logged(name).filter(fields => doesFit(fields));
 		expect(found.length).toEqual(1);
 		return found[0];
@@ -60,7 +60,7 @@
 
 	it('name the replica whose proof an acknowledged write rests on', async () => {
 		const {nodes: [node]} = await start(1);
-		expect(await startsWith(node.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(node.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
 		const write = only(node, 'writeAcknowledged');
 		expect(write).toEqual({
 			request: 'w1', group: service, term: 1, position: {term: 1, offset: expect.a(Number)}, isConfirmed: true, proof: expect.a(Object),
@@ -73,15 +73,15 @@
 
 	it('name the peer whose proof an acknowledged write rests on', async () => {
 		const {nodes} = await start(3);
-		const asker = nodes.find(({fleet}) => fleet.isAsker)!;
+		const asker = nodes.find(({fleet}) => fleet.isCoordinator)!;
 		const other = nodes.find(node => node !== asker)!;
 		await asker.session(databases.primary).send('READ x');
 		for (const id of ['i-2', 'i-3']) {
-			other.connector.cuts.set(id, 'refused');
+			other.connector.connectionFaults.set(id, 'refused');
 			other.pools.pool(other.registry.endpoint(id)!).closeIdle();
 		}
 
-		expect(await startsWith(other.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(other.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
 		const proof = proofOf(only(other, 'writeAcknowledged'));
 		expect({source: proof.source, sourceKind: proof.sourceKind}).toEqual({source: asker.self.name, sourceKind: 'peer'});
 		expectLeased(proof);
@@ -89,8 +89,8 @@
 
 	it('name the proof of a write that no replica confirmed', async () => {
 		const {group, nodes: [node]} = await start(1);
-		group.instance('i-2').isDeaf = true;
-		group.instance('i-3').isDeaf = true;
+		group.instance('i-2').isReplicationBlocked = true;
+		group.instance('i-3').isReplicationBlocked = true;
 		await node.session(databases.primary).send('WRITE x 1', 'w1');
 		expect(proofOf(only(node, 'writeUnconfirmed')).sourceKind).toEqual('endpoint');
 		expect(only(node, 'writeAcknowledged').isConfirmed).toEqual(false);
@@ -113,17 +113,17 @@
 		const {clock, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('READ x');
-		node.connector.cuts.set('i-2', 'silent');
-		node.connector.cuts.set('i-3', 'silent');
+		node.connector.connectionFaults.set('i-2', 'silent');
+		node.connector.connectionFaults.set('i-3', 'silent');
 		// The store's word would prove the term as well.
-		node.isStoreCut = true;
+		node.isStoreUnreachable = true;
 		for (let round = 0; round < 10; round++) {
 			await session.send('READ x');
 			await clock.advance(250);
 		}
 
-		node.connector.cuts.clear();
-		node.isStoreCut = false;
+		node.connector.connectionFaults.clear();
+		node.isStoreUnreachable = false;
 		await clock.advance(2000);
 		const [first, second, ...rest] = node.logged('leaseStarted');
 		expect(first.gapMs).toEqual(undefined);
@@ -173,7 +173,7 @@
 	it('say of a removed fence how long it had been seen', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
-		group.instance('i-2').pausedFor = 2;
+		group.instance('i-2').fencedForTerm = 2;
 		for (let round = 0; round < 40; round++) {
 			await session.send('READ x');
 			await clock.advance(250);
--- a/standins/line/failover.test.ts
+++ b/standins/line/failover.test.ts
@@ -2,27 +2,27 @@
 import {expect} from 'earl';
 import {tables} from '../../platform/names.js';
 import {dutyTable} from '../../src/common/primacy/promotion-duty.js';
-import {startsWith} from './bench-session.js';
-import type {BenchSession} from './bench-session.js';
+import {answerStartsWith} from './line-test-session.js';
+import type {LineTestSession} from './line-test-session.js';
 import {
-	cut, databases, LineBench, service,
-} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
+	cutConnections, databases, LineTestCluster, service,
+} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
 
 /** Longest time in virtual ms in which writes are tried again. */
 const patienceMs = 15_000;
 
 describe('failover over the line protocol', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(nodes: number): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(nodes: number): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		await bench.start(nodes);
 		return bench;
 	}
 
 	/** Writes until one is acknowledged; resolves with the time that took. */
-	async function writeUntilDone(session: BenchSession, text: string): Promise<number> {
+	async function writeUntilDone(session: LineTestSession, text: string): Promise<number> {
 		const startedAtMs = bench.clock.nowMs();
 		while (bench.clock.nowMs() - startedAtMs < patienceMs) {
 			const answer = await session.send(text);
@@ -57,21 +57,21 @@
 		const gapMs = await writeUntilDone(sessions[1], 'WRITE y 1');
 		expect(gapMs < 1700).toEqual(true);
 		expect(ordered.length).toEqual(1);
-		expect(await startsWith(sessions[2].send('READ x'), 'DATAROW 1|')).toEqual(true);
+		expect(await answerStartsWith(sessions[2].send('READ x'), 'DATAROW 1|')).toEqual(true);
 	});
 
 	it('goes over another node while a cut keeps it from a primary that others hear', async () => {
 		const {clock, ordered, nodes} = await start(3);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
-		nodes[0].connector.cuts.set('i-1', 'refused');
+		nodes[0].connector.connectionFaults.set('i-1', 'refused');
 		nodes[0].pools.pool(nodes[0].registry.endpoint('i-1')!).closeIdle();
 		await nodes[1].session(databases.primary).send('READ x');
 		expect(await writeUntilDone(session, 'WRITE x 2') < 500).toEqual(true);
 		await session.send('BEGIN');
-		expect(await startsWith(session.send('READ x'), 'DATAROW 2|')).toEqual(true);
+		expect(await answerStartsWith(session.send('READ x'), 'DATAROW 2|')).toEqual(true);
 		await session.send('WRITE x 3');
-		expect(await startsWith(session.send('COMMIT'), 'COMPLETE i-1|')).toEqual(true);
+		expect(await answerStartsWith(session.send('COMMIT'), 'COMPLETE i-1|')).toEqual(true);
 		await clock.advance(3000);
 		expect(ordered).toEqual([]);
 	});
@@ -98,7 +98,7 @@
 		await clock.advanceUntil(leaving.directory.leave());
 		// The others reach the primary no more and ask nobody who does; its replicas receive on.
 		for (const other of others) {
-			cut(other, ['i-1']);
+			cutConnections(other, ['i-1']);
 		}
 
 		let acknowledged = 0;
@@ -119,7 +119,7 @@
 		const [node] = nodes;
 		const session = node.session(databases.primary);
 		await session.send('READ x');
-		cut(node, ['i-1', 'i-2']);
+		cutConnections(node, ['i-1', 'i-2']);
 		await session.send('READ x');
 		await clock.advance(10_000);
 		expect(ordered).toEqual([]);
@@ -133,14 +133,14 @@
 		await session.send('WRITE x 1');
 		await clock.advance(100);
 		// The first node and the primary are on one side, all else on the other.
-		cut(cutOff, ['i-2', 'i-3']);
+		cutConnections(cutOff, ['i-2', 'i-3']);
 		for (const node of nodes.slice(1)) {
-			cut(node, ['i-1']);
-			cutOff.cutPeers.add(node.self.name);
+			cutConnections(node, ['i-1']);
+			cutOff.unreachablePeers.add(node.self.name);
 		}
 
-		group.instance('i-2').isDeaf = true;
-		group.instance('i-3').isDeaf = true;
+		group.instance('i-2').isReplicationBlocked = true;
+		group.instance('i-3').isReplicationBlocked = true;
 		const other = nodes[1].session(databases.primary);
 		let isReplaced = false;
 		const acknowledgedAfter: string[] = [];
@@ -165,10 +165,10 @@
 		const [cutOff, ...others] = nodes;
 		const session = others[0].session(databases.primary);
 		await session.send('WRITE x 1');
-		cut(cutOff, ['i-1', 'i-2', 'i-3']);
-		cutOff.isStoreCut = true;
+		cutConnections(cutOff, ['i-1', 'i-2', 'i-3']);
+		cutOff.isStoreUnreachable = true;
 		for (const node of others) {
-			cutOff.cutPeers.add(node.self.name);
+			cutOff.unreachablePeers.add(node.self.name);
 		}
 
 		for (let round = 0; round < 60; round++) {
@@ -177,10 +177,10 @@
 			await clock.advance(100);
 		}
 
-		cutOff.isStoreCut = false;
-		cutOff.cutPeers.clear();
-		cutOff.connector.cuts.delete('i-2');
-		cutOff.connector.cuts.delete('i-3');
+		cutOff.isStoreUnreachable = false;
+		cutOff.unreachablePeers.clear();
+		cutOff.connector.connectionFaults.delete('i-2');
+		cutOff.connector.connectionFaults.delete('i-3');
 		// Its own way to the primary comes back last.
 		for (let round = 0; round < 30; round++) {
 			await cutOff.session(databases.primary).send('READ x');
@@ -199,7 +199,7 @@
 		store.put(dutyTable, 'holder', JSON.stringify({
 			holder: 'gone', epoch: 1, usedAtMs: clock.nowMs(), claimId: 'x', term: 1,
 		}), service);
-		cut(behind, ['i-1']);
+		cutConnections(behind, ['i-1']);
 		void behind.primacies.checkReplacements();
 		for (let round = 0; round < 40; round++) {
 			await behind.session(databases.own).send('READ x');
@@ -209,7 +209,7 @@
 
 		await clock.advance(6000);
 		expect(ordered).toEqual([]);
-		expect(await startsWith(others[1].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(others[1].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
 	});
 
 	it('acknowledges nothing once it has fenced replicas itself, and orders nothing if the primary answers meanwhile', async () => {
@@ -220,21 +220,21 @@
 		await clock.advance(100);
 		// It cannot tell the others, and has to wait until their leases have run out.
 		for (const other of nodes.slice(1)) {
-			node.cutPeers.add(other.self.name);
+			node.unreachablePeers.add(other.self.name);
 		}
 
-		node.connector.cuts.set('i-1', 'silent');
-		while (group.instances.every(({pausedFor}) => pausedFor === 0)) {
+		node.connector.connectionFaults.set('i-1', 'silent');
+		while (group.instances.every(({fencedForTerm: pausedFor}) => pausedFor === 0)) {
 			void session.start('READ x');
 			await clock.advance(10);
 		}
 
-		node.connector.cuts.clear();
+		node.connector.connectionFaults.clear();
 		const answer = await session.send('WRITE x 1');
 		expect(answer.startsWith('COMPLETE')).toEqual(false);
 		await clock.advance(3000);
 		expect(ordered).toEqual([]);
-		expect(await startsWith(nodes[0].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(nodes[0].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
 	});
 
 	it('acknowledges nothing of a replaced primary over a replica whose registration had lapsed', async () => {
@@ -245,14 +245,14 @@
 		await clock.advance(100);
 		// The first node reaches the primary and a replica that the others know no more; calls between it and the others fail.
 		store.put(tables.instances, 'i-3', undefined);
-		cut(cutOff, ['i-2']);
+		cutConnections(cutOff, ['i-2']);
 		for (const node of nodes.slice(1)) {
-			cut(node, ['i-1', 'i-3']);
-			cutOff.cutPeers.add(node.self.name);
+			cutConnections(node, ['i-1', 'i-3']);
+			cutOff.unreachablePeers.add(node.self.name);
 		}
 
-		group.instance('i-2').isDeaf = true;
-		group.instance('i-3').isDeaf = true;
+		group.instance('i-2').isReplicationBlocked = true;
+		group.instance('i-3').isReplicationBlocked = true;
 		group.instance('i-1').missesPromotions = true;
 		group.instance('i-3').missesPromotions = true;
 		const other = nodes[1].session(databases.primary);
@@ -281,7 +281,7 @@
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
 		await bench.clock.advance(100);
-		store.answersToLose = 1;
+		store.writeAnswersToLose = 1;
 		group.instance('i-1').isUp = false;
 		await writeUntilDone(session, 'WRITE y 1');
 		expect(ordered.map(({epoch}) => epoch)).toEqual([1]);
@@ -306,15 +306,15 @@
 	it('lets replicas receive again that a node had fenced before it stopped', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
-		group.instance('i-2').pausedFor = 2;
-		group.instance('i-3').pausedFor = 2;
+		group.instance('i-2').fencedForTerm = 2;
+		group.instance('i-3').fencedForTerm = 2;
 		for (let round = 0; round < 40; round++) {
 			await session.send('READ x');
 			await clock.advance(250);
 		}
 
-		expect(group.instances.map(({pausedFor}) => pausedFor)).toEqual([0, 0, 0]);
-		expect(await startsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
+		expect(group.instances.map(({fencedForTerm: pausedFor}) => pausedFor)).toEqual([0, 0, 0]);
+		expect(await answerStartsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
 	});
 
 	it('believes no proof from before the host was suspended', async () => {
@@ -324,7 +324,7 @@
 		const wallClockMs = clock.wallClockMs.bind(clock);
 		clock.wallClockMs = () => wallClockMs() + 2000;
 		expect(node.group.isLeased).toEqual(false);
-		expect(await startsWith(node.session(databases.primary).send('READ x'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(node.session(databases.primary).send('READ x'), 'COMPLETE')).toEqual(true);
 	});
 
 	it('keeps every write that was acknowledged right before its primary crashed', async () => {
@@ -333,27 +333,27 @@
 			const session = nodes[round % 3].session(databases.primary);
 			// Replication takes longer than an answer.
 			for (const instance of group.instances) {
-				instance.receiveMs = 8;
+				instance.replicationDelayMs = 8;
 			}
 
 			for (let count = 0; count <= round; count++) {
-				expect(await startsWith(session.send(`WRITE x ${count}`), 'COMPLETE')).toEqual(true);
+				expect(await answerStartsWith(session.send(`WRITE x ${count}`), 'COMPLETE')).toEqual(true);
 			}
 
 			group.instance('i-1').isUp = false;
 			const other = nodes[(round + 1) % 3].session(databases.primary);
 			await writeUntilDone(other, 'WRITE y 1');
-			expect(await startsWith(other.send('READ x'), `DATAROW ${round}|`)).toEqual(true);
+			expect(await answerStartsWith(other.send('READ x'), `DATAROW ${round}|`)).toEqual(true);
 			bench.dispose();
 		}
 	});
 
 	it('acknowledges writes also while replicas receive nothing, and says so', async () => {
 		const {group, nodes: [node]} = await start(1);
-		group.instance('i-2').isDeaf = true;
-		group.instance('i-3').isDeaf = true;
+		group.instance('i-2').isReplicationBlocked = true;
+		group.instance('i-3').isReplicationBlocked = true;
 		const session = node.session(databases.primary);
-		expect(await startsWith(session.send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(session.send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
 		expect(node.logged('writeUnconfirmed').map(({request}) => request)).toEqual(['w1']);
 	});
 
@@ -361,24 +361,24 @@
 		const {clock, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
-		node.connector.cuts.set('i-1', 'silent');
+		node.connector.connectionFaults.set('i-1', 'silent');
 		await session.send('WRITE x 2');
 		const startedAtMs = clock.nowMs();
-		expect(await startsWith(session.send('WRITE x 3'), 'ERROR BUSY')).toEqual(true);
+		expect(await answerStartsWith(session.send('WRITE x 3'), 'ERROR BUSY')).toEqual(true);
 		expect(clock.nowMs() - startedAtMs < 50).toEqual(true);
-		node.connector.cuts.delete('i-1');
+		node.connector.connectionFaults.delete('i-1');
 		// An attempt to connect that is under way ends first.
 		await clock.advance(1500);
-		expect(await startsWith(session.send('WRITE x 4'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(session.send('WRITE x 4'), 'COMPLETE')).toEqual(true);
 	});
 
 	it('serves while the store is away', async () => {
 		const {clock, store, nodes} = await start(2);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
-		store.isAway = true;
+		store.isUnavailable = true;
 		await clock.advance(8000);
-		expect(await startsWith(session.send('READ x'), 'DATAROW 1|')).toEqual(true);
-		expect(await startsWith(nodes[1].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(session.send('READ x'), 'DATAROW 1|')).toEqual(true);
+		expect(await answerStartsWith(nodes[1].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
 	});
 });
--- a/standins/line/faulty-proxy.ts
+++ b/standins/line/faulty-proxy.ts
@@ -56,7 +56,7 @@
 	}
 
 	/** Disturbs it until the returned function is called, which resets the connections that lost bytes. */
-	disturb(mode: ProxyMode): () => void {
+	injectFault(mode: ProxyMode): () => void {
 		const fault = {mode};
 		this._faults.add(fault);
 		return () => {
--- a/standins/line/fleet-start.test.ts
+++ b/standins/line/fleet-start.test.ts
@@ -3,7 +3,7 @@
 } from 'node:test';
 import {expect} from 'earl';
 import {dutyTable} from '../../src/common/primacy/promotion-duty.js';
-import {databases, LineBench} from './line-bench.js';
+import {databases, LineTestCluster} from './line-test-cluster.js';
 
 /** Nodes in three zones: as many in a zone as in the largest deployment that is known, twice over. */
 const nodeCount = 200;
@@ -18,11 +18,11 @@
 // does for itself is done hundreds of times before the first callers are served. It told all others
 // that it is there, over a link to each, and read the duty of every group.
 describe('a fleet of hundreds that starts at once', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 	const links = new Map<string, Set<string>>();
 
 	beforeEach(async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(nodeCount);
 		await bench.clock.advance(3000);
 		links.clear();
@@ -37,7 +37,7 @@
 
 	it('has every node write its registration once', async () => {
 		// Rows that a node hears of over another one may be older than its own registration.
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(72);
 		await bench.clock.advance(3000);
 		expect(bench.nodes.flatMap(node => node.logged('registrationRepeated'))).toEqual([]);
--- a/standins/line/instance-server.ts
+++ b/standins/line/instance-server.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Ends every connection at once, as a crash does. */
-	breakConnections(): void {
+	resetConnections(): void {
 		for (const link of this._links) {
 			link.break();
 		}
@@ -42,7 +42,7 @@
 
 	dispose(): void {
 		this._server.close();
-		this.breakConnections();
+		this.resetConnections();
 	}
 
 	private _accept(socket: Socket): void {
--- a/standins/line/large-fleet.test.ts
+++ b/standins/line/large-fleet.test.ts
@@ -2,25 +2,25 @@
 import {expect} from 'earl';
 import {peeringDefaults} from '../../src/common/peering/constants.js';
 import {dutyTable} from '../../src/common/primacy/promotion-duty.js';
-import {startsWith} from './bench-session.js';
+import {answerStartsWith} from './line-test-session.js';
 import {
-	BenchNode, databases, LineBench, service,
-} from './line-bench.js';
+	LineTestNode, databases, LineTestCluster, service,
+} from './line-test-cluster.js';
 
 /** More than those that connect to every endpoint themselves. */
 const nodeCount = 24;
 
 describe('a fleet too large for every node to connect to every endpoint', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		await bench.start(nodeCount);
 		return bench;
 	}
 
 	/** Sends one statement over every node at one time; resolves with the answers. */
-	async function sendOverAll(nodes: readonly BenchNode[], text: string, database: string): Promise<string[]> {
+	async function sendOverAll(nodes: readonly LineTestNode[], text: string, database: string): Promise<string[]> {
 		return bench.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(database).start(text))));
 	}
 
@@ -51,7 +51,7 @@
 	// seconds of a third of a core in which the first callers waited, and most of what a node that
 	// starts spends (`npm run bench -- fleet-cost`).
 	it('links a node that is neither home nor asker to homes and askers only', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		const links = new Map<string, Set<string>>();
 		bench.peerCallListener = ({from, to}) => {
 			links.set(from, (links.get(from) ?? new Set()).add(to));
@@ -64,7 +64,7 @@
 			await bench.clock.advance(1000);
 		}
 
-		const serving = new Set(bench.nodes.filter(({fleet}) => fleet.isAsker).map(({self}) => self.name));
+		const serving = new Set(bench.nodes.filter(({fleet}) => fleet.isCoordinator).map(({self}) => self.name));
 		for (const endpoint of bench.nodes[0].registry.ofService('svc')) {
 			for (const {name} of bench.nodes[0].fleet.homes(endpoint)) {
 				serving.add(name);
@@ -98,28 +98,28 @@
 		const sessions = nodes.map(node => node.session(databases.primary));
 		for (const [index, session] of sessions.slice(0, 8).entries()) {
 			expect(await session.send('BEGIN')).toEqual('COMPLETE -|READY T -');
-			expect(await startsWith(session.send(`WRITE k${index} ${index}`), 'COMPLETE')).toEqual(true);
+			expect(await answerStartsWith(session.send(`WRITE k${index} ${index}`), 'COMPLETE')).toEqual(true);
 		}
 
-		expect(await startsWith(sessions[10].send('READ k1'), 'COMPLETE i-1')).toEqual(true);
+		expect(await answerStartsWith(sessions[10].send('READ k1'), 'COMPLETE i-1')).toEqual(true);
 		for (const session of sessions.slice(0, 8)) {
-			expect(await startsWith(session.send('COMMIT'), 'COMPLETE')).toEqual(true);
+			expect(await answerStartsWith(session.send('COMMIT'), 'COMPLETE')).toEqual(true);
 		}
 
-		expect(await startsWith(sessions[10].send('READ k1'), 'DATAROW 1|')).toEqual(true);
+		expect(await answerStartsWith(sessions[10].send('READ k1'), 'DATAROW 1|')).toEqual(true);
 	});
 
 	it('asks endpoints for their states no more often than a small fleet', async () => {
 		const {clock, group, nodes} = await start();
 		await sendOverAll(nodes, 'READ x', databases.primary);
-		const before = group.questions;
+		const before = group.statusRequests;
 		for (let round = 0; round < 20; round++) {
 			await sendOverAll(nodes, 'READ x', databases.primary);
 			await clock.advance(250);
 		}
 
 		// Three zones ask, four times a second, for some 5 s.
-		expect(group.questions - before <= 3 * 4 * 6).toEqual(true);
+		expect(group.statusRequests - before <= 3 * 4 * 6).toEqual(true);
 	});
 
 	it('follows the store over one node a zone', async () => {
@@ -142,7 +142,7 @@
 	it('follows the store itself where the asking node cannot', async () => {
 		const {clock, nodes} = await start();
 		await clock.advance(5000);
-		nodes.find(({fleet}) => fleet.isAsker)!.isStoreCut = true;
+		nodes.find(({fleet}) => fleet.isCoordinator)!.isStoreUnreachable = true;
 		await clock.advance(1000);
 		bench.configure(8);
 		await clock.advance(3000);
@@ -156,7 +156,7 @@
 		const home = nodes.find(node => node.fleet.homes(node.registry.endpoint('i-1')!)[0]?.name === node.self.name)!;
 		const others = nodes.filter(node => node !== home);
 		for (const node of others) {
-			node.cutPeers.add(home.self.name);
+			node.unreachablePeers.add(home.self.name);
 		}
 
 		const ranBefore = group.instance('i-1').ran.length;
@@ -173,10 +173,10 @@
 	it('goes on serving over the next asker of a zone when the asker is gone', async () => {
 		const {clock, nodes} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
-		const asker = nodes.find(({fleet, self}) => fleet.isAsker && self.availabilityZone === 'a')!;
+		const asker = nodes.find(({fleet, self}) => fleet.isCoordinator && self.availabilityZone === 'a')!;
 		const others = nodes.filter(node => node !== asker);
 		for (const node of others) {
-			node.cutPeers.add(asker.self.name);
+			node.unreachablePeers.add(asker.self.name);
 		}
 
 		await clock.advance(peeringDefaults.shareEveryMs);
@@ -188,7 +188,7 @@
 		}
 
 		expect(refused).toEqual([]);
-		expect(others.filter(({fleet, self}) => fleet.isAsker && self.availabilityZone === 'a').length).toEqual(1);
+		expect(others.filter(({fleet, self}) => fleet.isCoordinator && self.availabilityZone === 'a').length).toEqual(1);
 	});
 
 	// Each endpoint says something of itself every 1.2 s, which changes its row. Passed on one by one,
@@ -211,8 +211,8 @@
 	});
 
 	/** A node that joins a fleet that runs. */
-	async function join(): Promise<BenchNode> {
-		const late = new BenchNode('late', 'a', 1, bench);
+	async function join(): Promise<LineTestNode> {
+		const late = new LineTestNode('late', 'a', 1, bench);
 		bench.nodes.push(late);
 		late.start();
 		await bench.clock.advance(400);
@@ -253,29 +253,29 @@
 	it('tries a node that stays away less and less often, and at once when it starts again', async () => {
 		const {clock, nodes: [node, other]} = await start();
 		const {name} = other.self;
-		const isTried = (): boolean => node.directory.answering().some(peer => peer.name === name);
+		const isTried = (): boolean => node.directory.reachablePeers().some(peer => peer.name === name);
 		for (const forMs of [3000, 6000, 12_000, 12_000]) {
-			node.directory.noteAnswer(name, false);
+			node.directory.reportReachability(name, false);
 			await clock.advance(forMs - 1);
 			expect(isTried()).toEqual(false);
 			await clock.advance(1);
 			expect(isTried()).toEqual(true);
 		}
 
-		node.directory.noteAnswer(name, false);
+		node.directory.reportReachability(name, false);
 		node.directory.learn({...other.self, incarnation: '2'});
 		expect(isTried()).toEqual(true);
 	});
 
 	it('gives the work for others to large hosts, and to small ones where those are gone', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(nodeCount, index => index < 6 ? 1.35 : 0.324);
 		const [node] = bench.nodes;
 		const endpoint = node.registry.endpoint('i-1')!;
 		expect(node.fleet.homes(endpoint).map(({cores}) => cores)).toEqual([1.35, 1.35]);
 		for (const {name, cores, availabilityZone} of node.directory.others()) {
 			if (cores === 1.35 && availabilityZone === 'a') {
-				node.directory.noteAnswer(name, false);
+				node.directory.reportReachability(name, false);
 			}
 		}
 
@@ -290,13 +290,13 @@
 		group.instance('i-1').isUp = false;
 		const session = nodes[4].session(databases.primary);
 		const startedAtMs = clock.nowMs();
-		while (!await startsWith(session.send('WRITE y 1'), 'COMPLETE') && clock.nowMs() - startedAtMs < 10_000) {
+		while (!await answerStartsWith(session.send('WRITE y 1'), 'COMPLETE') && clock.nowMs() - startedAtMs < 10_000) {
 			await clock.advance(20);
 		}
 
 		expect(clock.nowMs() - startedAtMs < 2500).toEqual(true);
 		expect(ordered.length).toEqual(1);
-		expect(await startsWith(session.send('READ x'), 'DATAROW 1|')).toEqual(true);
+		expect(await answerStartsWith(session.send('READ x'), 'DATAROW 1|')).toEqual(true);
 		await clock.advance(peeringDefaults.passOverMs);
 		expect(ordered.length).toEqual(1);
 	});
@@ -307,6 +307,6 @@
 		bench.register('i-1');
 		await clock.advance(2500);
 		expect(ordered.length).toEqual(1);
-		expect(nodes.filter(({fleet}) => fleet.isAsker).map(({self}) => self.name).includes(ordered[0].holder)).toEqual(true);
+		expect(nodes.filter(({fleet}) => fleet.isCoordinator).map(({self}) => self.name).includes(ordered[0].holder)).toEqual(true);
 	});
 });
--- a/standins/line/line-group.ts
+++ b/standins/line/line-group.ts
@@ -11,7 +11,7 @@
 };
 
 /** A write that took effect at a primary. Times are of the group's clock. */
-export type Commit = {
+export type CommittedWrite = {
 	readonly id: string;
 	readonly instance: string;
 	readonly term: number;
@@ -21,7 +21,7 @@
 };
 
 /** The effect of a promotion. */
-export type TermStart = {
+export type PromotionEffect = {
 	readonly term: number;
 	readonly instance: string;
 	readonly atMs: number;
@@ -38,18 +38,18 @@
 	term: number;
 	isPrimary: boolean;
 	/** Term for which it stopped receiving. */
-	pausedFor = 0;
+	fencedForTerm = 0;
 	/** Whether it answers at all. */
 	isUp = true;
 	/** Whether it receives what the primary writes. */
-	isDeaf = false;
+	isReplicationBlocked = false;
 	/** Whether promotions of others do not reach it. */
 	missesPromotions = false;
 	/** Whether no other instance and no order of the platform reaches it. */
-	isCutOff = false;
+	isIsolated = false;
 	lagMs = 20;
 	/** Time until it has received what the primary wrote. */
-	receiveMs = 0;
+	replicationDelayMs = 0;
 	maximumConnections = 23;
 	slots = 3;
 	/** Ids of the statements whose writes took effect here, first as a primary. */
@@ -57,15 +57,15 @@
 	/** Statements that ran, by their id; for checks of tests. */
 	readonly ran: string[] = [];
 	/** As whom each of them ran, by what its connection said when it began, and when it did first. */
-	readonly runs = new Map<string, {readonly user: string; readonly atMs: number}>();
+	readonly firstRuns = new Map<string, {readonly user: string; readonly atMs: number}>();
 	/** Connections that were opened. */
-	opened = 0;
+	openedConnections = 0;
 	/** Questions for its state. */
-	questions = 0;
+	statusRequests = 0;
 	/** Ids whose answers are lost after they ran. */
 	readonly lostAnswers = new Set<string>();
 	/** Reports since its start. */
-	reports = 0;
+	registrationCount = 0;
 	/** When it started, where the platform says so. */
 	startedAtMs: number | undefined;
 	busySlots = 0;
@@ -104,7 +104,7 @@
 		}
 
 		const session = new LineInstanceSession(this, user);
-		this.opened += 1;
+		this.openedConnections += 1;
 		this._sessions.add(session);
 		return session;
 	}
@@ -114,7 +114,7 @@
 	}
 
 	/** Whether the log holds a position. */
-	holds(position: string): boolean {
+	hasApplied(position: string): boolean {
 		const [term, offset] = position.split('.').map(Number);
 		const entry = this.log[offset - 1];
 		return offset === 0 || (offset <= this.applied && entry?.term === term);
@@ -126,37 +126,37 @@
 	}
 
 	/** Takes in that a statement runs. */
-	noteRun(id: string, user: string): void {
+	recordRun(id: string, user: string): void {
 		this.ran.push(id);
-		if (!this.runs.has(id)) {
-			this.runs.set(id, {user, atMs: this.group.nowMs()});
+		if (!this.firstRuns.has(id)) {
+			this.firstRuns.set(id, {user, atMs: this.group.nowMs()});
 		}
 	}
 
 	append(id: string, items: ReadonlyMap<string, string>): void {
 		this.committed.push(id);
-		this.group.noteCommit(id, this);
+		this.group.recordCommit(id, this);
 		this.log.push({term: this.term, items});
 		this.applied = this.log.length;
 		this.group.replicate(this);
 	}
 
 	/** Starts anew: nothing of before is held or known. */
-	forget(isPrimary: boolean): void {
+	reset(isPrimary: boolean): void {
 		for (const session of this._sessions) {
 			session.end();
 		}
 
 		this.log = [];
 		this.applied = 0;
-		this.pausedFor = 0;
+		this.fencedForTerm = 0;
 		this.isPrimary = isPrimary;
 		this.isUp = true;
-		this.reports = 0;
+		this.registrationCount = 0;
 	}
 
 	statusRow(): string {
-		return `${this.isPrimary ? 'primary' : 'replica'} ${this.term} ${this.received} ${this.pausedFor} ${this.lagMs} ${this.busySlots} ${this._sessions.size}`;
+		return `${this.isPrimary ? 'primary' : 'replica'} ${this.term} ${this.received} ${this.fencedForTerm} ${this.lagMs} ${this.busySlots} ${this._sessions.size}`;
 	}
 }
 
@@ -165,9 +165,9 @@
 	readonly service: string;
 	readonly instances: readonly LineInstance[];
 	/** Every write that took effect at a primary, in order. */
-	readonly commits: Commit[] = [];
+	readonly commits: CommittedWrite[] = [];
 	/** Every promotion that took effect, in order. */
-	readonly termStarts: TermStart[] = [];
+	readonly promotionEffects: PromotionEffect[] = [];
 	private readonly _clock: Clock;
 
 	constructor(service: string, ids: readonly string[], clock: Clock) {
@@ -177,8 +177,8 @@
 	}
 
 	/** Questions for states that all instances were asked. */
-	get questions(): number {
-		return this.instances.reduce((sum, {questions}) => sum + questions, 0);
+	get statusRequests(): number {
+		return this.instances.reduce((sum, {statusRequests: questions}) => sum + questions, 0);
 	}
 
 	/** Time of the group's clock. */
@@ -202,14 +202,14 @@
 	 */
 	promote(id: string): void {
 		const next = this.instance(id);
-		if (next.isPrimary || next.isCutOff) {
+		if (next.isPrimary || next.isIsolated) {
 			return;
 		}
 
 		const term = Math.max(...this.instances.map(instance => instance.term)) + 1;
-		this.termStarts.push({term, instance: id, atMs: this._clock.nowMs()});
+		this.promotionEffects.push({term, instance: id, atMs: this._clock.nowMs()});
 		for (const instance of this.instances) {
-			instance.pausedFor = 0;
+			instance.fencedForTerm = 0;
 		}
 
 		for (const instance of this.instances.filter(other => other === next || isToldOfPromotions(other))) {
@@ -224,8 +224,8 @@
 	rejoin(id: string): void {
 		const instance = this.instance(id);
 		instance.isUp = true;
-		instance.pausedFor = 0;
-		const leader = this.laterLeader(instance)
+		instance.fencedForTerm = 0;
+		const leader = this.newerPrimary(instance)
 			?? (instance.isPrimary ? undefined : this._leaders(instance).find(({isUp}) => isUp));
 		if (leader) {
 			follow(instance, leader);
@@ -233,21 +233,21 @@
 	}
 
 	/** The leader of a later term that an instance can reach; undefined where it is not left behind. */
-	laterLeader(instance: LineInstance): LineInstance | undefined {
+	newerPrimary(instance: LineInstance): LineInstance | undefined {
 		return this._leaders(instance).find(({term}) => term > instance.term);
 	}
 
 	/** An instance that was left behind follows the leader of a later term, with that one's log. */
 	catchUp(instance: LineInstance): void {
-		const leader = this.laterLeader(instance);
+		const leader = this.newerPrimary(instance);
 		if (leader) {
-			instance.pausedFor = instance.pausedFor > leader.term ? instance.pausedFor : 0;
+			instance.fencedForTerm = instance.fencedForTerm > leader.term ? instance.fencedForTerm : 0;
 			follow(instance, leader);
 		}
 	}
 
 	/** Keeps that a write took effect. */
-	noteCommit(id: string, primary: LineInstance): void {
+	recordCommit(id: string, primary: LineInstance): void {
 		const isUnreplicable = !this.instances.some(other => other !== primary && this._reaches(primary, other));
 		this.commits.push({
 			id, instance: primary.id, term: primary.term, isUnreplicable, atMs: this._clock.nowMs(),
@@ -261,10 +261,10 @@
 	 */
 	restart(id: string, {syncMs, isPrimary = false}: {readonly syncMs: number; readonly isPrimary?: boolean}): void {
 		const instance = this.instance(id);
-		instance.forget(isPrimary);
+		instance.reset(isPrimary);
 		this._clock.setTimer(syncMs, () => {
 			const leader = this._leaders(instance).find(({isUp}) => isUp);
-			if (leader && !instance.isPrimary && instance.pausedFor === 0) {
+			if (leader && !instance.isPrimary && instance.fencedForTerm === 0) {
 				follow(instance, leader);
 			}
 		});
@@ -274,12 +274,12 @@
 	replicate(primary: LineInstance): void {
 		const {length} = primary.log;
 		for (const replica of this.instances) {
-			const isReceiving = this._reaches(primary, replica) && replica.pausedFor === 0;
-			if (isReceiving && replica.receiveMs === 0) {
+			const isReceiving = this._reaches(primary, replica) && replica.fencedForTerm === 0;
+			if (isReceiving && replica.replicationDelayMs === 0) {
 				this._receive(replica, primary, length);
 			} else if (isReceiving) {
-				this._clock.setTimer(replica.receiveMs, () => {
-					if (primary.isUp && replica.pausedFor === 0 && replica.term === primary.term) {
+				this._clock.setTimer(replica.replicationDelayMs, () => {
+					if (primary.isUp && replica.fencedForTerm === 0 && replica.term === primary.term) {
 						this._receive(replica, primary, length);
 					}
 				});
@@ -289,14 +289,14 @@
 
 	/** Whether what a primary writes arrives at a replica, but for a fence. */
 	private _reaches(primary: LineInstance, replica: LineInstance): boolean {
-		const isLinked = replica.isUp && !replica.isDeaf && !replica.isCutOff && !primary.isCutOff;
+		const isLinked = replica.isUp && !replica.isReplicationBlocked && !replica.isIsolated && !primary.isIsolated;
 		return isLinked && !replica.isPrimary && replica.term === primary.term;
 	}
 
 	/** Other instances that call themselves primary and can be reached, that of the latest term first. */
 	private _leaders(instance: LineInstance): LineInstance[] {
 		return this.instances
-			.filter(other => other !== instance && other.isPrimary && !other.isCutOff && !instance.isCutOff && !instance.isDeaf)
+			.filter(other => other !== instance && other.isPrimary && !other.isIsolated && !instance.isIsolated && !instance.isReplicationBlocked)
 			.toSorted((a, b) => b.term - a.term);
 	}
 
@@ -313,7 +313,7 @@
 	}
 }
 
-function isToldOfPromotions({isUp, missesPromotions, isCutOff}: LineInstance): boolean {
+function isToldOfPromotions({isUp, missesPromotions, isIsolated: isCutOff}: LineInstance): boolean {
 	return isUp && !missesPromotions && !isCutOff;
 }
 
@@ -326,7 +326,7 @@
 
 /** What an instance writes into its registration; its count of reports goes on. */
 export function registrationOf(instance: LineInstance, address: string, zone: string, isDraining = false): string {
-	instance.reports += 1;
+	instance.registrationCount += 1;
 	return JSON.stringify({
 		service: instance.group.service,
 		addr: address,
@@ -336,7 +336,7 @@
 		state: isDraining ? 'draining' : 'ready',
 		'warmup-left-ms': 0,
 		'db-role': instance.isPrimary ? 'primary' : 'replica',
-		seq: instance.reports,
+		seq: instance.registrationCount,
 		born: instance.startedAtMs,
 	});
 }
--- a/standins/line/line-instance-session.ts
+++ b/standins/line/line-instance-session.ts
@@ -64,7 +64,7 @@
 		const handler = Object.hasOwn(this._handlers, word) ? this._handlers[word] : undefined;
 		const isRun = id !== '-';
 		if (isRun) {
-			this.instance.noteRun(id, this.user);
+			this.instance.recordRun(id, this.user);
 		}
 
 		this._id = id;
@@ -82,7 +82,7 @@
 	}
 
 	private _begin(isReadOnly: boolean, floor: string | undefined): string {
-		if (floor !== undefined && !this.instance.holds(floor)) {
+		if (floor !== undefined && !this.instance.hasApplied(floor)) {
 			return `ERROR LAGGING ${this.instance.id}\r\n`;
 		}
 
@@ -121,7 +121,7 @@
 	}
 
 	private _read(item: string, floor: string | undefined): string {
-		if (floor !== undefined && !this.instance.holds(floor)) {
+		if (floor !== undefined && !this.instance.hasApplied(floor)) {
 			return `ERROR LAGGING ${this.instance.id}\r\n`;
 		}
 
@@ -183,20 +183,20 @@
 	}
 
 	private _row(): string {
-		this.instance.questions += 1;
+		this.instance.statusRequests += 1;
 		return `DATAROW ${this.instance.statusRow()}\r\n${complete('-')}`;
 	}
 
 	private _pause(term: number): string {
 		if (!this.instance.isPrimary && term > this.instance.term) {
-			this.instance.pausedFor = term;
+			this.instance.fencedForTerm = term;
 		}
 
 		return this._row();
 	}
 
 	private _resume(): string {
-		this.instance.pausedFor = 0;
+		this.instance.fencedForTerm = 0;
 		return this._row();
 	}
 
--- a/standins/line/platform-server.ts
+++ b/standins/line/line-platform-server.ts
@@ -35,11 +35,11 @@
 type Answer = {readonly status: number; readonly body: unknown};
 
 /** One port for all calls. */
-export class PlatformServer {
+export class LinePlatformServer {
 	/** Most rows of one answer to a read. */
-	pageRows = 500;
+	maximumPageRows = 500;
 	/** Whether answers say how often the store has come back from a copy. */
-	namesEra = true;
+	sendsEra = true;
 	/** Told of each read right after its rows were taken. */
 	onRead: (() => void) | undefined;
 	private readonly _store: MemoryRowStore;
@@ -49,7 +49,7 @@
 		[storePaths.range]: async query => {
 			const read = await this._store.read(query.get('table') ?? '', query.get('part') ?? '');
 			this.onRead?.();
-			return pageOf(answerOf(read), query.get('from') ?? '', Math.min(Number(query.get('limit') ?? this.pageRows), this.pageRows));
+			return pageOf(answerOf(read), query.get('from') ?? '', Math.min(Number(query.get('limit') ?? this.maximumPageRows), this.maximumPageRows));
 		},
 		[storePaths.feed]: async query => answerOf(await this._store.follow(
 			query.get('table') ?? '',
@@ -83,7 +83,7 @@
 		const handler = Object.hasOwn(this._handlers, pathname) ? this._handlers[pathname] : undefined;
 		try {
 			const {status, body} = handler ? await handler(searchParams, request) : {status: 404, body: {}};
-			const era = this.namesEra ? {[eraHeader]: this._store.era} : {};
+			const era = this.sendsEra ? {[eraHeader]: this._store.era} : {};
 			response.writeHead(status, {'content-type': 'application/json', ...era}).end(JSON.stringify(body));
 		} catch (error) {
 			// A caller that broke its call off, or one whose body cannot be read.
--- a/standins/line/line-bench.ts
+++ b/standins/line/line-test-cluster.ts
@@ -20,38 +20,38 @@
 import {Refusal} from '../../src/common/errors/error-kinds.js';
 import {nodeTable, peeringDefaults} from '../../src/common/peering/constants.js';
 import type {FollowedTable} from '../../src/common/catalog/table-follower.js';
-import {BudgetKeepers} from '../../src/common/peering/budget-keepers.js';
-import {EndpointWays} from '../../src/common/peering/endpoint-ways.js';
+import {FleetUsageHolders} from '../../src/common/peering/fleet-usage-holders.js';
+import {EndpointPoolSelector} from '../../src/common/peering/endpoint-pool-selector.js';
 import {Fleet} from '../../src/common/peering/fleet.js';
 import {ForwardedStatements} from '../../src/common/peering/forwarded-statements.js';
 import {PeerDirectory} from '../../src/common/peering/peer-directory.js';
-import {DirectoryPeers} from '../../src/common/peering/primacy-peers.js';
-import {ProofSharing} from '../../src/common/peering/proof-sharing.js';
+import {FleetPrimacyPeers} from '../../src/common/peering/primacy-peers.js';
+import {OverviewPoller} from '../../src/common/peering/overview-poller.js';
 import {Registrations} from '../../src/common/peering/registrations.js';
 import {Relays} from '../../src/common/peering/relays.js';
-import {notFollowed, SharedRows} from '../../src/common/peering/shared-rows.js';
+import {notFollowedReason, DelegatingRowStore} from '../../src/common/peering/delegating-row-store.js';
 import {poolDefaults} from '../../src/common/pools/constants.js';
 import {PoolSet} from '../../src/common/pools/pool-set.js';
 import {primacyDefaults} from '../../src/common/primacy/constants.js';
-import {GroupPrimacies} from '../../src/common/primacy/group-primacies.js';
-import type {GroupPrimacy} from '../../src/common/primacy/group-primacy.js';
+import {PrimaryTrackers} from '../../src/common/primacy/primary-trackers.js';
+import type {PrimaryTracker} from '../../src/common/primacy/primary-tracker.js';
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import type {
-	GroupOverview, Log, LogEventName, PeerCalls, PeerNode, PeerNotice, PeerRequests, PlatformFault, PromotionCalls, RowStore,
+	GroupOverview, Log, LogEventName, PeerCalls, PeerNode, PeerNotice, PeerRequestHandlers, PlatformFault, PromotionCalls, RowStore,
 	UsageLimit,
 } from '../../src/common/services/services.js';
 import {restoreDefaults} from '../../src/common/store/constants.js';
 import {RestoreWatch} from '../../src/common/store/restore-watch.js';
-import {WatchedRows} from '../../src/common/store/watched-rows.js';
+import {VersionObservingStore} from '../../src/common/store/version-observing-store.js';
 import {silentMetrics} from '../../src/common/testing/observers.js';
 import {VirtualClock} from '../../src/common/testing/virtual-clock.js';
 import {pauseFor, withTimeout} from '../../src/common/lifecycle/timing.js';
-import {Access} from '../../src/common/organisations/access.js';
+import {AccessControl} from '../../src/common/organisations/access-control.js';
 import {usageDefaults} from '../../src/common/organisations/constants.js';
 import {UsageBudgets} from '../../src/common/organisations/usage-budgets.js';
 import {noBudgetHere, UsageLimits} from '../../src/common/organisations/usage-limits.js';
 import type {UsageRule} from '../../src/common/organisations/usage-rule.js';
-import {BenchSession} from './bench-session.js';
+import {LineTestSession} from './line-test-session.js';
 import {LineGroup, registrationOf} from './line-group.js';
 import {MemoryConnector} from './memory-connector.js';
 import {MemoryRowStore} from './memory-row-store.js';
@@ -74,31 +74,31 @@
 export type LoggedEvent = {readonly name: LogEventName; readonly fields: Readonly<Record<string, unknown>>};
 
 /** One node. */
-export class BenchNode {
+export class LineTestNode {
 	readonly events: LoggedEvent[] = [];
 	readonly connector: MemoryConnector;
-	readonly primacies: GroupPrimacies;
+	readonly primacies: PrimaryTrackers;
 	readonly catalog: RouteCatalog;
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
 	readonly directory: PeerDirectory;
 	readonly sessionServices: LineSessionServices;
-	readonly requests: PeerRequests;
+	readonly requests: PeerRequestHandlers;
 	readonly self: PeerNode;
 	readonly fleet: Fleet;
 	readonly forwarded: ForwardedStatements;
 	readonly usage: UsageLimits;
 	/** Whether the store turns this node away. */
-	isStoreCut = false;
+	isStoreUnreachable = false;
 	/** Names of nodes that it cannot call. */
-	readonly cutPeers = new Set<string>();
-	private readonly _bench: LineBench;
+	readonly unreachablePeers = new Set<string>();
+	private readonly _bench: LineTestCluster;
 	private readonly _notices: HandlersOf<PeerNotice, void> = {
 		joined: ({node}) => {
 			this.directory.learn(node);
 		},
 		left: ({name}) => {
-			this.directory.forget(name);
+			this.directory.markLeaving(name);
 		},
 		primary: notice => {
 			this.primacies.learnPrimary(notice.service, notice);
@@ -108,12 +108,12 @@
 		},
 	};
 
-	private readonly _access: Access;
-	private readonly _sharing: ProofSharing;
+	private readonly _access: AccessControl;
+	private readonly _sharing: OverviewPoller;
 	private readonly _registrations: Registrations;
 	private readonly _runner: StatementRunner;
 
-	constructor(name: string, availabilityZone: string, cores: number, bench: LineBench, incarnation = '1') {
+	constructor(name: string, availabilityZone: string, cores: number, bench: LineTestCluster, incarnation = '1') {
 		const {clock, group} = bench;
 		this._bench = bench;
 		this.self = {
@@ -127,19 +127,19 @@
 		const restores = new RestoreWatch({
 			clock, log, metrics: silentMetrics, options: restoreDefaults,
 		});
-		const store = new WatchedRows(this._ownView(bench.store), restores);
+		const store = new VersionObservingStore(this._ownView(bench.store), restores);
 		const shared = {
 			clock, log, store, restores, metrics: silentMetrics, random: new SeededRandom(7), node: name,
 		};
 		this.connector = new MemoryConnector(group, clock);
 		const peering = {
-			...shared, self: this.self, calls: bench.callsOf(this), options: peeringDefaults,
+			...shared, self: this.self, calls: bench.peerCallsOf(this), options: peeringDefaults,
 		};
 		this.directory = new PeerDirectory(peering);
 		const fleet = new Fleet(peering, this.directory);
 		this.fleet = fleet;
 		const followed = {
-			...shared, store: new SharedRows(store, {...peering, directory: this.directory, fleet}), options: catalogDefaults,
+			...shared, store: new DelegatingRowStore(store, {...peering, directory: this.directory, fleet}), options: catalogDefaults,
 			paceMs: () => fleet.isLarge ? peeringDefaults.followPaceMs : 0,
 		};
 		this._registrations = new Registrations(this.directory, followed);
@@ -150,33 +150,33 @@
 			wire: lineWire,
 			connector: this.connector,
 			invariants: new InvariantChecks(log, silentMetrics, {isFatal: true}),
-			holding: endpoint => fleet.holding(endpoint),
-			isByOrganisation: () => this.catalog.organisations !== undefined,
-			connectionShare: ({service: name}) => fleet.connectionShare(this.catalog.connectionLimit(name)),
+			connectionRole: endpoint => fleet.holding(endpoint),
+			areConnectionsPerOrganisation: () => this.catalog.organisations !== undefined,
+			connectionShare: ({service: name}) => fleet.connectionQuota(this.catalog.connectionLimit(name)),
 			options: poolDefaults,
 			queueOptions: defaultHomeOptions,
 		});
-		const peers = new DirectoryPeers(peering, this.directory, fleet);
-		const ways = new EndpointWays({
+		const peers = new FleetPrimacyPeers(peering, this.directory, fleet);
+		const ways = new EndpointPoolSelector({
 			...peering, directory: this.directory, fleet, pools: this.pools, poolOptions: poolDefaults,
 		});
 		const sharing = {
-			get isAsker() {
-				return fleet.isAsker;
+			get isCoordinator() {
+				return fleet.isCoordinator;
 			},
-			get isExclusive() {
-				return fleet.isExclusive;
+			get isCoordinatorOnly() {
+				return fleet.isCoordinatorOnly;
 			},
 			refresh: async () => this._sharing.refresh(),
 		};
-		this.primacies = new GroupPrimacies({
+		this.primacies = new PrimaryTrackers({
 			...shared,
 			peers,
 			registry: this.registry,
 			pools: this.pools,
 			promotions: bench.promotions,
 			sharing,
-			ways,
+			endpointPools: ways,
 			audit: {
 				record() {
 					// Not looked at.
@@ -185,11 +185,11 @@
 			options: primacyDefaults,
 			availabilityZone,
 		});
-		this._sharing = new ProofSharing(peering, this.directory, fleet, this.primacies);
+		this._sharing = new OverviewPoller(peering, this.directory, fleet, this.primacies);
 		const relays = new Relays({
 			...peering, peers, poolOptions: poolDefaults,
 		}, this.primacies);
-		const limitOf = (organisation: string): UsageLimit | undefined => this.catalog.organisations?.named(organisation)?.usageLimit;
+		const limitOf = (organisation: string): UsageLimit | undefined => this.catalog.organisations?.findByName(organisation)?.usageLimit;
 		const budgets = new UsageBudgets({
 			clock, limitOf, rule: usageRule, zones: 3, membershipChangedAtMs: () => this.directory.membershipChangedAtMs, options: usageDefaults,
 		});
@@ -197,15 +197,15 @@
 			...peering,
 			budgets,
 			options: usageDefaults,
-			holders: new BudgetKeepers({
+			holders: new FleetUsageHolders({
 				directory: this.directory, fleet, touchMs: usageDefaults.touchMs, sharing: () => this._sharing,
 			}),
 		});
 		this.catalog.onChange(() => {
 			this.primacies.follow(this.catalog.serviceNames());
-			this.usage.noteNewLimits();
+			this.usage.onLimitsChanged();
 		});
-		this._access = new Access(this.catalog);
+		this._access = new AccessControl(this.catalog);
 		this.sessionServices = {
 			...shared,
 			relays,
@@ -213,8 +213,8 @@
 			catalog: this.catalog,
 			access: this._access,
 			usage: this.usage,
-			ways,
-			primacies: this.primacies,
+			endpointPools: ways,
+			trackers: this.primacies,
 			availabilityZone,
 			options: lineSessionDefaults,
 		};
@@ -226,27 +226,27 @@
 	}
 
 	/** The group as this node knows it. */
-	get group(): GroupPrimacy {
+	get group(): PrimaryTracker {
 		return this.primacies.group(service);
 	}
 
 	start(): void {
 		this.catalog.start();
 		this.registry.start();
-		this.directory.onLook(() => {
+		this.directory.onDiscoveryDone(() => {
 			this.primacies.wake();
 		});
 		this.directory.onRegistered(() => {
 			void this.primacies.checkReplacements();
 		});
-		void this.directory.look();
+		void this.directory.discover();
 		void this._registrations.run();
 		void this._sharing.run();
 	}
 
 	/** A new session with one of the databases, of a caller that sends a word or a key. */
-	session(database: string, word = 'caller'): BenchSession {
-		return new BenchSession(new LineSession(database, this._access.credential(word), this.sessionServices, this._runner), this._bench.clock);
+	session(database: string, word = 'caller'): LineTestSession {
+		return new LineTestSession(new LineSession(database, this._access.credential(word), this.sessionServices, this._runner), this._bench.clock);
 	}
 
 	/** Fields of every event of a name. */
@@ -267,7 +267,7 @@
 	/** The store as this node reaches it. */
 	private _ownView(store: RowStore): RowStore {
 		const reach = async <T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> =>
-			this.isStoreCut ? Left({kind: 'unavailable', detail: 'cut by the test'}) : call();
+			this.isStoreUnreachable ? Left({kind: 'unavailable', detail: 'cut by the test'}) : call();
 		return {
 			read: async (table, partition) => reach(async () => store.read(table, partition)),
 			follow: async (table, afterVersion, waitMs) => reach(async () => store.follow(table, afterVersion, waitMs)),
@@ -275,7 +275,7 @@
 		};
 	}
 
-	private _makeRequests(): PeerRequests {
+	private _makeRequests(): PeerRequestHandlers {
 		const {forwarded} = this;
 		const tables: Readonly<Record<string, FollowedTable>> = {
 			[rowFormats.configurationTable]: this.catalog.followed,
@@ -288,7 +288,7 @@
 				this._onNotice(notice);
 			},
 			overview: async name => {
-				this._sharing.noteAsked();
+				this._sharing.recordIncomingPoll();
 				return name === '' ? this.primacies.overviews(name) : this.primacies.opinion(name);
 			},
 			status: async (endpointId, timeoutMs) => forwarded.status(endpointId, timeoutMs),
@@ -310,17 +310,17 @@
 export type ObservedPeerCall = {readonly from: string; readonly to: string; readonly kind: Exclude<keyof PeerCalls, 'dispose'>};
 
 /** Nodes before one group of three instances. */
-export class LineBench {
+export class LineTestCluster {
 	readonly clock = new VirtualClock();
 	readonly store = new MemoryRowStore(this.clock);
 	readonly group = new LineGroup(service, ['i-1', 'i-2', 'i-3'], this.clock);
-	readonly nodes: BenchNode[] = [];
+	readonly nodes: LineTestNode[] = [];
 	/** Promotions that were ordered: instance, holder and epoch. */
 	readonly ordered: Array<{readonly id: string; readonly holder: string; readonly epoch: number}> = [];
 	/** Time from the next order to its effect. */
 	promotionMs = usualPromotionMs;
 	/** Orders whose answers are lost: they are carried out all the same. */
-	ordersToLose = 0;
+	orderAnswersToLose = 0;
 	/** Time after which a revoked key may count on no node; as on platforms that ask for it. */
 	keyRevocationMs: number | undefined;
 	/** Organisations that the next configuration names, as operators write them; none by default. */
@@ -339,8 +339,8 @@
 				this.group.promote(id);
 				this.register();
 			});
-			if (this.ordersToLose > 0) {
-				this.ordersToLose -= 1;
+			if (this.orderAnswersToLose > 0) {
+				this.orderAnswersToLose -= 1;
 				return Left({kind: 'unavailable', detail: 'the answer was lost'});
 			}
 
@@ -360,9 +360,9 @@
 	}
 
 	/** Starts one more node. */
-	addNode(cores = 1): BenchNode {
+	addNode(cores = 1): LineTestNode {
 		const index = this.nodes.length;
-		const node = new BenchNode(`n${index + 1}`, 'abc'[index % 3], cores, this);
+		const node = new LineTestNode(`n${index + 1}`, 'abc'[index % 3], cores, this);
 		this.nodes.push(node);
 		node.start();
 		return node;
@@ -374,7 +374,7 @@
 		for (const node of ended) {
 			const {name, availabilityZone, cores, incarnation} = node.self;
 			node.dispose();
-			const started = new BenchNode(name, availabilityZone, cores, this, String(Number(incarnation) + 1));
+			const started = new LineTestNode(name, availabilityZone, cores, this, String(Number(incarnation) + 1));
 			this.nodes.push(started);
 			started.start();
 		}
@@ -400,13 +400,13 @@
 	}
 
 	/** Calls between nodes, which the test may cut. */
-	callsOf(from: BenchNode): PeerCalls {
+	peerCallsOf(from: LineTestNode): PeerCalls {
 		const {clock} = this;
-		const reach = async <T>(peer: PeerNode, kind: ObservedPeerCall['kind'], work: (requests: PeerRequests) => T | Promise<T>): Promise<Either<string, T>> => {
+		const reach = async <T>(peer: PeerNode, kind: ObservedPeerCall['kind'], work: (requests: PeerRequestHandlers) => T | Promise<T>): Promise<Either<string, T>> => {
 			this.peerCallListener?.({from: from.self.name, to: peer.name, kind});
 			await pauseFor(clock, 1);
 			const node = this.nodes.find(({self}) => self.name === peer.name);
-			return node && !from.cutPeers.has(peer.name) && !node.cutPeers.has(from.self.name) ? Right(await work(node.requests)) : Left('cut');
+			return node && !from.unreachablePeers.has(peer.name) && !node.unreachablePeers.has(from.self.name) ? Right(await work(node.requests)) : Left('cut');
 		};
 
 		const unreachable = {isSent: true, refusal: new Refusal('peerUnavailable', 'cut'), isPeerLost: true};
@@ -423,7 +423,7 @@
 			},
 			async rows(peer, table, afterVersion, waitMs) {
 				const result = await reach(peer, 'rows', async requests => requests.rows(table, afterVersion, waitMs));
-				return result.chain(rows => rows ? Right(rows) : Left(notFollowed));
+				return result.chain(rows => rows ? Right(rows) : Left(notFollowedReason));
 			},
 			async run(peer, endpointId, statement) {
 				const result = await reach(peer, 'run', async requests => requests.run(endpointId, statement));
@@ -458,9 +458,9 @@
 }
 
 /** Cuts a node off from instances. */
-export function cut(node: BenchNode, ids: readonly string[]): void {
+export function cutConnections(node: LineTestNode, ids: readonly string[]): void {
 	for (const id of ids) {
-		node.connector.cuts.set(id, 'refused');
+		node.connector.connectionFaults.set(id, 'refused');
 		const endpoint = node.registry.endpoint(id);
 		if (endpoint) {
 			node.pools.pool(endpoint).closeIdle();
--- a/standins/line/bench-session.ts
+++ b/standins/line/line-test-session.ts
@@ -6,7 +6,7 @@
 import type {VirtualClock} from '../../src/common/testing/virtual-clock.js';
 
 /** A session whose statements run on the virtual clock. */
-export class BenchSession {
+export class LineTestSession {
 	readonly session: LineSession;
 	private readonly _clock: VirtualClock;
 	private _count = 0;
@@ -35,7 +35,7 @@
 }
 
 /** Whether an answer that is on its way will begin with a text. */
-export async function startsWith(answer: Promise<string>, text: string): Promise<boolean> {
+export async function answerStartsWith(answer: Promise<string>, text: string): Promise<boolean> {
 	const arrived = await answer;
 	return arrived.startsWith(text);
 }
--- a/standins/line/memory-connector.ts
+++ b/standins/line/memory-connector.ts
@@ -22,7 +22,7 @@
 /** Connects to instances of a group without a network. */
 export class MemoryConnector implements LineConnector {
 	/** Ids of instances that cannot be reached from here: `refused` at once, `silent` for ever. */
-	readonly cuts = new Map<string, 'refused' | 'silent'>();
+	readonly connectionFaults = new Map<string, 'refused' | 'silent'>();
 	/** Ids of statements that run, and whose answers never come. */
 	readonly unanswered = new Set<string>();
 	private readonly _group: LineGroup;
@@ -35,7 +35,7 @@
 
 	async connect(endpoint: RegisteredEndpoint, organisation: string | undefined): Promise<Either<ConnectionFault, LineConnection>> {
 		const instance = this._group.instance(endpoint.id);
-		const cut = this.cutOf(instance);
+		const cut = this.connectionFaultOf(instance);
 		if (cut === 'silent') {
 			await pauseFor(this._clock, 700);
 		}
@@ -53,8 +53,8 @@
 	}
 
 	/** How an instance is cut off. */
-	cutOf(instance: LineInstance): 'refused' | 'silent' | undefined {
-		return instance.isUp ? this.cuts.get(instance.id) : 'refused';
+	connectionFaultOf(instance: LineInstance): 'refused' | 'silent' | undefined {
+		return instance.isUp ? this.connectionFaults.get(instance.id) : 'refused';
 	}
 }
 
@@ -82,7 +82,7 @@
 			return Left({kind: 'closed', detail: 'closed before'});
 		}
 
-		const cut = this._connector.cutOf(instance);
+		const cut = this._connector.connectionFaultOf(instance);
 		if (cut === 'silent') {
 			return new Promise(() => undefined); // eslint-disable-line no-promise-executor-return -- never answered
 		}
--- a/standins/line/memory-row-store.ts
+++ b/standins/line/memory-row-store.ts
@@ -15,7 +15,7 @@
 type KeptRow = StoredRow & {readonly partition: string};
 
 /** What the store held at one moment. */
-export type StoreCopy = {
+export type StoreSnapshot = {
 	readonly rows: ReadonlyMap<string, KeptRow>;
 	readonly history: readonly KeptRow[];
 	readonly historyFrom: number;
@@ -27,13 +27,13 @@
 /** Rows, and the changes since the history was last dropped. */
 export class MemoryRowStore implements RowStore {
 	/** Whether nobody is answered. */
-	isAway = false;
+	isUnavailable = false;
 	/** Whether calls are never answered. */
 	isSilent = false;
 	/** Whether changes are never kept. */
 	keepsNoHistory = false;
 	/** Answers of writes that are lost after they took effect. */
-	answersToLose = 0;
+	writeAnswersToLose = 0;
 	/** Told of each conditional write right after it took effect, before it is answered. */
 	onConditionalWrite: ((write: ConditionalWrite) => void) | undefined;
 	/** Calls that were made. */
@@ -56,7 +56,7 @@
 		this.calls += 1;
 		this.reads.set(table, (this.reads.get(table) ?? 0) + 1);
 		await this._speak();
-		if (this.isAway) {
+		if (this.isUnavailable) {
 			return Left(away);
 		}
 
@@ -65,7 +65,7 @@
 
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
 		this.calls += 1;
-		if (this.isAway) {
+		if (this.isUnavailable) {
 			return Left(away);
 		}
 
@@ -81,12 +81,12 @@
 
 		await this._speak();
 		// Questions that wait are cut when the store is restored.
-		return this.isAway || era !== this._era ? Left(away) : Right(this._answer(this._changes(table, after)));
+		return this.isUnavailable || era !== this._era ? Left(away) : Right(this._answer(this._changes(table, after)));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {version: number; storeNowMs: number}>> {
 		this.calls += 1;
-		if (this.isAway) {
+		if (this.isUnavailable) {
 			return Left(away);
 		}
 
@@ -98,8 +98,8 @@
 
 		this.put(write.table, write.key, write.value, write.partition);
 		this.onConditionalWrite?.(write);
-		if (this.answersToLose > 0) {
-			this.answersToLose -= 1;
+		if (this.writeAnswersToLose > 0) {
+			this.writeAnswersToLose -= 1;
 			return Left({kind: 'unavailable', detail: 'the answer was lost'});
 		}
 
@@ -131,7 +131,7 @@
 	}
 
 	/** Version of its newest transaction. */
-	get versionNow(): number {
+	get currentVersion(): number {
 		return storeVersion(this._era, this._version);
 	}
 
@@ -141,14 +141,14 @@
 	}
 
 	/** What the store holds now. */
-	takeCopy(): StoreCopy {
+	takeSnapshot(): StoreSnapshot {
 		return {
 			rows: new Map(this._rows), history: [...this._history], historyFrom: this._historyFrom, version: this._version,
 		};
 	}
 
 	/** Comes back from an older copy: what was written since is gone, and its versions are given out again. */
-	restore({rows, history, historyFrom, version}: StoreCopy): void {
+	restore({rows, history, historyFrom, version}: StoreSnapshot): void {
 		this._era += 1;
 		this._rows = new Map(rows);
 		this._history = [...history];
--- a/standins/line/open-connections.test.ts
+++ b/standins/line/open-connections.test.ts
@@ -42,7 +42,7 @@
 		}
 
 		for (const connection of opened) {
-			connections.giveBack(connection, limits);
+			connections.release(connection, limits);
 		}
 
 		return opened;
@@ -55,24 +55,24 @@
 
 	it('hands a connection out to no organisation but its own', async () => {
 		const [shop] = await openIdle('shop', undefined);
-		expect(connections.take(statementOf('gang'))).toEqual(undefined);
-		expect(connections.take(statementOf('shop')) === shop).toEqual(true);
+		expect(connections.acquire(statementOf('gang'))).toEqual(undefined);
+		expect(connections.acquire(statementOf('shop')) === shop).toEqual(true);
 	});
 
 	it('asks endpoints on a connection of the node\'s own before one of an organisation', async () => {
 		const [shop, own] = await openIdle('shop', undefined);
-		expect(connections.take() === own).toEqual(true);
-		expect(connections.take() === shop).toEqual(true);
+		expect(connections.acquire() === own).toEqual(true);
+		expect(connections.acquire() === shop).toEqual(true);
 	});
 
 	it('closes the one that statements used longest ago, whatever asked on it since', async () => {
 		const [shop, gang] = await openIdle('shop', 'gang');
-		const asked = connections.take()!;
+		const asked = connections.acquire()!;
 		const answer = asked.control({kind: 'status'}, 100);
 		await clock.advance(5);
 		await answer;
-		connections.giveBack(asked, limits);
-		expect(connections.closeLeastUsed()).toEqual(true);
+		connections.release(asked, limits);
+		expect(connections.closeLeastRecentlyUsed()).toEqual(true);
 		expect([shop.isOpen, gang.isOpen]).toEqual([false, true]);
 	});
 
@@ -84,11 +84,11 @@
 	it('wakes who waits when one is given back, of whichever organisation', async () => {
 		const connection = await open('shop');
 		let isAwake = false;
-		void connections.whenReturned(1000).then(() => {
+		void connections.waitForRelease(1000).then(() => {
 			isAwake = true;
 		});
 		await clock.advance(10);
-		connections.giveBack(connection, limits);
+		connections.release(connection, limits);
 		await clock.advance(1);
 		expect(isAwake).toEqual(true);
 	});
--- a/standins/line/organisations.test.ts
+++ b/standins/line/organisations.test.ts
@@ -8,9 +8,9 @@
 	assert, asyncProperty, constantFrom, integer, record as recordOf, array as arrayOf,
 } from 'fast-check';
 import {pauseFor} from '../../src/common/lifecycle/timing.js';
-import type {BenchSession} from './bench-session.js';
-import type {BenchNode} from './line-bench.js';
-import {databases, LineBench, usageRule} from './line-bench.js';
+import type {LineTestSession} from './line-test-session.js';
+import type {LineTestNode} from './line-test-cluster.js';
+import {databases, LineTestCluster, usageRule} from './line-test-cluster.js';
 
 const shop = {name: 'shop', 'api-keys': ['key-of-shop', 'second-key-of-shop']};
 const gang = {name: 'gang', 'api-keys': ['key-of-gang']};
@@ -18,8 +18,8 @@
 /** Time in which a key that was taken away must count on no node. */
 const keyRevocationMs = 5000;
 
-async function startWith(organisations: LineBench['organisations'], nodes = 3): Promise<LineBench> {
-	const bench = new LineBench();
+async function startWith(organisations: LineTestCluster['organisations'], nodes = 3): Promise<LineTestCluster> {
+	const bench = new LineTestCluster();
 	bench.organisations = organisations;
 	bench.keyRevocationMs = keyRevocationMs;
 	await bench.start(nodes);
@@ -27,15 +27,15 @@
 }
 
 /** Cuts a node off from the store and from all other nodes; instances still answer it. */
-function cutAway(bench: LineBench, node: BenchNode): void {
-	node.isStoreCut = true;
+function cutAway(bench: LineTestCluster, node: LineTestNode): void {
+	node.isStoreUnreachable = true;
 	for (const {self} of bench.nodes) {
-		node.cutPeers.add(self.name);
+		node.unreachablePeers.add(self.name);
 	}
 }
 
 /** Revokes every key of the shop while a node is cut off from whoever could tell it. */
-async function revokeBehindCut(bench: LineBench, node: BenchNode): Promise<void> {
+async function revokeBehindCut(bench: LineTestCluster, node: LineTestNode): Promise<void> {
 	cutAway(bench, node);
 	// The question that waits at the store is still answered.
 	await bench.clock.advance(1200);
@@ -44,12 +44,12 @@
 }
 
 /** As whom statements ran at the instances, by their id. */
-function ranAs(bench: LineBench): Map<string, string> {
-	return new Map(bench.group.instances.flatMap(instance => [...instance.runs].map(([id, {user}]) => [id, user] as const)));
+function ranAs(bench: LineTestCluster): Map<string, string> {
+	return new Map(bench.group.instances.flatMap(instance => [...instance.firstRuns].map(([id, {user}]) => [id, user] as const)));
 }
 
 describe('callers by API key', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
 	afterEach(() => {
 		bench.dispose();
@@ -86,11 +86,11 @@
 	it('get in with a key that was just given out, on a node that has not heard of it', async () => {
 		bench = await startWith([shop], 1);
 		const [node] = bench.nodes;
-		node.isStoreCut = true;
+		node.isStoreUnreachable = true;
 		await bench.clock.advance(2500);
 		bench.organisations = [shop, gang];
 		bench.configure(2);
-		node.isStoreCut = false;
+		node.isStoreUnreachable = false;
 		const answer = await node.session(databases.primary, 'key-of-gang').send('READ x');
 		expect(answer.includes('COMPLETE')).toEqual(true);
 	});
@@ -110,7 +110,7 @@
 		const ran = ranAs(bench).size;
 		const answers = [await session.send('WRITE x 3'), await transaction.send('COMMIT')];
 		expect(answers.map(answer => answer.split(' ').slice(0, 2).join(' '))).toEqual(['ERROR NOAUTH', 'ERROR NOAUTH']);
-		expect([session.session.isEnded, transaction.session.isEnded]).toEqual([true, true]);
+		expect([session.session.mustCloseConnection, transaction.session.mustCloseConnection]).toEqual([true, true]);
 		expect(ranAs(bench).size).toEqual(ran);
 		const other = await node.session(databases.primary, 'second-key-of-shop').send('READ x');
 		expect(other.includes('DATAROW 1')).toEqual(true);
@@ -148,7 +148,7 @@
 		const [node] = bench.nodes;
 		await revokeBehindCut(bench, node);
 		await bench.clock.advance(2 * keyRevocationMs);
-		node.isStoreCut = false;
+		node.isStoreUnreachable = false;
 		const answer = await node.session(databases.aged, 'key-of-shop').send('READ x', 'after-silence');
 		expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
 		expect(ranAs(bench).has('after-silence')).toEqual(false);
@@ -156,8 +156,8 @@
 
 	it('are served again by a node that comes back into touch, and by one that only peers tell', async () => {
 		bench = await startWith([shop], 18);
-		const member = bench.nodes.find(({fleet}) => !fleet.isAsker)!;
-		member.isStoreCut = true;
+		const member = bench.nodes.find(({fleet}) => !fleet.isCoordinator)!;
+		member.isStoreUnreachable = true;
 		await bench.clock.advance(3 * keyRevocationMs);
 		const overPeers = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(overPeers.includes('COMPLETE')).toEqual(true);
@@ -165,8 +165,8 @@
 		await bench.clock.advance(keyRevocationMs);
 		const cutOff = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(cutOff.startsWith('ERROR BUSY')).toEqual(true);
-		member.cutPeers.clear();
-		member.isStoreCut = false;
+		member.unreachablePeers.clear();
+		member.isStoreUnreachable = false;
 		await bench.clock.advance(1000);
 		const back = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(back.includes('COMPLETE')).toEqual(true);
@@ -203,7 +203,7 @@
 });
 
 describe('connections of organisations', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
 	afterEach(() => {
 		bench.dispose();
@@ -227,7 +227,7 @@
 	it('are kept where the statements of an organisation meet, so that most need no new one', async () => {
 		const few = Array.from({length: 8}, (_, index) => ({name: `org-${index}`, 'api-keys': [`key-${index}`]}));
 		bench = await startWith(few, 18);
-		const opened = (): number => bench.group.instances.reduce((sum, instance) => sum + instance.opened, 0);
+		const opened = (): number => bench.group.instances.reduce((sum, instance) => sum + instance.openedConnections, 0);
 		const before = opened();
 		for (let round = 0; round < 40; round++) {
 			for (const [index, {'api-keys': [key]}] of few.entries()) {
@@ -270,12 +270,12 @@
 }
 
 describe('usage limits', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 	let ranAtMs: number[];
 	let refusals: string[];
 
 	/** Sends reads over the nodes by turns at a rate; what ran is noted with its time. */
-	async function load(perS: number, forMs: number, sessions: readonly BenchSession[]): Promise<void> {
+	async function load(perS: number, forMs: number, sessions: readonly LineTestSession[]): Promise<void> {
 		const answers: Array<Promise<void>> = [];
 		for (let index = 0; index < perS * forMs / 1000; index++) {
 			answers.push(sendLater(sessions[index % sessions.length], index * 1000 / perS));
@@ -285,7 +285,7 @@
 		await Promise.all(answers);
 	}
 
-	async function sendLater(session: BenchSession, waitMs: number): Promise<void> {
+	async function sendLater(session: LineTestSession, waitMs: number): Promise<void> {
 		await pauseFor(bench.clock, waitMs);
 		const answer = await session.start('READ x');
 		if (answer.includes('COMPLETE')) {
@@ -295,7 +295,7 @@
 		}
 	}
 
-	function sessionsOfAll(each = 10): BenchSession[] {
+	function sessionsOfAll(each = 10): LineTestSession[] {
 		return Array.from({length: each}, () => bench.nodes.map(node => node.session(databases.aged, 'key-of-shop'))).flat();
 	}
 
@@ -363,7 +363,7 @@
 		for (const node of bench.nodes) {
 			for (const {self} of bench.nodes) {
 				if ((self.availabilityZone === 'b') !== (node.self.availabilityZone === 'b')) {
-					node.cutPeers.add(self.name);
+					node.unreachablePeers.add(self.name);
 				}
 			}
 		}
@@ -387,7 +387,7 @@
 		const lost = new Set(bench.nodes.map(({fleet}) => fleet.usageHolders('shop')[0].name));
 		for (const node of bench.nodes) {
 			for (const name of lost) {
-				node.cutPeers.add(name);
+				node.unreachablePeers.add(name);
 			}
 		}
 
@@ -404,14 +404,14 @@
 		const acts: Record<Disturbance['what'], () => void> = {
 			cut() {
 				for (const name of names) {
-					node.cutPeers.add(name);
+					node.unreachablePeers.add(name);
 				}
 			},
 			heal() {
-				node.cutPeers.clear();
+				node.unreachablePeers.clear();
 			},
 			passOver() {
-				node.directory.noteAnswer(names[(index + 3) % names.length], false);
+				node.directory.reportReachability(names[(index + 3) % names.length], false);
 			},
 		};
 		acts[what]();
--- a/standins/line/processes/line-system.ts
+++ b/standins/line/processes/line-system.ts
@@ -16,8 +16,8 @@
 import {InstanceServer} from '../instance-server.js';
 import {LineGroup, registrationOf} from '../line-group.js';
 import {MemoryRowStore} from '../memory-row-store.js';
-import type {StoreCopy} from '../memory-row-store.js';
-import {PlatformServer} from '../platform-server.js';
+import type {StoreSnapshot} from '../memory-row-store.js';
+import {LinePlatformServer} from '../line-platform-server.js';
 import {FaultyProxy} from '../faulty-proxy.js';
 import {dutyTable} from '../../../src/common/primacy/promotion-duty.js';
 import {NodeProcess} from './node-process.js';
@@ -52,10 +52,10 @@
 };
 
 /** A promotion as the platform was asked for it. */
-export type Ordered = {readonly id: string; readonly holder: string; readonly epoch: number};
+export type PromotionOrder = {readonly id: string; readonly holder: string; readonly epoch: number};
 
 /** How the platform deals with orders. */
-export type PromotionConduct = {
+export type PromotionBehaviour = {
 	/** `lost`: carried out, never answered; `denied`: carried out, answered as if it were not. */
 	readonly answer: 'given' | 'lost' | 'denied';
 	readonly answerMs: number;
@@ -63,7 +63,7 @@
 };
 
 /** How it deals with them when nothing is done to it. */
-export const usualConduct: PromotionConduct = {answer: 'given', answerMs: 0, effectMs: standInTimes.promotion};
+export const defaultPromotionBehaviour: PromotionBehaviour = {answer: 'given', answerMs: 0, effectMs: standInTimes.promotion};
 
 const denied: PlatformFault = {kind: 'unavailable', detail: 'denied, by the stand-in'};
 
@@ -71,7 +71,7 @@
 export type PromotionStep = 'duty' | 'order';
 
 /** The way from a node to what it calls. */
-export type Link = {
+export type ProxiedLink = {
 	readonly from: NodeProcess;
 	readonly kind: 'instance' | 'platform' | 'node';
 	/** Id or name at its other end. */
@@ -87,14 +87,14 @@
 	readonly store: MemoryRowStore;
 	readonly nodes: NodeProcess[] = [];
 	/** From each node to each instance, to the platform and to each other node. */
-	readonly links: Link[] = [];
-	readonly ordered: Ordered[] = [];
-	conduct = usualConduct;
+	readonly links: ProxiedLink[] = [];
+	readonly ordered: PromotionOrder[] = [];
+	promotionBehaviour = defaultPromotionBehaviour;
 	/** Organisations that the configuration names; none where callers need no key. */
 	organisations: readonly SystemOrganisation[] | undefined;
 	private readonly _servers = new Map<string, InstanceServer>();
 	private readonly _addresses = new Map<string, string>();
-	private _platform: PlatformServer | undefined;
+	private _platform: LinePlatformServer | undefined;
 	private _folder = '';
 	private _configuration = 0;
 	private _configurationText = '';
@@ -117,7 +117,7 @@
 				return Left({kind: 'invalid', detail: 'not the newest epoch'});
 			}
 
-			const {answer, answerMs, effectMs} = this.conduct;
+			const {answer, answerMs, effectMs} = this.promotionBehaviour;
 			setTimeout(() => {
 				this._carryOut(id, epoch);
 			}, effectMs);
@@ -153,7 +153,7 @@
 
 		this.register();
 		this.configure();
-		this._platform = new PlatformServer(this.store, this._promotions);
+		this._platform = new LinePlatformServer(this.store, this._promotions);
 		const platformAddress = `127.0.0.1:${await this._platform.listen('127.0.0.1')}`;
 		for (let index = 0; index < nodeCount; index++) {
 			await this._addNode(index, platformAddress);
@@ -167,7 +167,7 @@
 		this._follower = setInterval(() => {
 			this._followLeaders();
 		}, standInTimes.look);
-		const areReady = await Promise.all(this.nodes.map(async node => node.becomeReady()));
+		const areReady = await Promise.all(this.nodes.map(async node => node.waitUntilReady()));
 		if (areReady.includes(false)) {
 			throw new Error(`a node did not become ready; logs are in ${this._folder}`);
 		}
@@ -190,11 +190,11 @@
 	 * The store is away for a time and comes back with what it held at a copy; operators and
 	 * instances write again some time later. Nodes' writes since the copy stay lost.
 	 */
-	async restoreStore(copy: StoreCopy, {awayMs, againMs}: {readonly awayMs: number; readonly againMs: number}): Promise<void> {
-		this.store.isAway = true;
+	async restoreStore(copy: StoreSnapshot, {awayMs, againMs}: {readonly awayMs: number; readonly againMs: number}): Promise<void> {
+		this.store.isUnavailable = true;
 		await pause(awayMs);
 		this.store.restore(copy);
-		this.store.isAway = false;
+		this.store.isUnavailable = false;
 		await pause(againMs);
 		this.store.put(tables.operator, configurationKey, this._configurationText);
 		this.register();
@@ -203,7 +203,7 @@
 	/** Writes what the running instances say of themselves. */
 	register(): void {
 		for (const [index, instance] of this.group.instances.entries()) {
-			const {id, isUp, isCutOff} = instance;
+			const {id, isUp, isIsolated: isCutOff} = instance;
 			if (isUp && !isCutOff) {
 				this.store.put(tables.instances, id, registrationOf(instance, this._addresses.get(id)!, zones[index]));
 			}
@@ -211,7 +211,7 @@
 	}
 
 	/** Links that go into a zone or out of it. */
-	linksAcross(zone: string): Link[] {
+	linksAcross(zone: string): ProxiedLink[] {
 		return this.links.filter(link => (link.from.plan.zone === zone) !== (link.zone === zone));
 	}
 
@@ -221,7 +221,7 @@
 	}
 
 	/** Resolves with the node that is the next to take a step towards a promotion, before it hears that it did. */
-	async nextStep(wanted: PromotionStep): Promise<NodeProcess> {
+	async nextPromotionStep(wanted: PromotionStep): Promise<NodeProcess> {
 		return new Promise(resolve => {
 			this._stepListener = (step, node) => {
 				if (step === wanted) {
@@ -235,19 +235,19 @@
 	/** Ends an instance without a word. */
 	crash(id: string): void {
 		this.group.instance(id).isUp = false;
-		this._servers.get(id)?.breakConnections();
+		this._servers.get(id)?.resetConnections();
 	}
 
 	/** Starts a replica again under its id with an empty memory; it has its log again after a time. */
-	restart(id: string): void {
+	restartEmpty(id: string): void {
 		this.group.restart(id, {syncMs: standInTimes.sync});
 		this.group.instance(id).startedAtMs = Date.now();
-		this._servers.get(id)?.breakConnections();
+		this._servers.get(id)?.resetConnections();
 		this.register();
 	}
 
 	/** Starts it again with its log. */
-	revive(id: string): void {
+	restartWithLog(id: string): void {
 		this.group.rejoin(id);
 		this.register();
 	}
@@ -302,7 +302,7 @@
 	private _followLeaders(): void {
 		for (const instance of this.group.instances) {
 			const {id, isUp} = instance;
-			if (!isUp || !this.group.laterLeader(instance)) {
+			if (!isUp || !this.group.newerPrimary(instance)) {
 				this._behindSinceMs.delete(id);
 				continue;
 			}
@@ -342,7 +342,7 @@
 		}
 	}
 
-	private async _link(link: Omit<Link, 'proxy'>, address: string): Promise<void> {
+	private async _link(link: Omit<ProxiedLink, 'proxy'>, address: string): Promise<void> {
 		const [host, port] = address.split(':');
 		const proxy = new FaultyProxy({host, port: Number(port)});
 		link.from.diversions.set(address, await proxy.listen('127.0.0.1'));
--- a/standins/line/processes/node-process.ts
+++ b/standins/line/processes/node-process.ts
@@ -77,7 +77,7 @@
 	}
 
 	/** Waits until it takes callers; resolves to whether it does. */
-	async becomeReady(): Promise<boolean> {
+	async waitUntilReady(): Promise<boolean> {
 		for (let look = 0; look < readyLook.times; look++) {
 			if (await this.isReady()) {
 				return true;
--- a/standins/line/promotion-duties.test.ts
+++ b/standins/line/promotion-duties.test.ts
@@ -6,7 +6,7 @@
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {restoreDefaults} from '../../src/common/store/constants.js';
 import {RestoreWatch} from '../../src/common/store/restore-watch.js';
-import {WatchedRows} from '../../src/common/store/watched-rows.js';
+import {VersionObservingStore} from '../../src/common/store/version-observing-store.js';
 import {RecordingLog, silentMetrics} from '../../src/common/testing/observers.js';
 import {VirtualClock} from '../../src/common/testing/virtual-clock.js';
 import {MemoryRowStore} from './memory-row-store.js';
@@ -24,12 +24,12 @@
 			clock, log, metrics: silentMetrics, options: restoreDefaults,
 		});
 		return new PromotionDuties({
-			clock, log, node, restores, store: new WatchedRows(store, restores), random: new SeededRandom(node.length),
+			clock, log, node, restores, store: new VersionObservingStore(store, restores), random: new SeededRandom(node.length),
 		}, leaseMs);
 	}
 
 	async function take(duties: PromotionDuties, term: number): Promise<HeldDuty> {
-		const taken = await clock.advanceUntil(duties.take(service, term));
+		const taken = await clock.advanceUntil(duties.acquire(service, term));
 		return taken.unsafeCoerce();
 	}
 
@@ -54,7 +54,7 @@
 		const later = await take(duties, 4);
 		expect([later.term, later.orderedId]).toEqual([4, undefined]);
 		expect(await begunTerm()).toEqual(4);
-		await clock.advanceUntil(duties.giveUp(service, later));
+		await clock.advanceUntil(duties.cancelReplacement(service, later));
 		expect(await begunTerm()).toEqual(3);
 	});
 
@@ -64,7 +64,7 @@
 		const later = await take(duties, 4);
 		const ordered = await order(duties, later, 'i-3');
 		expect(await begunTerm()).toEqual(4);
-		await clock.advanceUntil(duties.giveUp(service, ordered!, later));
+		await clock.advanceUntil(duties.cancelReplacement(service, ordered!, later));
 		expect(await begunTerm()).toEqual(3);
 	});
 
@@ -93,26 +93,26 @@
 	it('find out by reading that an order is on record whose answer was lost', async () => {
 		const duties = dutiesOf('a');
 		const duty = await take(duties, 3);
-		store.answersToLose = 1;
+		store.writeAnswersToLose = 1;
 		const ordered = await order(duties, duty, 'i-2');
 		expect(ordered?.version).toEqual(duty.version + 1);
 	});
 
 	it('do not take a duty that a restored store may have lost', async () => {
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		const duties = dutiesOf('a');
 		await take(duties, 3);
 		store.restore(copy);
-		const refused = await clock.advanceUntil(dutiesOf('bb').take(service, 3));
+		const refused = await clock.advanceUntil(dutiesOf('bb').acquire(service, 3));
 		expect(refused.swap().toMaybe().extract()?.reason).toEqual('heldByAnother');
 		await clock.advance(leaseMs);
-		const again = await clock.advanceUntil(duties.take(service, 3));
+		const again = await clock.advanceUntil(duties.acquire(service, 3));
 		expect(again.isRight()).toEqual(false);
 	});
 
 	it('put no order on record under a claim that the store has lost, also where its version was given out again', async () => {
 		store.put('other', 'row', '1');
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		const duty = await take(dutiesOf('a'), 3);
 		store.restore(copy);
 		store.put(dutyTable, 'holder', JSON.stringify({...duty.record, holder: 'bb'}), service);
@@ -121,10 +121,10 @@
 
 	it('put back the order that the store has lost, and whom it named', async () => {
 		const duties = dutiesOf('a');
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		await order(duties, await take(duties, 3), 'i-2');
 		store.restore(copy);
-		await clock.advanceUntil(duties.putBack(service, {primaryTerm: 3, begunTerm: 3}));
+		await clock.advanceUntil(duties.rewriteLostRecord(service, {primaryTerm: 3, begunTerm: 3}));
 		await clock.advance(leaseMs);
 		const again = await take(duties, 2);
 		expect([again.term, again.orderedId]).toEqual([3, 'i-2']);
@@ -133,11 +133,11 @@
 	it('put back as ordered what the copy shows begun: the order may be lost', async () => {
 		const duties = dutiesOf('a');
 		const duty = await take(duties, 3);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		await order(duties, duty, 'i-2');
 		store.restore(copy);
 		const others = dutiesOf('bb');
-		await clock.advanceUntil(others.putBack(service, {primaryTerm: 3, begunTerm: 0}));
+		await clock.advanceUntil(others.rewriteLostRecord(service, {primaryTerm: 3, begunTerm: 0}));
 		await clock.advance(leaseMs);
 		const state = await clock.advanceUntil(others.state(service));
 		expect(state.toMaybe().extract()?.orderedTerm).toEqual(3);
@@ -147,10 +147,10 @@
 		const duties = dutiesOf('a');
 		const ordered = await order(duties, await take(duties, 3), 'i-2');
 		await clock.advanceUntil(duties.recordEffect(service, ordered!, 4));
-		store.restore(store.takeCopy());
-		const before = store.versionNow;
-		await clock.advanceUntil(dutiesOf('bb').putBack(service, {primaryTerm: 4, begunTerm: 0}));
-		expect(store.versionNow).toEqual(before);
+		store.restore(store.takeSnapshot());
+		const before = store.currentVersion;
+		await clock.advanceUntil(dutiesOf('bb').rewriteLostRecord(service, {primaryTerm: 4, begunTerm: 0}));
+		expect(store.currentVersion).toEqual(before);
 	});
 
 	it('say nothing of a row that cannot be read', async () => {
--- a/standins/line/replaced-primary.test.ts
+++ b/standins/line/replaced-primary.test.ts
@@ -20,8 +20,8 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
 import {tables} from '../../platform/names.js';
-import {cut, databases, LineBench} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
+import {cutConnections, databases, LineTestCluster} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
 
 /** Pause between two rounds of writes. */
 const roundMs = 10;
@@ -30,13 +30,13 @@
 const patienceMs = 20_000;
 
 describe('a primary that was replaced', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 	/** Writes that the old primary committed after the promotion's effect, and that were acknowledged. */
 	let broken: string[];
 	let rounds: number;
 
-	async function start(nodes: number): Promise<readonly BenchNode[]> {
-		bench = new LineBench();
+	async function start(nodes: number): Promise<readonly LineTestNode[]> {
+		bench = new LineTestCluster();
 		broken = [];
 		rounds = 0;
 		await bench.start(nodes);
@@ -56,7 +56,7 @@
 
 	function makeDeaf(id: string): void {
 		const instance = bench.group.instance(id);
-		instance.isDeaf = true;
+		instance.isReplicationBlocked = true;
 		instance.missesPromotions = true;
 	}
 
@@ -65,7 +65,7 @@
 	}
 
 	/** Writes once over each node, and notes acknowledgements that must not be. */
-	async function write(nodes: readonly BenchNode[]): Promise<string[]> {
+	async function write(nodes: readonly LineTestNode[]): Promise<string[]> {
 		rounds += 1;
 		const wasReplaced = isReplaced();
 		const answers = await bench.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(databases.own).start(`WRITE x ${rounds}`))));
@@ -77,14 +77,14 @@
 		return answers;
 	}
 
-	async function writeFor(durationMs: number, nodes: readonly BenchNode[]): Promise<void> {
+	async function writeFor(durationMs: number, nodes: readonly LineTestNode[]): Promise<void> {
 		const endMs = bench.clock.nowMs() + durationMs;
 		while (bench.clock.nowMs() < endMs) {
 			await write(nodes);
 		}
 	}
 
-	async function writeUntil(isDone: () => boolean, nodes: readonly BenchNode[]): Promise<void> {
+	async function writeUntil(isDone: () => boolean, nodes: readonly LineTestNode[]): Promise<void> {
 		const endMs = bench.clock.nowMs() + patienceMs;
 		while (!isDone()) {
 			expect(bench.clock.nowMs() < endMs).toEqual(true);
@@ -93,8 +93,8 @@
 	}
 
 	/** The new primary serves over every one of these nodes. */
-	async function expectServed(nodes: readonly BenchNode[], primary = 'i-3'): Promise<void> {
-		const served = new Set<BenchNode>();
+	async function expectServed(nodes: readonly LineTestNode[], primary = 'i-3'): Promise<void> {
+		const served = new Set<LineTestNode>();
 		const endMs = bench.clock.nowMs() + patienceMs;
 		while (served.size < nodes.length && bench.clock.nowMs() < endMs) {
 			const answers = await write(nodes);
@@ -113,9 +113,9 @@
 	it('acknowledges nothing over nodes from behind a cut that has healed', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-2', 'i-3'], others);
-		cutOff.isStoreCut = true;
+		cutOff.isStoreUnreachable = true;
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(isReplaced, bench.nodes);
@@ -128,10 +128,10 @@
 
 	it('acknowledges nothing when the promotion takes effect long after its call was given up on', async () => {
 		const nodes = await start(3);
-		bench.ordersToLose = 1;
+		bench.orderAnswersToLose = 1;
 		bench.promotionMs = 4000;
 		for (const node of nodes) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, nodes);
@@ -146,7 +146,7 @@
 		const nodes = await start(3);
 		bench.promotionMs = 7000;
 		for (const node of nodes) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, nodes);
@@ -161,7 +161,7 @@
 	it('is replaced once more where both the node that ordered and the endpoint that it ordered are gone', async () => {
 		const nodes = await start(3);
 		for (const node of nodes) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, nodes);
@@ -169,8 +169,8 @@
 
 		// Nobody sees that it leads the next term, and its registration lapses.
 		for (const node of left) {
-			node.connector.cuts.clear();
-			cut(node, ['i-3']);
+			node.connector.connectionFaults.clear();
+			cutConnections(node, ['i-3']);
 		}
 
 		await writeUntil(isReplaced, left);
@@ -185,13 +185,13 @@
 	it('acknowledges nothing when another node ends a fence between the order and its effect', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-3'], others);
-		cutOff.isStoreCut = true;
+		cutOff.isStoreUnreachable = true;
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
-		bench.group.instance('i-2').pausedFor = 0;
+		bench.group.instance('i-2').fencedForTerm = 0;
 		await writeUntil(isReplaced, bench.nodes);
 		await writeFor(2000, bench.nodes);
 		expect(broken).toEqual([]);
@@ -202,18 +202,18 @@
 	it('acknowledges nothing when a fence was lost at a replica that the promoter cannot ask again', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-3'], others);
-		cutOff.isStoreCut = true;
+		cutOff.isStoreUnreachable = true;
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.group.instance('i-2').pausedFor > 0, bench.nodes);
+		await writeUntil(() => bench.group.instance('i-2').fencedForTerm > 0, bench.nodes);
 		// It started again with its log; the promoter's second question gets no answer.
 		for (const node of others) {
-			cut(node, ['i-2']);
+			cutConnections(node, ['i-2']);
 		}
 
-		bench.group.instance('i-2').pausedFor = 0;
+		bench.group.instance('i-2').fencedForTerm = 0;
 		await writeFor(4000, bench.nodes);
 		expect(broken).toEqual([]);
 	});
@@ -221,10 +221,10 @@
 	it('acknowledges nothing when all fences run out before an order takes effect, at a node without the store', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, [], others);
-		cutOff.isStoreCut = true;
+		cutOff.isStoreUnreachable = true;
 		bench.promotionMs = 3800;
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
@@ -236,14 +236,14 @@
 	it('acknowledges nothing when all fences end between an order and its effect, at a node without the store', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, [], others);
-		cutOff.isStoreCut = true;
+		cutOff.isStoreUnreachable = true;
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
 		for (const instance of bench.group.instances) {
-			instance.pausedFor = 0;
+			instance.fencedForTerm = 0;
 		}
 
 		await writeUntil(isReplaced, bench.nodes);
@@ -255,7 +255,7 @@
 		const [stale, ...others] = await start(5);
 		cutNode(stale, ['i-1', 'i-3'], others);
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		await writeUntil(isReplaced, others);
@@ -264,7 +264,7 @@
 		bench.group.instance('i-2').missesPromotions = false;
 		bench.group.instance('i-3').missesPromotions = true;
 		for (const node of others) {
-			cut(node, ['i-2']);
+			cutConnections(node, ['i-2']);
 		}
 
 		bench.store.put(tables.instances, 'i-3', undefined);
@@ -282,7 +282,7 @@
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-3'], others);
 		for (const node of others) {
-			cut(node, ['i-1']);
+			cutConnections(node, ['i-1']);
 		}
 
 		const startMs = bench.clock.nowMs();
@@ -292,30 +292,30 @@
 	});
 
 	/** The node that ordered neither hears nor says anything any more; the others are left. */
-	function killPromoter(): readonly BenchNode[] {
+	function killPromoter(): readonly LineTestNode[] {
 		const [{holder}] = bench.ordered;
 		const dead = bench.nodes.find(({self}) => self.name === holder)!;
 		const left = bench.nodes.filter(node => node !== dead);
 		dead.dispose();
-		dead.isStoreCut = true;
+		dead.isStoreUnreachable = true;
 		cutNode(dead, ['i-1', 'i-2', 'i-3'], left);
 		return left;
 	}
 
 	/** Ends all cuts of these nodes. */
-	function heal(nodes: readonly BenchNode[] = bench.nodes): void {
+	function heal(nodes: readonly LineTestNode[] = bench.nodes): void {
 		for (const node of nodes) {
-			node.connector.cuts.clear();
-			node.cutPeers.clear();
-			node.isStoreCut = false;
+			node.connector.connectionFaults.clear();
+			node.unreachablePeers.clear();
+			node.isStoreUnreachable = false;
 		}
 	}
 });
 
 /** Cuts a node off from endpoints and from other nodes. */
-function cutNode(node: BenchNode, ids: readonly string[], others: readonly BenchNode[]): void {
-	cut(node, ids);
+function cutNode(node: LineTestNode, ids: readonly string[], others: readonly LineTestNode[]): void {
+	cutConnections(node, ids);
 	for (const other of others) {
-		node.cutPeers.add(other.self.name);
+		node.unreachablePeers.add(other.self.name);
 	}
 }
--- a/standins/line/replacement-reads.test.ts
+++ b/standins/line/replacement-reads.test.ts
@@ -1,13 +1,13 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {dutyTable} from '../../src/common/primacy/promotion-duty.js';
-import {databases, LineBench} from './line-bench.js';
+import {databases, LineTestCluster} from './line-test-cluster.js';
 
 const nodeCount = 40;
 
 describe('looks whether a primary is being replaced', () => {
 	it('reads the store at most twice a node during a promotion', async () => {
-		const bench = new LineBench();
+		const bench = new LineTestCluster();
 		let reads = 0;
 		const {store} = bench;
 		const read = store.read.bind(store);
@@ -20,7 +20,7 @@
 		const atStart = reads;
 		bench.group.instance('i-1').missesPromotions = true;
 		for (const node of bench.nodes) {
-			node.connector.cuts.set('i-1', 'refused');
+			node.connector.connectionFaults.set('i-1', 'refused');
 			node.pools.pool(node.registry.endpoint('i-1')!).closeIdle();
 		}
 
--- a/standins/line/restarts.test.ts
+++ b/standins/line/restarts.test.ts
@@ -1,8 +1,8 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
-import {startsWith} from './bench-session.js';
-import {databases, LineBench} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
+import {answerStartsWith} from './line-test-session.js';
+import {databases, LineTestCluster} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
 
 /** Longest time in virtual ms until a group serves again. */
 const patienceMs = 15_000;
@@ -11,10 +11,10 @@
 const syncMs = 300;
 
 describe('instances that start again under their id', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(nodes: number): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(nodes: number): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		for (const instance of bench.group.instances) {
 			instance.startedAtMs = 1000;
 		}
@@ -33,7 +33,7 @@
 		});
 	}
 
-	async function untilDone(node: BenchNode, text: string, database: string = databases.primary): Promise<string> {
+	async function untilDone(node: LineTestNode, text: string, database: string = databases.primary): Promise<string> {
 		const endMs = bench.clock.nowMs() + patienceMs;
 		while (bench.clock.nowMs() < endMs) {
 			const answer = await node.session(database).send(text);
@@ -65,7 +65,7 @@
 				expect(answer.includes('COMPLETE') && !answer.startsWith('DATAROW 5|')).toEqual(false);
 			}
 
-			expect(await startsWith(untilDone(nodes[1], 'READ x'), 'DATAROW 5|')).toEqual(true);
+			expect(await answerStartsWith(untilDone(nodes[1], 'READ x'), 'DATAROW 5|')).toEqual(true);
 			expect(ordered.length).toEqual(1);
 		});
 	}
@@ -81,41 +81,41 @@
 		const answer = await node.session(databases.primary).send('WRITE y 1');
 		expect(answer.startsWith('COMPLETE')).toEqual(false);
 		await untilDone(node, 'WRITE y 2');
-		expect(await startsWith(untilDone(node, 'READ x'), 'DATAROW 5|')).toEqual(true);
+		expect(await answerStartsWith(untilDone(node, 'READ x'), 'DATAROW 5|')).toEqual(true);
 	});
 
 	it('are not believed as primary by a node that starts after them', async () => {
 		const {clock, group, nodes} = await start(2);
 		const [node, late] = nodes;
-		late.connector.cuts.set('i-1', 'silent');
+		late.connector.connectionFaults.set('i-1', 'silent');
 		for (let count = 1; count <= 5; count++) {
 			await node.session(databases.primary).send(`WRITE x ${count}`);
 		}
 
 		await clock.advance(100);
 		group.restart('i-1', {syncMs, isPrimary: true});
-		late.connector.cuts.clear();
+		late.connector.connectionFaults.clear();
 		const answer = await late.session(databases.primary).send('READ x');
 		expect(answer.includes('COMPLETE') && !answer.startsWith('DATAROW 5|')).toEqual(false);
-		expect(await startsWith(untilDone(late, 'READ x'), 'DATAROW 5|')).toEqual(true);
+		expect(await answerStartsWith(untilDone(late, 'READ x'), 'DATAROW 5|')).toEqual(true);
 	});
 
 	it('prove no term before the store says that nobody replaces its primary: their fence is forgotten', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		await node.session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
-		node.connector.cuts.set('i-3', 'silent');
+		node.connector.connectionFaults.set('i-3', 'silent');
 		// Its position alone tells of the start: the node cannot ask the store.
-		node.isStoreCut = true;
+		node.isStoreUnreachable = true;
 		bench.group.restart('i-2', {syncMs: 600});
 		for (let round = 0; round < 20; round++) {
 			await node.session(databases.primary).send('READ x');
 			await clock.advance(100);
 		}
 
-		expect(await startsWith(node.session(databases.primary).send('READ x'), 'ERROR BUSY')).toEqual(true);
-		node.isStoreCut = false;
-		expect(await startsWith(untilDone(node, 'READ x'), 'DATAROW 1|')).toEqual(true);
+		expect(await answerStartsWith(node.session(databases.primary).send('READ x'), 'ERROR BUSY')).toEqual(true);
+		node.isStoreUnreachable = false;
+		expect(await answerStartsWith(untilDone(node, 'READ x'), 'DATAROW 1|')).toEqual(true);
 	});
 
 	it('stop a promotion when they forgot its fence in the middle of it', async () => {
@@ -126,7 +126,7 @@
 		group.instance('i-1').isUp = false;
 		const attempt = node.session(databases.primary).start('WRITE y 1');
 		// As soon as a replica is fenced it starts again.
-		while (!group.instances.some(({pausedFor}) => pausedFor > 0)) {
+		while (!group.instances.some(({fencedForTerm: pausedFor}) => pausedFor > 0)) {
 			await clock.advance(1);
 		}
 
@@ -147,7 +147,7 @@
 		await clock.advance(100);
 		const position = {term: 1, offset: 1};
 		expect(await clock.advanceUntil(node.group.confirm(position))).toEqual(true);
-		group.instance('i-3').isDeaf = true;
+		group.instance('i-3').isReplicationBlocked = true;
 		restart('i-2', {saysSoAfterMs: 0});
 		restart('i-3', {saysSoAfterMs: 0});
 		await clock.advance(50);
--- a/standins/line/restore-schedules.test.ts
+++ b/standins/line/restore-schedules.test.ts
@@ -5,9 +5,9 @@
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
-import {cut, databases, LineBench} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
-import type {StoreCopy} from './memory-row-store.js';
+import {cutConnections, databases, LineTestCluster} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
+import type {StoreSnapshot} from './memory-row-store.js';
 
 const seeds = Array.from({length: 24}, (_, index) => index + 1);
 
@@ -19,16 +19,16 @@
 const recoveryMs = 20_000;
 
 class Schedule {
-	readonly bench = new LineBench();
+	readonly bench = new LineTestCluster();
 	private readonly _random: SeededRandom;
 	private readonly _acknowledged = new Set<string>();
-	private readonly _copies: StoreCopy[] = [];
+	private readonly _copies: StoreSnapshot[] = [];
 	private _configuration = 1;
 	private _writes = 0;
 
 	private readonly _actions: Readonly<Record<string, () => Promise<void>>> = {
 		copy: async () => {
-			this._copies.push(this.bench.store.takeCopy());
+			this._copies.push(this.bench.store.takeSnapshot());
 		},
 		restore: async () => this._restore(),
 		restoreTwice: async () => {
@@ -43,7 +43,7 @@
 		replacePrimary: async () => {
 			const [leader] = this.bench.group.instances.filter(({isPrimary}) => isPrimary).toSorted((a, b) => b.term - a.term);
 			for (const node of this.bench.nodes.slice(1)) {
-				cut(node, [leader.id]);
+				cutConnections(node, [leader.id]);
 			}
 
 			leader.missesPromotions = this._random.next() < 0.5;
@@ -53,34 +53,34 @@
 		cutZone: async () => {
 			const [leader, deaf, ...others] = this.bench.group.instances.toSorted((a, b) => Number(b.isPrimary) - Number(a.isPrimary) || b.term - a.term);
 			const inside = this._pick(this.bench.nodes);
-			inside.isStoreCut = this._random.next() < 0.7;
-			cut(inside, others.map(({id}) => id));
+			inside.isStoreUnreachable = this._random.next() < 0.7;
+			cutConnections(inside, others.map(({id}) => id));
 			for (const node of this.bench.nodes.filter(other => other !== inside)) {
-				inside.cutPeers.add(node.self.name);
-				cut(node, [leader.id]);
+				inside.unreachablePeers.add(node.self.name);
+				cutConnections(node, [leader.id]);
 			}
 
-			this._copies.push(this.bench.store.takeCopy());
+			this._copies.push(this.bench.store.takeSnapshot());
 			for (const instance of [leader, deaf]) {
 				instance.missesPromotions = true;
 			}
 
-			deaf.isDeaf = true;
+			deaf.isReplicationBlocked = true;
 			await this._writeFor(this._upTo(6000));
 			if (this._random.next() < 0.6) {
 				await this._restore();
 			}
 
-			inside.isStoreCut = false;
+			inside.isStoreUnreachable = false;
 			await this._writeFor(this._upTo(6000));
 		},
 		cutStore: async () => {
-			this._pick(this.bench.nodes).isStoreCut = true;
+			this._pick(this.bench.nodes).isStoreUnreachable = true;
 		},
 		cutNode: async () => {
 			const node = this._pick(this.bench.nodes);
 			for (const {self} of this.bench.nodes) {
-				node.cutPeers.add(self.name);
+				node.unreachablePeers.add(self.name);
 			}
 		},
 		startNode: async () => {
@@ -102,7 +102,7 @@
 
 	async run(): Promise<void> {
 		await this.bench.start(4);
-		this._copies.push(this.bench.store.takeCopy());
+		this._copies.push(this.bench.store.takeSnapshot());
 		for (let step = 0; step < steps; step++) {
 			await this._actions[this._pick([...Object.keys(this._actions), 'restore', 'copy', 'cutZone', 'heal'])]();
 			this.bench.register();
@@ -122,7 +122,7 @@
 
 	/** Acknowledged writes that took effect at a primary after a later one led. */
 	acknowledgedAtReplaced(): string[] {
-		const {commits, termStarts} = this.bench.group;
+		const {commits, promotionEffects: termStarts} = this.bench.group;
 		return commits
 			.filter(({id, term, atMs}) => this._acknowledged.has(id) && termStarts.some(start => start.term > term && start.atMs < atMs))
 			.map(({id, instance, term}) => `${id} at ${instance} in term ${term}`);
@@ -143,10 +143,10 @@
 
 	private async _restore(): Promise<void> {
 		const {store, clock} = this.bench;
-		store.isAway = this._random.next() < 0.8;
+		store.isUnavailable = this._random.next() < 0.8;
 		await this._writeFor(this._upTo(1500));
 		store.restore(this._pick(this._copies.slice(-2)));
-		store.isAway = false;
+		store.isUnavailable = false;
 		await clock.advance(this._upTo(2000));
 		this.bench.configure(this._configuration);
 		this.bench.register();
@@ -154,14 +154,14 @@
 
 	private _heal(): void {
 		for (const node of this.bench.nodes) {
-			node.connector.cuts.clear();
-			node.cutPeers.clear();
-			node.isStoreCut = false;
+			node.connector.connectionFaults.clear();
+			node.unreachablePeers.clear();
+			node.isStoreUnreachable = false;
 		}
 
 		for (const instance of this.bench.group.instances) {
 			instance.missesPromotions = false;
-			instance.isDeaf = false;
+			instance.isReplicationBlocked = false;
 			this.bench.group.catchUp(instance);
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 
 	private async _write(): Promise<string[]> {
-		const sent = this.bench.nodes.map((node: BenchNode) => {
+		const sent = this.bench.nodes.map((node: LineTestNode) => {
 			this._writes += 1;
 			const id = `w${this._writes}`;
 			return {id, answer: node.session(databases.own).start(`WRITE x ${this._writes}`, id)};
--- a/standins/line/scarce-connections.test.ts
+++ b/standins/line/scarce-connections.test.ts
@@ -1,12 +1,12 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
-import {databases, LineBench, service} from './line-bench.js';
+import {databases, LineTestCluster, service} from './line-test-cluster.js';
 
 /** Time that a test's statements may take together, in virtual milliseconds. */
 const patienceMs = 2000;
 
 describe('endpoints that accept few connections', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
 	/** Opens connections that nobody uses: an endpoint counts those of hosts that lost power for 3 s. */
 	function fill(left: number): void {
@@ -31,7 +31,7 @@
 	});
 
 	it('run statements on the connections that a node has while they take no more', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(1);
 		await bench.nodes[0].session(databases.primary).send('WRITE x 0');
 		fill(0);
@@ -40,7 +40,7 @@
 	});
 
 	it('leave room for every node where all start beside the connections of dead ones', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		fill(14);
 		await bench.start(7);
 		const writes = Array.from({length: 70}, (_, index) => `WRITE x${index} ${index}`);
@@ -48,7 +48,7 @@
 	});
 
 	it('are reached over a node that has a connection, and are not replaced', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		fill(1);
 		await bench.start(3);
 		const writes = Array.from({length: 9}, (_, index) => `WRITE x${index} ${index}`);
@@ -58,7 +58,7 @@
 	});
 
 	it('are not filled by one node while others have none', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(3);
 		await bench.clock.advance(4000);
 		const [node] = bench.nodes;
--- a/standins/line/sessions.test.ts
+++ b/standins/line/sessions.test.ts
@@ -1,13 +1,13 @@
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
-import {startsWith} from './bench-session.js';
-import {databases, LineBench} from './line-bench.js';
+import {answerStartsWith} from './line-test-session.js';
+import {databases, LineTestCluster} from './line-test-cluster.js';
 
 describe('sessions over the line protocol', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(nodes = 1): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(nodes = 1): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		await bench.start(nodes);
 		return bench;
 	}
@@ -44,7 +44,7 @@
 		expect(await one.send('EXECUTE s x 5')).toEqual('COMPLETE i-1||READY I 1.1');
 		expect(await two.send('EXECUTE s x')).toEqual('DATAROW 5|COMPLETE i-1||READY I 1.1');
 		await two.send('DEALLOC s');
-		expect(await startsWith(two.send('EXECUTE s x'), 'ERROR NOSTMT')).toEqual(true);
+		expect(await answerStartsWith(two.send('EXECUTE s x'), 'ERROR NOSTMT')).toEqual(true);
 	});
 
 	it('shows a session its own write though replicas lag', async () => {
@@ -56,7 +56,7 @@
 
 		for (let round = 1; round <= 5; round++) {
 			await session.send(`WRITE x ${round}`);
-			expect(await startsWith(session.send('READ x'), `DATAROW ${round}|`)).toEqual(true);
+			expect(await answerStartsWith(session.send('READ x'), `DATAROW ${round}|`)).toEqual(true);
 			await clock.advance(200);
 		}
 	});
@@ -71,7 +71,7 @@
 		const unanswered = lost.map(async id => node.session(databases.primary).start('WRITE x 1', id));
 		await clock.advance(10);
 		const startedAtMs = clock.nowMs();
-		expect(await startsWith(node.session(databases.primary).send('WRITE y 1'), 'COMPLETE')).toEqual(true);
+		expect(await answerStartsWith(node.session(databases.primary).send('WRITE y 1'), 'COMPLETE')).toEqual(true);
 		// Three places are taken by statements that wait for 800 ms.
 		expect(clock.nowMs() - startedAtMs < 300).toEqual(true);
 		const answers = await clock.advanceUntil(Promise.all(unanswered));
@@ -87,7 +87,7 @@
 		const atReplica = await reader.send('READ x');
 		expect(/COMPLETE i-[23]\|/v.test(atReplica)).toEqual(true);
 		for (const instance of group.instances) {
-			instance.isDeaf = true;
+			instance.isReplicationBlocked = true;
 		}
 
 		await writer.send('WRITE x 2');
@@ -110,7 +110,7 @@
 		const session = node.session(databases.aged);
 		for (let round = 0; round < 8; round++) {
 			group.instance('i-2').lostAnswers.add(`r${round}`);
-			expect(await startsWith(session.send('READ x', `r${round}`), 'COMPLETE')).toEqual(true);
+			expect(await answerStartsWith(session.send('READ x', `r${round}`), 'COMPLETE')).toEqual(true);
 		}
 	});
 
@@ -119,10 +119,10 @@
 		const session = node.session(databases.own);
 		await session.send('READ x');
 		await clock.advance(300);
-		node.connector.cuts.set('i-2', 'silent');
+		node.connector.connectionFaults.set('i-2', 'silent');
 		for (let round = 0; round < 3; round++) {
 			const startedAtMs = clock.nowMs();
-			expect(await startsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
+			expect(await answerStartsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
 			expect(clock.nowMs() - startedAtMs < 300).toEqual(true);
 		}
 	});
@@ -133,8 +133,8 @@
 		expect(await session.send('BEGIN')).toEqual('COMPLETE -|READY T -');
 		await session.send('WRITE x 1');
 		group.instance('i-1').lostAnswers.add('w2');
-		expect(await startsWith(session.send('WRITE y 1', 'w2'), 'ERROR ABORTED')).toEqual(true);
-		expect(await startsWith(session.send('READ x'), 'ERROR MALFORMED')).toEqual(true);
+		expect(await answerStartsWith(session.send('WRITE y 1', 'w2'), 'ERROR ABORTED')).toEqual(true);
+		expect(await answerStartsWith(session.send('READ x'), 'ERROR MALFORMED')).toEqual(true);
 		const commit = await session.send('COMMIT');
 		expect(commit.startsWith('ERROR ABORTED')).toEqual(true);
 		expect(commit.endsWith('READY I -')).toEqual(true);
@@ -147,7 +147,7 @@
 		await session.send('BEGIN');
 		await session.send('WRITE x 1');
 		group.instance('i-1').lostAnswers.add('c1');
-		expect(await startsWith(session.send('COMMIT', 'c1'), 'ERROR INDOUBT')).toEqual(true);
+		expect(await answerStartsWith(session.send('COMMIT', 'c1'), 'ERROR INDOUBT')).toEqual(true);
 	});
 
 	it('runs nothing outside of a transaction that its endpoint refused to begin', async () => {
@@ -167,7 +167,7 @@
 		await session.send('BEGIN');
 		await session.send('WRITE x 1');
 		await clock.advance(3200);
-		expect(await startsWith(session.send('COMMIT'), 'ERROR ABORTED')).toEqual(true);
+		expect(await answerStartsWith(session.send('COMMIT'), 'ERROR ABORTED')).toEqual(true);
 		expect(group.instance('i-1').log.length).toEqual(0);
 	});
 
@@ -189,7 +189,7 @@
 		await session.send('READ x');
 		bench.configure(2, 'aged');
 		await clock.advance(50);
-		expect(await startsWith(session.send('READ x'), 'ERROR NODB')).toEqual(true);
+		expect(await answerStartsWith(session.send('READ x'), 'ERROR NODB')).toEqual(true);
 		bench.configure(1);
 		await clock.advance(50);
 		expect(node.catalog.version).toEqual(2);
@@ -198,8 +198,8 @@
 	it('answers what it does not know without harm', async () => {
 		const {nodes: [node]} = await start();
 		const session = node.session(databases.primary);
-		expect(await startsWith(session.send('DROP everything'), 'ERROR MALFORMED')).toEqual(true);
-		expect(await startsWith(session.send('COMMIT'), 'ERROR MALFORMED')).toEqual(true);
+		expect(await answerStartsWith(session.send('DROP everything'), 'ERROR MALFORMED')).toEqual(true);
+		expect(await answerStartsWith(session.send('COMMIT'), 'ERROR MALFORMED')).toEqual(true);
 		expect(await session.send('READ x')).toEqual('COMPLETE i-1||READY I 1.0');
 	});
 
@@ -209,14 +209,14 @@
 		group.instance('i-3').maximumConnections = 0;
 		const sessions = [1, 2, 3].map(() => node.session(databases.aged));
 		for (const session of sessions) {
-			expect(await startsWith(session.send('READ x'), 'COMPLETE i-')).toEqual(true);
+			expect(await answerStartsWith(session.send('READ x'), 'COMPLETE i-')).toEqual(true);
 		}
 	});
 
 	it('sends no read to a replica that drains, though it read there before', async () => {
 		// Reads reached an instance 11.9 s after it had said that it leaves, where 10 s are allowed: the
 		// pool that a replica's earlier reads had made knew its registration of that time.
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		await bench.start(1);
 		const session = bench.nodes[0].session(databases.aged);
 		for (let index = 0; index < 20; index++) {
--- a/standins/line/store-restored.test.ts
+++ b/standins/line/store-restored.test.ts
@@ -2,9 +2,9 @@
 import {expect} from 'earl';
 import {tables} from '../../platform/names.js';
 import {nodeTable} from '../../src/common/peering/constants.js';
-import {cut, databases, LineBench} from './line-bench.js';
-import type {BenchNode} from './line-bench.js';
-import type {StoreCopy} from './memory-row-store.js';
+import {cutConnections, databases, LineTestCluster} from './line-test-cluster.js';
+import type {LineTestNode} from './line-test-cluster.js';
+import type {StoreSnapshot} from './memory-row-store.js';
 
 /** Time in which a change of the configuration must be in force, in virtual milliseconds. */
 const applyMs = 3000;
@@ -24,20 +24,20 @@
 const shop = {name: 'shop', 'api-keys': ['key-of-shop']};
 
 describe('a store that comes back from an older copy', () => {
-	let bench: LineBench;
+	let bench: LineTestCluster;
 
-	async function start(nodes: number): Promise<LineBench> {
-		bench = new LineBench();
+	async function start(nodes: number): Promise<LineTestCluster> {
+		bench = new LineTestCluster();
 		await bench.start(nodes);
 		return bench;
 	}
 
 	/** The store is away for a moment and has lost what was written since the copy. */
-	async function restore(copy: StoreCopy, awayMs = 500): Promise<void> {
-		bench.store.isAway = true;
+	async function restore(copy: StoreSnapshot, awayMs = 500): Promise<void> {
+		bench.store.isUnavailable = true;
 		await bench.clock.advance(awayMs);
 		bench.store.restore(copy);
-		bench.store.isAway = false;
+		bench.store.isUnavailable = false;
 	}
 
 	function write(rows: number): void {
@@ -47,11 +47,11 @@
 	}
 
 	/** Writes over a node until one more promotion has taken effect. */
-	async function writeUntilReplaced(node: BenchNode): Promise<void> {
+	async function writeUntilReplaced(node: LineTestNode): Promise<void> {
 		const session = node.session(databases.own);
-		const before = bench.group.termStarts.length;
+		const before = bench.group.promotionEffects.length;
 		const endMs = bench.clock.nowMs() + patienceMs;
-		while (bench.group.termStarts.length === before) {
+		while (bench.group.promotionEffects.length === before) {
 			expect(bench.clock.nowMs() < endMs).toEqual(true);
 			await session.send('WRITE x 1');
 			await bench.clock.advance(50);
@@ -59,7 +59,7 @@
 	}
 
 	/** Writes over a node for a time; resolves with what the endpoint acknowledged. */
-	async function acknowledgedAt(endpoint: string, node: BenchNode, durationMs: number): Promise<string[]> {
+	async function acknowledgedAt(endpoint: string, node: LineTestNode, durationMs: number): Promise<string[]> {
 		const endMs = bench.clock.nowMs() + durationMs;
 		const answers: string[] = [];
 		while (bench.clock.nowMs() < endMs) {
@@ -82,7 +82,7 @@
 	/** Changes the configuration once the store is back, and then writes something else. */
 	async function changeAfterRestore(nodes: number, {writes, pauseMs}: {readonly writes: number; readonly pauseMs: number}): Promise<void> {
 		const {store, clock} = await start(nodes);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		write(lostWrites);
 		await clock.advance(2500);
 		await restore(copy);
@@ -111,15 +111,15 @@
 
 	it('is not read by every node of a large fleet at its return', async () => {
 		const {store, clock} = await start(24);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		bench.register();
 		await clock.advance(2500);
-		store.isAway = true;
+		store.isUnavailable = true;
 		await clock.advance(2500);
 		const callsBefore = store.calls;
 		const readsBefore = store.reads.get(tables.operator) ?? 0;
 		store.restore(copy);
-		store.isAway = false;
+		store.isUnavailable = false;
 		await clock.advance(applyMs);
 		// Three zones, and what nodes that look for their asker ask once.
 		expect((store.reads.get(tables.operator) ?? 0) - readsBefore <= 3).toEqual(true);
@@ -134,33 +134,33 @@
 		// Neither the old primary nor one replica hears of the promotion.
 		group.instance('i-1').missesPromotions = true;
 		group.instance('i-2').missesPromotions = true;
-		group.instance('i-2').isDeaf = true;
+		group.instance('i-2').isReplicationBlocked = true;
 		await others[0].session(databases.primary).send('WRITE x 1');
-		cutOff.isStoreCut = true;
-		cut(cutOff, ['i-2', 'i-3']);
+		cutOff.isStoreUnreachable = true;
+		cutConnections(cutOff, ['i-2', 'i-3']);
 		for (const node of others) {
-			cutOff.cutPeers.add(node.self.name);
-			cut(node, ['i-1']);
+			cutOff.unreachablePeers.add(node.self.name);
+			cutConnections(node, ['i-1']);
 		}
 
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		await writeUntilReplaced(others[0]);
 		await clock.advance(200);
 		await restore(copy);
 		bench.register();
 		for (const node of bench.nodes) {
-			node.connector.cuts.clear();
-			node.isStoreCut = false;
+			node.connector.connectionFaults.clear();
+			node.isStoreUnreachable = false;
 		}
 
 		// Its way to the others and to the new primary stays cut.
-		cut(cutOff, ['i-3']);
+		cutConnections(cutOff, ['i-3']);
 		expect(await acknowledgedAt('i-1', cutOff, 8000)).toEqual([]);
 	});
 
 	it('has promotions carry epochs above those that it has lost', async () => {
 		const {store, clock} = await start(3);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		await replacePrimary('i-1');
 		await restore(copy);
 		bench.register();
@@ -173,7 +173,7 @@
 
 	it('holds the registration of a node that joined a large fleet again', async () => {
 		const {store, clock} = await start(24);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		const {self} = bench.addNode();
 		await clock.advance(3000);
 		await restore(copy);
@@ -184,7 +184,7 @@
 
 	it('holds every node\'s registration again', async () => {
 		const {store, clock} = await start(1);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		bench.addNode();
 		await clock.advance(3000);
 		await restore(copy);
@@ -196,7 +196,7 @@
 
 	it('tells a node that starts later when it came back', async () => {
 		const {store, clock} = await start(3);
-		await restore(store.takeCopy());
+		await restore(store.takeSnapshot());
 		await clock.advance(10_000);
 		const node = bench.addNode();
 		await clock.advance(500);
@@ -205,7 +205,7 @@
 
 	it('keeps a node that starts at once after it from every lease', async () => {
 		const {store, clock} = await start(1);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		bench.restartAll();
 		await restore(copy);
 		await clock.advance(writtenAgainMs);
@@ -215,15 +215,15 @@
 	});
 
 	it('lets nobody in with a key that was revoked in what it has lost', async () => {
-		bench = new LineBench();
+		bench = new LineTestCluster();
 		bench.organisations = [shop];
 		bench.keyRevocationMs = keyRevocationMs;
 		await bench.start(3);
 		const {store, clock, nodes: [node]} = bench;
-		const copy = store.takeCopy();
-		node.isStoreCut = true;
+		const copy = store.takeSnapshot();
+		node.isStoreUnreachable = true;
 		for (const {self} of bench.nodes) {
-			node.cutPeers.add(self.name);
+			node.unreachablePeers.add(self.name);
 		}
 
 		await clock.advance(1200);
@@ -232,7 +232,7 @@
 		const revokedAtMs = clock.nowMs();
 		await clock.advance(2000);
 		await restore(copy, 2000);
-		node.isStoreCut = false;
+		node.isStoreUnreachable = false;
 		const session = node.session(databases.aged, 'key-of-shop');
 		const endMs = clock.nowMs() + writtenAgainMs;
 		let lastServedMs = 0;
@@ -250,7 +250,7 @@
 		const {store, clock, nodes: [node]} = await start(3);
 		store.put(tables.instances, 'i-3', undefined);
 		await clock.advance(4000);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		bench.register('i-2');
 		await clock.advance(500);
 		await restore(copy);
@@ -261,7 +261,7 @@
 
 	it('brings back no endpoint whose removal it has lost, until that endpoint reports again', async () => {
 		const {store, clock, nodes: [node]} = await start(3);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		store.put(tables.instances, 'i-3', undefined);
 		await clock.advance(500);
 		await restore(copy);
@@ -274,7 +274,7 @@
 
 	it('makes no endpoint look as if it had started again', async () => {
 		const {store, clock, nodes} = await start(3);
-		const copy = store.takeCopy();
+		const copy = store.takeSnapshot();
 		bench.register();
 		await clock.advance(500);
 		await restore(copy);
@@ -287,13 +287,13 @@
 	/** Cuts every node off from the primary until another one leads. */
 	async function replacePrimary(id: string): Promise<void> {
 		for (const node of bench.nodes) {
-			cut(node, [id]);
+			cutConnections(node, [id]);
 		}
 
 		await writeUntilReplaced(bench.nodes[0]);
 		await bench.clock.advance(300);
 		for (const node of bench.nodes) {
-			node.connector.cuts.clear();
+			node.connector.connectionFaults.clear();
 		}
 	}
 });
--- a/standins/platform/dynamo-service.ts
+++ b/standins/platform/dynamo-service.ts
@@ -14,14 +14,14 @@
 	createTableSchema, describeTableSchema, getItemSchema, putItemSchema, querySchema, transactWriteItemsSchema,
 	type PutRequest, type QueryRequest,
 } from './dynamo-schemas.js';
-import type {Access} from './fault-gate.js';
+import type {AccessKind} from './fault-injector.js';
 import {LaggedValues} from './lagged-values.js';
 import {OrderedRows} from './ordered-rows.js';
-import type {Faults} from './settings.js';
+import type {InjectedFaults} from './settings.js';
 
 /** One operation, checked and ready to run. */
 export type DynamoOperation = {
-	readonly access: Access;
+	readonly access: AccessKind;
 	/** Number of items it writes or reads for the rate limit. */
 	readonly count: number;
 	/** Runs it; throws a DynamoError. */
@@ -43,7 +43,7 @@
 /** The tables of one platform. */
 export class DynamoService {
 	private readonly _clock: Clock;
-	private readonly _faults: Faults;
+	private readonly _faults: InjectedFaults;
 	private readonly _hostsPartition: string;
 	private readonly _tables = new Map<string, DynamoTableState>();
 
@@ -74,7 +74,7 @@
 		},
 	};
 
-	constructor(clock: Clock, faults: Faults, hostsPartition: string) {
+	constructor(clock: Clock, faults: InjectedFaults, hostsPartition: string) {
 		this._clock = clock;
 		this._faults = faults;
 		this._hostsPartition = hostsPartition;
--- a/standins/platform/fault-gate.ts
+++ b/standins/platform/fault-injector.ts
@@ -4,10 +4,10 @@
 import {Left, type Either} from 'purify-ts';
 import type {Clock, PlatformFault, Random} from '../../src/common/services/services.js';
 import {clientTimeoutMs} from './constants.js';
-import type {Faults} from './settings.js';
+import type {InjectedFaults} from './settings.js';
 import {TokenBucket} from './token-bucket.js';
 
-export type Access = 'read' | 'write';
+export type AccessKind = 'read' | 'write';
 
 /** Whether an operation may begin. */
 export type Admission = 'admitted' | 'throttled' | 'refused' | 'silent';
@@ -27,30 +27,30 @@
 		reads: 0, writes: 0, throttled: 0, unavailable: 0, lostAnswers: 0,
 	};
 
-	private readonly _buckets: Record<Access, TokenBucket>;
+	private readonly _buckets: Record<AccessKind, TokenBucket>;
 
 	constructor(clock: Clock) {
 		this._buckets = {read: new TokenBucket(clock), write: new TokenBucket(clock)};
 	}
 
-	tryTake(access: Access, faults: Faults, count: number): boolean {
+	tryTake(access: AccessKind, faults: InjectedFaults, count: number): boolean {
 		const rate = access === 'read' ? faults.readsPerSecond : faults.writesPerSecond;
 		return this._buckets[access].tryTake(rate, count);
 	}
 }
 
 /** Decides what happens to each operation; several sets of faults add up. */
-export class FaultGate {
+export class FaultInjector {
 	readonly limits: PlatformLimits;
 	private readonly _clock: Clock;
 	private readonly _random: Random;
-	private readonly _faults: readonly Faults[];
+	private readonly _faults: readonly InjectedFaults[];
 
 	/**
 	 * The first set of faults holds the rates; the further ones, such as those of one
 	 * client's network, add outages, latency and lost answers.
 	 */
-	constructor(clock: Clock, random: Random, faults: readonly [Faults, ...Faults[]], limits = new PlatformLimits(clock)) {
+	constructor(clock: Clock, random: Random, faults: readonly [InjectedFaults, ...InjectedFaults[]], limits = new PlatformLimits(clock)) {
 		this._clock = clock;
 		this._random = random;
 		this._faults = faults;
@@ -58,7 +58,7 @@
 	}
 
 	/** Counts an operation of `count` items and says whether it may begin. */
-	admit(access: Access, count = 1): Admission {
+	admit(access: AccessKind, count = 1): Admission {
 		const {counts} = this.limits;
 		const outage = this._faults.map(faults => faults.outage).find(kind => kind !== 'none');
 		if (outage) {
@@ -98,7 +98,7 @@
 	 * the client waits takes effect after the client has given up.
 	 */
 	async run<T>(
-		access: Access,
+		access: AccessKind,
 		effect: () => Either<PlatformFault, T>,
 		count = 1,
 	): Promise<Either<PlatformFault, T>> {
@@ -142,7 +142,7 @@
 		return unavailable('outage');
 	}
 
-	private _losesAnswer(faults: Faults): boolean {
+	private _losesAnswer(faults: InjectedFaults): boolean {
 		if (faults.lostAnswers > 0) {
 			faults.lostAnswers--;
 			return true;
--- a/standins/platform/loopback-platform.ts
+++ b/standins/platform/loopback-platform.ts
@@ -6,7 +6,7 @@
 import {SystemClock} from '../../src/node/system-clock.js';
 import {platformSettingsSchema as adapterSettingsSchema, type PlatformSettings} from '../../src/node/platform/settings.js';
 import {PlatformServer} from './server.js';
-import {makeFaults, platformSettingsSchema} from './settings.js';
+import {makeInjectedFaults, platformSettingsSchema} from './settings.js';
 
 /** A platform that a test reaches over the network. */
 export class LoopbackPlatform implements Disposable {
@@ -25,8 +25,8 @@
 	}
 
 	/** Makes the platform healthy again. */
-	heal(): void {
-		Object.assign(this.server.faults, makeFaults());
+	clearFaults(): void {
+		Object.assign(this.server.faults, makeInjectedFaults());
 	}
 
 	dispose(): void {
