--- a/standins/platform/memory-host-list.ts
+++ b/standins/platform/memory-host-list.ts
@@ -6,28 +6,28 @@
 	Clock, Host, HostList, PlatformFault,
 } from '../../src/common/services/services.js';
 import {registrationExpiryMs} from './constants.js';
-import type {FaultGate} from './fault-gate.js';
+import type {FaultInjector} from './fault-injector.js';
 import {LaggedValues} from './lagged-values.js';
-import type {Faults} from './settings.js';
+import type {InjectedFaults} from './settings.js';
 
 const longestLagMs = 10 * 60_000;
 
 /** Registrations that the clients of one host list share. */
-export type Registrations = LaggedValues<Host>;
+export type HostRegistrations = LaggedValues<Host>;
 
 /** Creates an empty host list. */
-export function createRegistrations(): Registrations {
+export function createHostRegistrations(): HostRegistrations {
 	return new LaggedValues(longestLagMs);
 }
 
 /** One client's view of a host list. */
 export class MemoryHostList implements HostList {
 	private readonly _clock: Clock;
-	private readonly _gate: FaultGate;
-	private readonly _faults: Faults;
-	private readonly _registrations: Registrations;
+	private readonly _gate: FaultInjector;
+	private readonly _faults: InjectedFaults;
+	private readonly _registrations: HostRegistrations;
 
-	constructor(clock: Clock, gate: FaultGate, faults: Faults, registrations = createRegistrations()) {
+	constructor(clock: Clock, gate: FaultInjector, faults: InjectedFaults, registrations = createHostRegistrations()) {
 		this._clock = clock;
 		this._gate = gate;
 		this._faults = faults;
--- a/standins/platform/memory-objects.ts
+++ b/standins/platform/memory-objects.ts
@@ -3,7 +3,7 @@
  */
 import {Right, type Either} from 'purify-ts';
 import type {Objects, PlatformFault} from '../../src/common/services/services.js';
-import type {FaultGate} from './fault-gate.js';
+import type {FaultInjector} from './fault-injector.js';
 
 export type StoredObject = {readonly body: string; readonly etag: string};
 
@@ -19,10 +19,10 @@
 
 /** One client's view of an object store; clients of one store share its map. */
 export class MemoryObjects implements Objects {
-	private readonly _gate: FaultGate;
+	private readonly _gate: FaultInjector;
 	private readonly _objects: Map<string, StoredObject>;
 
-	constructor(gate: FaultGate, objects = new Map<string, StoredObject>()) {
+	constructor(gate: FaultInjector, objects = new Map<string, StoredObject>()) {
 		this._gate = gate;
 		this._objects = objects;
 	}
--- a/standins/platform/memory-platform.test.ts
+++ b/standins/platform/memory-platform.test.ts
@@ -6,9 +6,9 @@
 import {VirtualClock} from '../../src/common/testing/virtual-clock.js';
 import {clientTimeoutMs, registrationExpiryMs} from './constants.js';
 import {MemoryPlatform} from './memory-platform.js';
-import type {Faults} from './settings.js';
+import type {InjectedFaults} from './settings.js';
 
-function setUp(faults: Partial<Faults> = {}) {
+function setUp(faults: Partial<InjectedFaults> = {}) {
 	const clock = new VirtualClock();
 	return {clock, platform: new MemoryPlatform(clock, new SeededRandom(1), faults)};
 }
--- a/standins/platform/memory-platform.ts
+++ b/standins/platform/memory-platform.ts
@@ -4,12 +4,12 @@
 import type {
 	Clock, Host, Random, TableItem,
 } from '../../src/common/services/services.js';
-import {FaultGate, PlatformLimits} from './fault-gate.js';
-import {createRegistrations, MemoryHostList} from './memory-host-list.js';
+import {FaultInjector, PlatformLimits} from './fault-injector.js';
+import {createHostRegistrations, MemoryHostList} from './memory-host-list.js';
 import {MemoryObjects, type StoredObject} from './memory-objects.js';
 import {MemoryTable} from './memory-table.js';
 import {OrderedRows} from './ordered-rows.js';
-import {makeFaults, type Faults} from './settings.js';
+import {makeInjectedFaults, type InjectedFaults} from './settings.js';
 import type {LaggedValues} from './lagged-values.js';
 
 /** What one node reaches of the platform, with faults of its own network. */
@@ -18,30 +18,30 @@
 	readonly objects: MemoryObjects;
 	readonly hostList: MemoryHostList;
 	/** Faults of this client alone, such as a cut-off availability zone. */
-	readonly faults: Faults;
+	readonly faults: InjectedFaults;
 };
 
 /** One platform: its state, its rates and the faults that all clients see. */
 export class MemoryPlatform {
-	readonly faults: Faults;
+	readonly faults: InjectedFaults;
 	readonly limits: PlatformLimits;
 	private readonly _clock: Clock;
 	private readonly _random: Random;
 	private readonly _rows = new OrderedRows<TableItem>();
 	private readonly _objects = new Map<string, StoredObject>();
-	private readonly _registrations: LaggedValues<Host> = createRegistrations();
+	private readonly _registrations: LaggedValues<Host> = createHostRegistrations();
 
-	constructor(clock: Clock, random: Random, faults: Partial<Faults> = {}) {
+	constructor(clock: Clock, random: Random, faults: Partial<InjectedFaults> = {}) {
 		this._clock = clock;
 		this._random = random;
-		this.faults = makeFaults(faults);
+		this.faults = makeInjectedFaults(faults);
 		this.limits = new PlatformLimits(clock);
 	}
 
 	/** Connects one more client. */
 	connect(): PlatformClient {
-		const faults = makeFaults();
-		const gate = new FaultGate(this._clock, this._random, [this.faults, faults], this.limits);
+		const faults = makeInjectedFaults();
+		const gate = new FaultInjector(this._clock, this._random, [this.faults, faults], this.limits);
 		return {
 			table: new MemoryTable(this._clock, gate, this._rows),
 			objects: new MemoryObjects(gate, this._objects),
--- a/standins/platform/memory-table.ts
+++ b/standins/platform/memory-table.ts
@@ -5,7 +5,7 @@
 import type {
 	Clock, PlatformFault, Table, TableItem,
 } from '../../src/common/services/services.js';
-import type {FaultGate} from './fault-gate.js';
+import type {FaultInjector} from './fault-injector.js';
 import {OrderedRows} from './ordered-rows.js';
 
 type Write = {readonly item: Omit<TableItem, 'revision'>; readonly expectedRevision: number};
@@ -13,10 +13,10 @@
 /** One client's view of a table; clients of one table share its rows. */
 export class MemoryTable implements Table {
 	private readonly _clock: Clock;
-	private readonly _gate: FaultGate;
+	private readonly _gate: FaultInjector;
 	private readonly _rows: OrderedRows<TableItem>;
 
-	constructor(clock: Clock, gate: FaultGate, rows = new OrderedRows<TableItem>()) {
+	constructor(clock: Clock, gate: FaultInjector, rows = new OrderedRows<TableItem>()) {
 		this._clock = clock;
 		this._gate = gate;
 		this._rows = rows;
--- a/standins/platform/server.test.ts
+++ b/standins/platform/server.test.ts
@@ -5,7 +5,7 @@
 import {expect} from 'earl';
 import {z} from 'zod';
 import {LoopbackPlatform} from './loopback-platform.js';
-import {makeFaults} from './settings.js';
+import {makeInjectedFaults} from './settings.js';
 
 const platform = new LoopbackPlatform();
 let url = '';
@@ -16,7 +16,7 @@
 });
 
 beforeEach(() => {
-	platform.heal();
+	platform.clearFaults();
 });
 
 after(() => {
@@ -111,6 +111,6 @@
 		expect(await errorOf('GetItem', {TableName: table, Key: key('a')})).toEqual('503 ServiceUnavailableException');
 		const response = await fetch(`${url}/status`);
 		const {faults} = bodySchema.parse(await response.json());
-		expect(faults).toEqual(makeFaults({outage: 'refused', latencyMs: 2}));
+		expect(faults).toEqual(makeInjectedFaults({outage: 'refused', latencyMs: 2}));
 	});
 });
--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -12,8 +12,8 @@
 import {defaultTable, maximumBodyBytes} from './constants.js';
 import {DynamoError} from './dynamo-error.js';
 import {DynamoService} from './dynamo-service.js';
-import {FaultGate, type Access, type Admission} from './fault-gate.js';
-import {faultChangeSchema, type Faults, type PlatformSettings} from './settings.js';
+import {FaultInjector, type AccessKind, type Admission} from './fault-injector.js';
+import {faultChangeSchema, type InjectedFaults, type PlatformSettings} from './settings.js';
 
 /** What the server answers with. */
 type Answer = {
@@ -24,7 +24,7 @@
 
 /** One operation behind the gate, in the words of one of the two protocols. */
 type GatedOperation = {
-	readonly access: Access;
+	readonly access: AccessKind;
 	readonly count: number;
 	readonly run: () => Answer;
 	readonly refusals: Readonly<Record<'throttled' | 'refused', Answer>>;
@@ -37,9 +37,9 @@
 
 /** Serves one platform on one port. */
 export class PlatformServer implements Disposable {
-	readonly faults: Faults;
+	readonly faults: InjectedFaults;
 	private readonly _settings: PlatformSettings;
-	private readonly _gate: FaultGate;
+	private readonly _gate: FaultInjector;
 	private readonly _dynamo: DynamoService;
 	private readonly _objects = new Map<string, StoredObject>();
 	private readonly _server: Server;
@@ -70,7 +70,7 @@
 	constructor(settings: PlatformSettings, clock: Clock, random: Random) {
 		this._settings = settings;
 		this.faults = {...settings.faults};
-		this._gate = new FaultGate(clock, random, [this.faults]);
+		this._gate = new FaultInjector(clock, random, [this.faults]);
 		this._dynamo = new DynamoService(clock, this.faults, settings.hostsPartition);
 		this._dynamo.createTable(defaultTable.name, defaultTable.partitionKey, defaultTable.sortKey);
 		this._server = createServer((request, response) => {
--- a/standins/platform/settings.ts
+++ b/standins/platform/settings.ts
@@ -25,7 +25,7 @@
 });
 
 /** The faults in force; mutable, so that a test changes them while it runs. */
-export type Faults = z.infer<typeof faultsSchema>;
+export type InjectedFaults = z.infer<typeof faultsSchema>;
 
 /** A change of some faults; what is not named stays. No defaults, unlike the schema above. */
 export const faultChangeSchema = z.strictObject({
@@ -54,6 +54,6 @@
 export type PlatformSettings = z.infer<typeof platformSettingsSchema>;
 
 /** The faults of a healthy platform, with some of them changed. */
-export function makeFaults(changes: Partial<Faults> = {}): Faults {
+export function makeInjectedFaults(changes: Partial<InjectedFaults> = {}): InjectedFaults {
 	return faultsSchema.parse(changes);
 }
