--- a/src/common/groups/candidates.ts
+++ b/src/common/groups/candidates.ts
@@ -23,22 +23,22 @@
 /** Orders candidates: the most advanced log first; among equals the wishes, and then the name. */
 export function rankCandidates(
 	candidates: readonly Candidate[],
-	wishes: CandidatePreferences,
+	preferences: CandidatePreferences,
 	{configuration}: Pick<CandidateServices, 'configuration'>,
 ): Candidate[] {
 	const preference = ({endpoint}: Candidate): readonly number[] => {
 		const policy = configuration.endpointPolicy(endpoint.name);
 		return [
-			Number(endpoint.name === wishes.wanted),
+			Number(endpoint.name === preferences.wanted),
 			Number(!policy.isDraining),
 			policy.primaryPreference,
-			Number(endpoint.availabilityZone === wishes.availabilityZone),
+			Number(endpoint.availabilityZone === preferences.availabilityZone),
 		];
 	};
 
 	return candidates.toSorted((a, b) =>
 		comparePositions(b.state.received, a.state.received)
-		|| compareLists(preference(b), preference(a))
+		|| compareLexicographically(preference(b), preference(a))
 		|| a.endpoint.name.localeCompare(b.endpoint.name, 'en'));
 }
 
@@ -51,7 +51,7 @@
 	return rank === -1 ? ranked.length : rank;
 }
 
-function compareLists(a: readonly number[], b: readonly number[]): number {
+function compareLexicographically(a: readonly number[], b: readonly number[]): number {
 	for (const [index, value] of a.entries()) {
 		if (value !== b[index]) {
 			return value - b[index];
--- a/src/common/groups/confirmations.ts
+++ b/src/common/groups/confirmations.ts
@@ -14,10 +14,10 @@
 };
 
 /** Waiters of one term, ordered by offset. Those before `head` are done; `live` are not. */
-type TermQueue = {waiters: Waiter[]; head: number; live: number};
+type TermQueue = {waiters: Waiter[]; head: number; pendingCount: number};
 
 /** Done entries that are kept before a queue is cut. */
-const keptEntries = 256;
+const compactionThreshold = 256;
 
 /** Waiters ordered by position, so that one report settles many without a search. */
 export class Confirmations implements Disposable {
@@ -42,7 +42,7 @@
 				timer: undefined,
 			};
 			waiter.timer = this._clock.setTimer(timeoutMs, () => {
-				this._giveUp(position.term, waiter);
+				this._expire(position.term, waiter);
 			});
 			this._insert(position.term, waiter);
 		});
@@ -60,7 +60,7 @@
 			queue.head++;
 		}
 
-		this._tidy(term, queue);
+		this._compact(term, queue);
 	}
 
 	/** A majority promised this term: lower ones can no longer be confirmed. */
@@ -81,7 +81,7 @@
 	private _insert(term: number, waiter: Waiter): void {
 		let queue = this._queues.get(term);
 		if (!queue) {
-			queue = {waiters: [], head: 0, live: 0};
+			queue = {waiters: [], head: 0, pendingCount: 0};
 			this._queues.set(term, queue);
 		}
 
@@ -92,13 +92,13 @@
 		}
 
 		queue.waiters.splice(place, 0, waiter);
-		queue.live++;
+		queue.pendingCount++;
 	}
 
-	private _giveUp(term: number, waiter: Waiter): void {
+	private _expire(term: number, waiter: Waiter): void {
 		const queue = this._queues.get(term)!;
 		this._settle(queue, waiter, Left(new Refusal('outcomeUnknown', 'no majority confirmed the write in time')));
-		this._tidy(term, queue);
+		this._compact(term, queue);
 	}
 
 	private _refuseAll(term: number, detail: string): void {
@@ -110,14 +110,14 @@
 	}
 
 	/** Drops done entries once they are many, so that the cost per waiter stays constant. */
-	private _tidy(term: number, queue: TermQueue): void {
-		if (queue.live === 0) {
+	private _compact(term: number, queue: TermQueue): void {
+		if (queue.pendingCount === 0) {
 			this._queues.delete(term);
 			return;
 		}
 
-		const done = queue.waiters.length - queue.live;
-		if (done > Math.max(keptEntries, queue.live)) {
+		const done = queue.waiters.length - queue.pendingCount;
+		if (done > Math.max(compactionThreshold, queue.pendingCount)) {
 			queue.waiters = queue.waiters.filter(waiter => waiter.settle);
 			queue.head = 0;
 		}
@@ -125,7 +125,7 @@
 
 	private _settle(queue: TermQueue, waiter: Waiter, outcome: Either<Refusal, void>): void {
 		if (waiter.settle) {
-			queue.live--;
+			queue.pendingCount--;
 			waiter.timer?.dispose();
 			waiter.settle(outcome);
 			waiter.settle = undefined;
--- a/src/common/groups/failure-detector.ts
+++ b/src/common/groups/failure-detector.ts
@@ -18,7 +18,7 @@
 	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
-	private readonly _pause: PauseDetector;
+	private readonly _pauseDetector: PauseDetector;
 	private readonly _quorum: SafetyRules['promotionQuorum'];
 	private readonly _opinions: PeerOpinions;
 	private readonly _rules: LossRules;
@@ -32,7 +32,7 @@
 		this._group = group;
 		this._services = services;
 		this._options = options;
-		this._pause = pause;
+		this._pauseDetector = pause;
 		this._quorum = rules.promotionQuorum;
 		this._opinions = new PeerOpinions(group, services, options);
 		this._rules = new LossRules(group, this._opinions, services, options);
@@ -42,7 +42,7 @@
 				this._sleep.wake();
 			}),
 			pause.onPause(pausedMs => {
-				this._forget(pausedMs);
+				this._resetAfterPause(pausedMs);
 			}),
 		];
 	}
@@ -51,7 +51,7 @@
 	async nextLoss(): Promise<PrimaryLoss | undefined> {
 		while (!this._isDisposed) {
 			await this._sleep.wait(this._intervalMs());
-			const finding = this._look();
+			const finding = this._evaluate();
 			if (finding && await this._isOurTurn(finding)) {
 				return {
 					reason: finding.reason, sinceMs: finding.sinceMs, term: this._group.term, suspect: this._suspectOf(finding),
@@ -70,9 +70,9 @@
 		}
 	}
 
-	private _look(): LossFinding | undefined {
-		this._pause.check();
-		this._noteSuspicion();
+	private _evaluate(): LossFinding | undefined {
+		this._pauseDetector.check();
+		this._updateSuspicion();
 		if (this._isSuspecting || this._group.term === 0) {
 			this._opinions.ask(this._group.primaryWatch?.endpoint);
 		}
@@ -86,22 +86,22 @@
 	 */
 	private async _isOurTurn(finding: LossFinding): Promise<boolean> {
 		const {highestTerm} = this._group;
-		const candidates = await this._askOthers(finding);
-		this._noteMajority(candidates.length);
+		const candidates = await this._readCandidates(finding);
+		this._updateMajority(candidates.length);
 		if (this._isMajorityMissing) {
-			await this._sleepUntil(this._options.majorityRetryMs);
+			await this._sleepFor(this._options.majorityRetryMs);
 			return false;
 		}
 
 		const availabilityZone = this._group.primaryWatch?.endpoint.availabilityZone;
 		const ranked = rankCandidates(candidates, {wanted: undefined, availabilityZone}, this._services);
 		const rank = promotionRankOfSelf(ranked, this._services);
-		await this._sleepUntil((rank * this._options.staggerMs) + (this._services.random.next() * this._options.staggerJitterMs));
-		return !this._isDisposed && this._group.highestTerm === highestTerm && this._look()?.reason === finding.reason;
+		await this._sleepFor((rank * this._options.staggerMs) + (this._services.random.next() * this._options.staggerJitterMs));
+		return !this._isDisposed && this._group.highestTerm === highestTerm && this._evaluate()?.reason === finding.reason;
 	}
 
 	/** States of the instances that answer now, the suspect left out. */
-	private async _askOthers(finding: LossFinding): Promise<readonly Candidate[]> {
+	private async _readCandidates(finding: LossFinding): Promise<readonly Candidate[]> {
 		const suspect = this._suspectOf(finding);
 		const others = this._group.watches.filter(({name}) => name !== suspect);
 		const answers = await Promise.all(others.map(async watch => {
@@ -112,7 +112,7 @@
 	}
 
 	/** Sleeps through being woken: the time itself is what matters. */
-	private async _sleepUntil(delayMs: number): Promise<void> {
+	private async _sleepFor(delayMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + delayMs;
 		while (clock.nowMs() < endMs && !this._isDisposed) {
@@ -124,7 +124,7 @@
 		return isPrimarySuspected ? this._group.primary : undefined;
 	}
 
-	private _noteSuspicion(): void {
+	private _updateSuspicion(): void {
 		const watch = this._group.primaryWatch;
 		const silenceMs = watch ? this._services.clock.nowMs() - watch.lastHeardMs : 0;
 		const isSuspecting = silenceMs >= this._options.suspectAfterMs;
@@ -142,7 +142,7 @@
 		}
 	}
 
-	private _noteMajority(answered: number): void {
+	private _updateMajority(answered: number): void {
 		const isMissing = answered < this._quorum(this._group.size);
 		if (isMissing && !this._isMajorityMissing) {
 			this._services.metrics.count('majorityMissesTotal');
@@ -153,7 +153,7 @@
 	}
 
 	/** After a pause of this process, everybody's silence counts anew. */
-	private _forget(pausedMs: number): void {
+	private _resetAfterPause(pausedMs: number): void {
 		this._group.resetSilence();
 		this._rules.reset();
 		this._services.log.event('monitorPaused', {group: this._group.name, pausedMs});
--- a/src/common/groups/follower-redirector.ts
+++ b/src/common/groups/follower-redirector.ts
@@ -8,7 +8,7 @@
 import type {GroupOptions, GroupServices} from './types.js';
 
 /** When an instance was first seen off course, and when it was last told. */
-type Deviation = {sinceMs: number; toldMs: number | undefined; isTelling: boolean};
+type PendingRedirect = {sinceMs: number; lastOrderedMs: number | undefined; isOrderInFlight: boolean};
 
 /**
  * Orders instances to follow. Any monitor may: the order names the term, and an instance
@@ -19,7 +19,7 @@
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
-	private readonly _deviations = new Map<InstanceWatch, Deviation>();
+	private readonly _pendingRedirects = new Map<InstanceWatch, PendingRedirect>();
 	private _timer: Disposable | undefined;
 
 	constructor(group: GroupState, services: GroupServices, options: GroupOptions) {
@@ -37,8 +37,8 @@
 	/** Tells every instance that is connected, at once: this node has just promoted. */
 	redirectAll(): void {
 		for (const watch of this._group.watches) {
-			if (watch.control && this._isOffCourse(watch)) {
-				void this._tell(watch, this._deviationOf(watch));
+			if (watch.control && this._needsRedirect(watch)) {
+				void this._redirect(watch, this._pendingRedirectOf(watch));
 			}
 		}
 	}
@@ -56,19 +56,19 @@
 
 	/** Tells an instance that has been off course for a while; others may have told it by then. */
 	private _examine(watch: InstanceWatch): void {
-		if (!watch.control || !this._isOffCourse(watch)) {
-			this._deviations.delete(watch);
+		if (!watch.control || !this._needsRedirect(watch)) {
+			this._pendingRedirects.delete(watch);
 			return;
 		}
 
-		const deviation = this._deviationOf(watch);
-		const dueMs = deviation.toldMs === undefined
+		const deviation = this._pendingRedirectOf(watch);
+		const dueMs = deviation.lastOrderedMs === undefined
 			? deviation.sinceMs + this._options.redirectAfterMs
-			: deviation.toldMs + this._options.redirectAgainMs;
+			: deviation.lastOrderedMs + this._options.redirectAgainMs;
 		if (this._services.clock.nowMs() < dueMs) {
 			this._examineLater();
-		} else if (!deviation.isTelling && this._group.isPrimaryLeading()) {
-			void this._tell(watch, deviation);
+		} else if (!deviation.isOrderInFlight && this._group.isPrimaryLeading()) {
+			void this._redirect(watch, deviation);
 		}
 	}
 
@@ -84,17 +84,17 @@
 		});
 	}
 
-	private async _tell(watch: InstanceWatch, deviation: Deviation): Promise<void> {
+	private async _redirect(watch: InstanceWatch, deviation: PendingRedirect): Promise<void> {
 		const {term} = this._group;
 		const primary = this._group.primaryWatch;
 		if (!primary || primary === watch) {
 			return;
 		}
 
-		deviation.isTelling = true;
+		deviation.isOrderInFlight = true;
 		const answer = await watch.order(async control => control.follow(term, primary.endpoint));
-		deviation.isTelling = false;
-		deviation.toldMs = this._services.clock.nowMs();
+		deviation.isOrderInFlight = false;
+		deviation.lastOrderedMs = this._services.clock.nowMs();
 		this._services.log.event('instanceRedirected', {
 			group: this._group.name, endpoint: watch.name, term, primary: primary.name, isAccepted: answer?.isAccepted ?? false,
 		});
@@ -104,17 +104,17 @@
 		}
 	}
 
-	private _deviationOf(watch: InstanceWatch): Deviation {
-		let deviation = this._deviations.get(watch);
+	private _pendingRedirectOf(watch: InstanceWatch): PendingRedirect {
+		let deviation = this._pendingRedirects.get(watch);
 		if (!deviation) {
-			deviation = {sinceMs: this._services.clock.nowMs(), toldMs: undefined, isTelling: false};
-			this._deviations.set(watch, deviation);
+			deviation = {sinceMs: this._services.clock.nowMs(), lastOrderedMs: undefined, isOrderInFlight: false};
+			this._pendingRedirects.set(watch, deviation);
 		}
 
 		return deviation;
 	}
 
-	private _isOffCourse(watch: InstanceWatch): boolean {
+	private _needsRedirect(watch: InstanceWatch): boolean {
 		const {term} = this._group;
 		if (!watch.state || term === 0 || watch.name === this._group.primary) {
 			return false;
--- a/src/common/groups/group-state.ts
+++ b/src/common/groups/group-state.ts
@@ -197,7 +197,7 @@
 		const watch = new InstanceWatch(endpoint, this._services, this._options);
 		watch.checkAfterMs = this._checkAfterMs(watch.name);
 		watch.onReport(state => {
-			this._takeReport(watch, state);
+			this._handleReport(watch, state);
 		});
 		watch.onConnection(() => {
 			this._onConnection.fire(watch);
@@ -206,7 +206,7 @@
 		watch.start();
 	}
 
-	private _takeReport(watch: InstanceWatch, state: InstanceState): void {
+	private _handleReport(watch: InstanceWatch, state: InstanceState): void {
 		this.learnTerm(state.promisedTerm);
 		if (isLeading(state)) {
 			this.learnPrimary({group: this.name, term: state.promisedTerm, primary: watch.name});
--- a/src/common/groups/instance-watch.ts
+++ b/src/common/groups/instance-watch.ts
@@ -18,7 +18,7 @@
 type ClaimOrder = (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>;
 
 /** Reads that may wait for an answer of one instance; a frozen one gets no more. */
-const readsAtOneTime = 4;
+const maximumConcurrentReads = 4;
 
 /** Watches one instance. One task connects, serves the connection, and connects again. */
 export class InstanceWatch implements Disposable {
@@ -42,9 +42,9 @@
 	private _reportCount = 0;
 	private _readsInProgress = 0;
 	private _refusals = 0;
-	private _heardMs: number;
+	private _lastHeardMs: number;
 	private _connectedMs = 0;
-	private _closedMs: number;
+	private _lastClosedMs: number;
 
 	constructor(endpoint: EndpointAddress, services: WatchServices, options: GroupOptions) {
 		this.onReport = this._onReport.event;
@@ -54,8 +54,8 @@
 		this._services = services;
 		this._options = options;
 		this._sleep = this._scope.register(new WakeableSleep(services.clock));
-		this._heardMs = services.clock.nowMs();
-		this._closedMs = this._heardMs;
+		this._lastHeardMs = services.clock.nowMs();
+		this._lastClosedMs = this._lastHeardMs;
 	}
 
 	/** Name of the endpoint. */
@@ -80,17 +80,17 @@
 
 	/** When the instance was last heard, or silence was last excused. */
 	get lastHeardMs(): number {
-		return this._heardMs;
+		return this._lastHeardMs;
 	}
 
 	/** When the last connection was lost. */
 	get lastClosedMs(): number {
-		return this._closedMs;
+		return this._lastClosedMs;
 	}
 
 	/** Whether the instance reported its state not long ago. */
 	get isReachable(): boolean {
-		const silenceMs = this._services.clock.nowMs() - this._heardMs;
+		const silenceMs = this._services.clock.nowMs() - this._lastHeardMs;
 		return this._state !== undefined && silenceMs < this._options.unreachableAfterMs;
 	}
 
@@ -99,7 +99,7 @@
 		return {
 			endpoint: this.name,
 			isReachable: this.isReachable,
-			reportedAgoMs: this._services.clock.nowMs() - this._heardMs,
+			reportedAgoMs: this._services.clock.nowMs() - this._lastHeardMs,
 			...(this._lastState && {state: this._lastState}),
 		};
 	}
@@ -111,14 +111,14 @@
 
 	/** Counts silence from now on, after this node itself was paused. */
 	resetSilence(): void {
-		this._heardMs = this._services.clock.nowMs();
+		this._lastHeardMs = this._services.clock.nowMs();
 		this._refusals = 0;
 	}
 
 	/** Asks for the state; undefined when no answer came in time. */
 	async readState(timeoutMs: number): Promise<InstanceState | undefined> {
 		const control = this._control;
-		if (!control || this._readsInProgress >= readsAtOneTime) {
+		if (!control || this._readsInProgress >= maximumConcurrentReads) {
 			return undefined;
 		}
 
@@ -132,7 +132,7 @@
 		reading.then(countDown, countDown);
 		const answer = await withTimeout(this._services.clock, reading, timeoutMs);
 		const state = answer?.toMaybe().extract();
-		this._takeAnswer(control, reports, state);
+		this._handleAnswer(control, reports, state);
 		return state;
 	}
 
@@ -146,7 +146,7 @@
 		const reports = this._reportCount;
 		const answer = await withTimeout(this._services.clock, give(control), timeoutMs);
 		const claim = answer?.toMaybe().extract();
-		this._takeAnswer(control, reports, claim?.state);
+		this._handleAnswer(control, reports, claim?.state);
 		return claim;
 	}
 
@@ -201,7 +201,7 @@
 		if (failure === 'refused') {
 			this._refusals++;
 		} else if (failure === 'exhausted') {
-			this._heardMs = this._services.clock.nowMs();
+			this._lastHeardMs = this._services.clock.nowMs();
 		}
 
 		if (failure) {
@@ -224,7 +224,7 @@
 			this._sleep.wake();
 		}));
 		connection.register(control.onState(state => {
-			this._takeReport(state);
+			this._handleReport(state);
 		}));
 		this._control = control;
 		this._connectedMs = this._services.clock.nowMs();
@@ -237,7 +237,7 @@
 		connection.dispose();
 		control.dispose();
 		this._state = undefined;
-		this._closedMs = this._services.clock.nowMs();
+		this._lastClosedMs = this._services.clock.nowMs();
 		if (!this._scope.isDisposed) {
 			this._services.log.event('instanceLost', {endpoint: this.name});
 		}
@@ -247,7 +247,7 @@
 
 	/** Asks a silent instance for its state; gives the time until the next look. */
 	private _checkSilence(): number {
-		const silenceMs = this._services.clock.nowMs() - Math.max(this._heardMs, this._connectedMs);
+		const silenceMs = this._services.clock.nowMs() - Math.max(this._lastHeardMs, this._connectedMs);
 		if (silenceMs >= this._options.replaceSilentAfterMs) {
 			this._closeControl();
 			return 0;
@@ -268,26 +268,26 @@
 	}
 
 	/** Takes in an answer, unless a report that came meanwhile may be newer. */
-	private _takeAnswer(control: InstanceControl, reportsBefore: number, state: InstanceState | undefined): void {
+	private _handleAnswer(control: InstanceControl, reportsBefore: number, state: InstanceState | undefined): void {
 		if (!state || this._control !== control) {
 			return;
 		}
 
 		if (this._reportCount === reportsBefore) {
-			this._takeReport(state);
+			this._handleReport(state);
 		} else {
-			this._heardMs = this._services.clock.nowMs();
+			this._lastHeardMs = this._services.clock.nowMs();
 		}
 	}
 
-	private _takeReport(state: InstanceState): void {
+	private _handleReport(state: InstanceState): void {
 		if (!this._state) {
 			this._services.log.event('instanceConnected', {endpoint: this.name, role: state.role, term: state.promisedTerm});
 		}
 
 		this._reportCount++;
 		this._refusals = 0;
-		this._heardMs = this._services.clock.nowMs();
+		this._lastHeardMs = this._services.clock.nowMs();
 		this._state = state;
 		this._lastState = state;
 		this._onReport.fire(state);
--- a/src/common/groups/loss-rules.ts
+++ b/src/common/groups/loss-rules.ts
@@ -89,10 +89,10 @@
 			return undefined;
 		}
 
-		const sinceMs = this._heardMs();
+		const sinceMs = this._primaryLastHeardMs();
 		const silenceMs = this._services.clock.nowMs() - sinceMs;
 		const zoneSilenceMs = Math.min(silenceMs, this._services.clock.nowMs() - this._opinions.zoneLastHeardMs);
-		const isCut = zoneSilenceMs >= this._options.cutAfterMs && this._streaming().length === 0;
+		const isCut = zoneSilenceMs >= this._options.cutAfterMs && this._streamingReplicas().length === 0;
 		if (isCut) {
 			return {reason: 'cut', sinceMs, isPrimarySuspected: true};
 		}
@@ -103,33 +103,33 @@
 	/** The primary is heard, so it is not paused, but too few replicas get its stream for a write to be confirmed. */
 	private _isolation(): LossFinding | undefined {
 		const isHeard = this._group.primaryWatch !== undefined
-			&& this._services.clock.nowMs() - this._heardMs() < this._options.opinionFreshMs;
+			&& this._services.clock.nowMs() - this._primaryLastHeardMs() < this._options.opinionFreshMs;
 		const replicas = this._replicas().filter(({state}) => state?.role === 'replica' && state.promisedTerm === this._group.term);
-		const isIsolated = replicas.length >= this._group.majority && this._streaming().length + 1 < this._group.majority;
-		return this._lasting('isolated', isHeard && isIsolated, this._options.isolatedAfterMs);
+		const isIsolated = replicas.length >= this._group.majority && this._streamingReplicas().length + 1 < this._group.majority;
+		return this._ifSustained('isolated', isHeard && isIsolated, this._options.isolatedAfterMs);
 	}
 
 	/** A term was promised that nobody leads, or no primary was ever seen. */
 	private _vacancy(): LossFinding | undefined {
 		if (this._group.term === 0) {
 			const isLate = this._services.clock.nowMs() - this._startedMs >= this._options.frozenAfterMs;
-			return this._lasting('vacant', isLate, 0);
+			return this._ifSustained('vacant', isLate, 0);
 		}
 
 		const isDeposed = this._group.primaryWatch?.state !== undefined && !this._group.isPrimaryLeading();
 		const isVacant = isDeposed || this._group.majorityTerm > this._group.term || !this._group.primaryWatch;
-		return this._lasting('vacant', isVacant, this._options.vacantAfterMs);
+		return this._ifSustained('vacant', isVacant, this._options.vacantAfterMs);
 	}
 
 	/** An instance promised a higher term than the primary's to a promoter that did not finish. */
 	private _stranding(): LossFinding | undefined {
 		const isStranded = this._group.isPrimaryLeading() && this._group.reachable.some(({state}) =>
 			state !== undefined && state.role !== 'rebuilding' && state.promisedTerm > this._group.term);
-		return this._lasting('stranded', isStranded, this._options.strandedAfterMs);
+		return this._ifSustained('stranded', isStranded, this._options.strandedAfterMs);
 	}
 
 	/** A finding once a condition has held for a time. */
-	private _lasting(reason: PromotionReason, isTrue: boolean, durationMs: number): LossFinding | undefined {
+	private _ifSustained(reason: PromotionReason, isTrue: boolean, durationMs: number): LossFinding | undefined {
 		if (!isTrue) {
 			this._sinceMs.delete(reason);
 			return undefined;
@@ -142,7 +142,7 @@
 	}
 
 	/** When the primary was last heard, by this node or by a peer. */
-	private _heardMs(): number {
+	private _primaryLastHeardMs(): number {
 		return Math.max(this._group.primaryWatch?.lastHeardMs ?? 0, this._opinions.primaryLastHeardMs);
 	}
 
@@ -151,7 +151,7 @@
 	}
 
 	/** Replicas that get the primary's stream. */
-	private _streaming(): readonly InstanceWatch[] {
+	private _streamingReplicas(): readonly InstanceWatch[] {
 		return this._replicas().filter(({state}) => state?.isStreaming && state.promisedTerm === this._group.term);
 	}
 }
--- a/src/common/groups/monitored-group.ts
+++ b/src/common/groups/monitored-group.ts
@@ -33,16 +33,16 @@
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
 	private readonly _onChange = this._scope.register(new Emitter<GroupView>());
-	private readonly _known: GroupState;
+	private readonly _state: GroupState;
 	private readonly _confirmations: Confirmations;
-	private readonly _proofs: FreshnessProver;
+	private readonly _prover: FreshnessProver;
 	private readonly _samples: FreshnessSamples;
 	private readonly _detector: FailureDetector;
 	private readonly _promoter: Promoter;
-	private readonly _ordered: OrderedPrimaryChanges;
-	private _sampler: Disposable | undefined;
+	private readonly _orderedChanges: OrderedPrimaryChanges;
+	private _sampleTimer: Disposable | undefined;
 	private _freshnessAskedMs = Number.NEGATIVE_INFINITY;
-	private _usedMs: number;
+	private _lastUsedMs: number;
 	private _recordedTerm = 0;
 
 	constructor(group: string, context: MonitorContext) {
@@ -51,38 +51,38 @@
 		this.group = group;
 		this._services = services;
 		this._options = options;
-		this._usedMs = services.clock.nowMs();
-		this._known = this._scope.register(new GroupState(group, context));
+		this._lastUsedMs = services.clock.nowMs();
+		this._state = this._scope.register(new GroupState(group, context));
 		this._confirmations = this._scope.register(new Confirmations(services.clock));
-		this._proofs = this._scope.register(new FreshnessProver(this._known, context));
+		this._prover = this._scope.register(new FreshnessProver(this._state, context));
 		this._samples = new FreshnessSamples(options.samplesKept);
-		const followers = this._scope.register(new FollowerRedirector(this._known, services, options));
-		this._promoter = new Promoter(this._known, followers, context);
-		this._detector = this._scope.register(new FailureDetector(this._known, context));
-		this._ordered = this._scope.register(new OrderedPrimaryChanges(this._known, this._promoter, services, options));
+		const followers = this._scope.register(new FollowerRedirector(this._state, services, options));
+		this._promoter = new Promoter(this._state, followers, context);
+		this._detector = this._scope.register(new FailureDetector(this._state, context));
+		this._orderedChanges = this._scope.register(new OrderedPrimaryChanges(this._state, this._promoter, services, options));
 		this._listen();
 		this.configure(services.configuration.group(group));
-		void this._guard();
-		void this._ordered.run();
+		void this._replaceLostPrimaries();
+		void this._orderedChanges.run();
 	}
 
 	/** When somebody last asked something of the monitor. */
 	get lastUsedMs(): number {
-		return this._usedMs;
+		return this._lastUsedMs;
 	}
 
 	/** Follows a change of the group's definition. */
 	configure(definition: GroupDefinition | undefined): void {
-		this._known.configure(definition);
-		this._ordered.wake();
+		this._state.configure(definition);
+		this._orderedChanges.wake();
 	}
 
 	view(): GroupView {
-		return this._known.view();
+		return this._state.view();
 	}
 
 	async confirm(position: LogPosition, timeoutMs: number): Promise<Either<Refusal, void>> {
-		this._use();
+		this._recordUse();
 		if (this._scope.isDisposed) {
 			return Left(new Refusal('outcomeUnknown', 'the group is no longer followed'));
 		}
@@ -98,14 +98,14 @@
 	}
 
 	async prove(timeoutMs: number): Promise<Either<Refusal, LogPosition>> {
-		this._use();
+		this._recordUse();
 		this._keepSampling();
-		return this._proofs.prove(timeoutMs);
+		return this._prover.prove(timeoutMs);
 	}
 
 	ageMs(endpoint: string): number | undefined {
 		this._keepSampling();
-		const watch = this._known.watch(endpoint);
+		const watch = this._state.watch(endpoint);
 		const state = watch?.isReachable ? watch.state : undefined;
 		const startedAtMs = state && state.role !== 'rebuilding'
 			? this._samples.newestReachedStartMs(state.applied)
@@ -114,23 +114,23 @@
 	}
 
 	async orderPromotion(endpoint?: string): Promise<Either<Refusal, GroupView>> {
-		this._use();
-		return this._ordered.movePrimary('ordered', endpoint);
+		this._recordUse();
+		return this._orderedChanges.movePrimary('ordered', endpoint);
 	}
 
 	control(endpoint: string): InstanceControl | undefined {
-		this._use();
-		return this._known.watch(endpoint)?.control;
+		this._recordUse();
+		return this._state.watch(endpoint)?.control;
 	}
 
 	learnPrimary(announcement: PrimaryAnnouncement): void {
 		if (announcement.group === this.group) {
-			this._known.learnPrimary(announcement);
+			this._state.learnPrimary(announcement);
 		}
 	}
 
 	dispose(): void {
-		this._sampler?.dispose();
+		this._sampleTimer?.dispose();
 		this._scope.dispose();
 	}
 
@@ -146,27 +146,27 @@
 	}
 
 	private _listen(): void {
-		this._scope.register(this._proofs.onProof(sample => {
+		this._scope.register(this._prover.onProof(sample => {
 			this._samples.add(sample);
 		}));
-		this._scope.register(this._known.onReport(watch => {
+		this._scope.register(this._state.onReport(watch => {
 			this._settleConfirmations();
 			this._recordTerm(watch);
 			this._onChange.fire(this.view());
 		}));
-		this._scope.register(this._known.onConnection(() => {
+		this._scope.register(this._state.onConnection(() => {
 			this._onChange.fire(this.view());
 		}));
-		this._scope.register(this._known.onPrimary(({term}) => {
-			this._proofs.abortRound();
-			this._ordered.wake();
+		this._scope.register(this._state.onPrimary(({term}) => {
+			this._prover.abortRound();
+			this._orderedChanges.wake();
 			this._services.metrics.gauge('groupTerm', term, {group: this.group});
 			this._onChange.fire(this.view());
 		}));
 	}
 
 	/** The task that replaces lost primaries. */
-	private async _guard(): Promise<void> {
+	private async _replaceLostPrimaries(): Promise<void> {
 		const backoff = this._promoter.newBackoff();
 		const sleep = this._scope.register(new WakeableSleep(this._services.clock));
 		for (;;) {
@@ -175,7 +175,7 @@
 				return;
 			}
 
-			const wanted = loss.reason === 'stranded' ? this._known.primary : undefined;
+			const wanted = loss.reason === 'stranded' ? this._state.primary : undefined;
 			const outcome = await this._promoter.promote({...loss, wanted});
 			if (outcome.isRight()) {
 				backoff.reset();
@@ -187,37 +187,37 @@
 	}
 
 	private _settleConfirmations(): void {
-		const {majorityTerm} = this._known;
+		const {majorityTerm} = this._state;
 		this._confirmations.fence(majorityTerm);
 		for (const term of this._confirmations.terms) {
 			this._services.invariants.check('fencedAcknowledgement', term >= majorityTerm, () =>
 				`${this.group}: a majority promised term ${majorityTerm}, a write waits in ${term}`);
-			this._confirmations.advance(term, this._known.majorityOffset(term));
+			this._confirmations.advance(term, this._state.majorityOffset(term));
 		}
 	}
 
 	/** Takes proofs in the background while somebody asks for ages. */
 	private _keepSampling(): void {
 		this._freshnessAskedMs = this._services.clock.nowMs();
-		if (!this._sampler && !this._scope.isDisposed) {
+		if (!this._sampleTimer && !this._scope.isDisposed) {
 			this._sample();
 		}
 	}
 
 	private _sample(): void {
 		const {clock} = this._services;
-		this._sampler = undefined;
+		this._sampleTimer = undefined;
 		if (clock.nowMs() - this._freshnessAskedMs > this._options.sampleIdleMs) {
 			return;
 		}
 
-		void this._proofs.prove(this._options.proofRoundMs);
-		this._sampler = clock.setTimer(this._options.sampleEveryMs, () => {
+		void this._prover.prove(this._options.proofRoundMs);
+		this._sampleTimer = clock.setTimer(this._options.sampleEveryMs, () => {
 			this._sample();
 		});
 	}
 
-	private _use(): void {
-		this._usedMs = this._services.clock.nowMs();
+	private _recordUse(): void {
+		this._lastUsedMs = this._services.clock.nowMs();
 	}
 }
--- a/src/common/groups/monitored-groups.ts
+++ b/src/common/groups/monitored-groups.ts
@@ -14,14 +14,14 @@
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _scope = new DisposableStore();
-	private readonly _pause: PauseDetector;
+	private readonly _pauseDetector: PauseDetector;
 	private readonly _monitors = new Map<string, MonitoredGroup>();
-	private _sweeper: Disposable | undefined;
+	private _sweepTimer: Disposable | undefined;
 
 	constructor(services: GroupServices, options: Partial<GroupOptions> = {}) {
 		this._services = services;
 		this._options = {...groupDefaults, ...options};
-		this._pause = this._scope.register(new PauseDetector(services.clock, this._options.pauseBoundMs));
+		this._pauseDetector = this._scope.register(new PauseDetector(services.clock, this._options.pauseBoundMs));
 		this._scope.register(services.configuration.onChange(() => {
 			this._configure();
 		}));
@@ -32,7 +32,7 @@
 		let monitor = this._monitors.get(group);
 		if (!monitor) {
 			monitor = new MonitoredGroup(group, {
-				services: this._services, options: this._options, pause: this._pause, rules: safetyRules,
+				services: this._services, options: this._options, pause: this._pauseDetector, rules: safetyRules,
 			});
 			this._monitors.set(group, monitor);
 		}
@@ -46,7 +46,7 @@
 
 	dispose(): void {
 		this._scope.dispose();
-		this._sweeper?.dispose();
+		this._sweepTimer?.dispose();
 		for (const group of this._monitors.keys()) {
 			this._end(group);
 		}
@@ -76,7 +76,7 @@
 	}
 
 	private _sweepLater(): void {
-		this._sweeper = this._services.clock.setTimer(this._options.unusedAfterMs / 3, () => {
+		this._sweepTimer = this._services.clock.setTimer(this._options.unusedAfterMs / 3, () => {
 			this._sweep();
 			this._sweepLater();
 		});
--- a/src/common/groups/ordered-primary-changes.ts
+++ b/src/common/groups/ordered-primary-changes.ts
@@ -16,7 +16,7 @@
 import type {GroupOptions, GroupServices, PromotionReason} from './types.js';
 
 /** A change that the rules in force ask for. */
-type WantedChange = {readonly reason: PromotionReason; readonly endpoint: string | undefined; readonly orderedOf: string};
+type WantedChange = {readonly reason: PromotionReason; readonly endpoint: string | undefined; readonly responsibleEndpoint: string};
 
 /** Carries ordered changes out, from the node that is closest to them. */
 export class OrderedPrimaryChanges implements Disposable {
@@ -44,7 +44,7 @@
 			const isWanted = this._wantedSinceMs !== undefined;
 			await this._sleep.wait(isWanted ? this._options.wantedTickMs : this._options.unwantedTickMs);
 			const change = this._wantedChange();
-			const isDue = change && this._isOurs(change) && this._isClose(this._wantedWatch(change.endpoint));
+			const isDue = change && this._isResponsible(change) && this._isNearlyCaughtUp(this._wantedWatch(change.endpoint));
 			if (!isDue || this._isDisposed || this._backoff.remainingMs > 0) {
 				continue;
 			}
@@ -74,7 +74,7 @@
 			return Right(this._group.view());
 		}
 
-		if (this._group.isPrimaryLeading() && !await this._catchUp(wanted)) {
+		if (this._group.isPrimaryLeading() && !await this._waitForCatchUp(wanted)) {
 			return Left(new Refusal('tooStale', `${wanted.name} is too far behind the primary`));
 		}
 
@@ -96,11 +96,11 @@
 	}
 
 	/** Waits, with the primary at work, until the replica lacks little of its log. */
-	private async _catchUp(wanted: InstanceWatch): Promise<boolean> {
+	private async _waitForCatchUp(wanted: InstanceWatch): Promise<boolean> {
 		let subscription: Disposable | undefined;
 		const close = new Promise<true>(resolve => {
 			const check = (): void => {
-				if (this._isClose(wanted)) {
+				if (this._isNearlyCaughtUp(wanted)) {
 					resolve(true);
 				}
 			};
@@ -113,7 +113,7 @@
 		return isClose ?? false;
 	}
 
-	private _isClose(replica: InstanceWatch | undefined): boolean {
+	private _isNearlyCaughtUp(replica: InstanceWatch | undefined): boolean {
 		const target = this._group.primaryWatch?.state?.received;
 		const reached = replica?.state?.received;
 		return target !== undefined && reached !== undefined && lagEntries(reached, target) <= this._options.closeLagEntries;
@@ -141,14 +141,14 @@
 
 		if (ordered !== undefined) {
 			const isDone = ordered === this._group.primary;
-			return isDone ? undefined : {reason: 'ordered', endpoint: ordered, orderedOf: ordered};
+			return isDone ? undefined : {reason: 'ordered', endpoint: ordered, responsibleEndpoint: ordered};
 		}
 
-		return isPrimaryDraining ? {reason: 'draining', endpoint: undefined, orderedOf: this._group.primary} : undefined;
+		return isPrimaryDraining ? {reason: 'draining', endpoint: undefined, responsibleEndpoint: this._group.primary} : undefined;
 	}
 
 	/** The home of the endpoint acts; another monitor steps in when it does not. */
-	private _isOurs({orderedOf}: WantedChange): boolean {
+	private _isResponsible({responsibleEndpoint: orderedOf}: WantedChange): boolean {
 		const {clock, membership} = this._services;
 		const endpoint = this._group.watch(orderedOf)?.endpoint;
 		const isHome = endpoint !== undefined && membership.homeOf(endpoint)?.name === membership.self.name;
@@ -161,8 +161,8 @@
 				&& !this._services.configuration.endpointPolicy(name).isDraining;
 			return isCandidate ? [{endpoint, state}] : [];
 		});
-		const wishes = {wanted: undefined, availabilityZone: this._group.primaryWatch?.endpoint.availabilityZone};
-		const [best] = rankCandidates(candidates, wishes, this._services);
+		const preferences = {wanted: undefined, availabilityZone: this._group.primaryWatch?.endpoint.availabilityZone};
+		const [best] = rankCandidates(candidates, preferences, this._services);
 		return best && this._group.watch(best.endpoint.name);
 	}
 }
--- a/src/common/groups/pause-detector.ts
+++ b/src/common/groups/pause-detector.ts
@@ -16,22 +16,22 @@
 	private readonly _clock: Clock;
 	private readonly _boundMs: number;
 	private readonly _onPause = new Emitter<number>();
-	private _lastMs: number;
+	private _lastTickMs: number;
 	private _timer: Disposable | undefined;
 
 	constructor(clock: Clock, boundMs: number) {
 		this.onPause = this._onPause.event;
 		this._clock = clock;
 		this._boundMs = boundMs;
-		this._lastMs = clock.nowMs();
+		this._lastTickMs = clock.nowMs();
 		this._tick();
 	}
 
 	/** Looks now: after a pause, timers may run before this watch's own. */
 	check(): void {
 		const nowMs = this._clock.nowMs();
-		const lateMs = nowMs - this._lastMs - tickMs;
-		this._lastMs = nowMs;
+		const lateMs = nowMs - this._lastTickMs - tickMs;
+		this._lastTickMs = nowMs;
 		if (lateMs > this._boundMs) {
 			this._onPause.fire(lateMs);
 		}
--- a/src/common/groups/peer-opinions.ts
+++ b/src/common/groups/peer-opinions.ts
@@ -15,8 +15,8 @@
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private _primary = '';
-	private _zoneHeardMs = 0;
-	private _primaryHeardMs = 0;
+	private _zoneLastHeardMs = 0;
+	private _primaryLastHeardMs = 0;
 	private _isAsking = false;
 
 	constructor(group: GroupState, services: GroupServices, options: GroupOptions) {
@@ -27,20 +27,20 @@
 
 	/** When a node in the primary's zone was last known to live; zero when not known. */
 	get zoneLastHeardMs(): number {
-		return this._zoneHeardMs;
+		return this._zoneLastHeardMs;
 	}
 
 	/** When a peer last heard the primary; zero when not known. */
 	get primaryLastHeardMs(): number {
-		return this._primaryHeardMs;
+		return this._primaryLastHeardMs;
 	}
 
 	/** Starts a round unless one is on its way. */
 	ask(primary: EndpointAddress | undefined): void {
 		if (this._primary !== (primary?.name ?? '')) {
 			this._primary = primary?.name ?? '';
-			this._zoneHeardMs = 0;
-			this._primaryHeardMs = 0;
+			this._zoneLastHeardMs = 0;
+			this._primaryLastHeardMs = 0;
 		}
 
 		if (!this._isAsking) {
@@ -71,7 +71,7 @@
 			const seen = view.instances.find(({endpoint}) => endpoint === this._primary);
 			const isHeard = seen?.isReachable && seen.reportedAgoMs <= this._options.opinionFreshMs;
 			if (isHeard && view.primary === this._primary) {
-				this._primaryHeardMs = Math.max(this._primaryHeardMs, clock.nowMs() - seen.reportedAgoMs);
+				this._primaryLastHeardMs = Math.max(this._primaryLastHeardMs, clock.nowMs() - seen.reportedAgoMs);
 			}
 		});
 	}
@@ -83,7 +83,7 @@
 		const isSelf = host.name === membership.self.name;
 		const answer = isSelf ? Right(undefined) : await peers.probe(host, this._options.opinionTimeoutMs);
 		if (answer.isRight() && primary.name === this._primary) {
-			this._zoneHeardMs = Math.max(this._zoneHeardMs, startedMs);
+			this._zoneLastHeardMs = Math.max(this._zoneLastHeardMs, startedMs);
 		}
 	}
 
--- a/src/common/groups/promoter.ts
+++ b/src/common/groups/promoter.ts
@@ -30,7 +30,7 @@
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
 	private readonly _rules: SafetyRules;
-	private _claims = 0;
+	private _claimCount = 0;
 	private _isBusy = false;
 
 	constructor(
@@ -60,7 +60,7 @@
 		try {
 			this._services.log.event('promotionStarted', {group: this._group.name, ...plan});
 			const outcome = await this._tryRepeatedly(plan);
-			this._noteOutcome(plan, outcome);
+			this._reportOutcome(plan, outcome);
 			return outcome;
 		} finally {
 			this._isBusy = false;
@@ -91,7 +91,7 @@
 			await this._stopWrites(claimant, plan.wanted);
 		}
 
-		await this._raiseAll(claimant, plan);
+		await this._raiseTermOnAll(claimant, plan);
 		const needed = this._rules.promotionQuorum(this._group.size);
 		if (claimant.accepted.size < needed) {
 			return failed(`${claimant.accepted.size} of ${this._group.size} instances accepted term ${claimant.term}, ${needed} are needed`);
@@ -124,12 +124,12 @@
 		await claimant.raise(primary);
 		const end = claimant.accepted.get(primary.name)?.state.received;
 		if (end) {
-			await this._whenHeld(end, replica);
+			await this._waitUntilHeld(end, replica);
 		}
 	}
 
 	/** Waits, within a bound, until a majority with this replica among it holds a position. */
-	private async _whenHeld(position: LogPosition, replica: InstanceWatch): Promise<void> {
+	private async _waitUntilHeld(position: LogPosition, replica: InstanceWatch): Promise<void> {
 		let subscription: Disposable | undefined;
 		const held = new Promise<void>(resolve => {
 			const check = (): void => {
@@ -150,14 +150,14 @@
 	 * Raises the term on all instances at the same time. Ends when all that are thought
 	 * reachable have answered, or a short grace after a majority accepted.
 	 */
-	private async _raiseAll(claimant: TermClaimant, plan: PromotionPlan): Promise<void> {
+	private async _raiseTermOnAll(claimant: TermClaimant, plan: PromotionPlan): Promise<void> {
 		const {clock} = this._services;
 		const missing = this._group.watches.filter(({name}) => !claimant.accepted.has(name));
 		const awaited: Array<Promise<boolean>> = [];
 		const enough = new Promise<void>(resolve => {
 			const raise = async (watch: InstanceWatch): Promise<boolean> => {
 				const isAccepted = await claimant.raise(watch);
-				if (this._withoutSuspect(plan, claimant).length >= this._rules.promotionQuorum(this._group.size)) {
+				if (this._acceptedWithoutSuspect(plan, claimant).length >= this._rules.promotionQuorum(this._group.size)) {
 					resolve();
 				}
 
@@ -181,13 +181,13 @@
 
 	/** The most advanced of the accepted; the suspect only where a majority needs it. */
 	private _choose(plan: PromotionPlan, claimant: TermClaimant): Candidate {
-		const others = this._withoutSuspect(plan, claimant);
+		const others = this._acceptedWithoutSuspect(plan, claimant);
 		const pool = others.length >= this._rules.promotionQuorum(this._group.size) ? others : [...claimant.accepted.values()];
-		const wishes = {wanted: plan.wanted, availabilityZone: this._group.primaryWatch?.endpoint.availabilityZone};
-		return this._rules.rank(pool, wishes, this._services)[0];
+		const preferences = {wanted: plan.wanted, availabilityZone: this._group.primaryWatch?.endpoint.availabilityZone};
+		return this._rules.rank(pool, preferences, this._services)[0];
 	}
 
-	private _withoutSuspect({suspect}: PromotionPlan, claimant: TermClaimant): Candidate[] {
+	private _acceptedWithoutSuspect({suspect}: PromotionPlan, claimant: TermClaimant): Candidate[] {
 		return [...claimant.accepted.values()].filter(({endpoint}) => endpoint.name !== suspect);
 	}
 
@@ -212,13 +212,13 @@
 
 	private _newClaimant(): TermClaimant {
 		const {self} = this._services.membership;
-		this._claims++;
+		this._claimCount++;
 		// State reports separate fields by spaces, so a claim has none.
-		const claimId = `${self.name}.${self.incarnation}.${this._claims}`.replaceAll(/\s/gv, '_');
+		const claimId = `${self.name}.${self.incarnation}.${this._claimCount}`.replaceAll(/\s/gv, '_');
 		return new TermClaimant(this._group.highestTerm + 1, claimId, this._options);
 	}
 
-	private _noteOutcome(plan: PromotionPlan, outcome: Either<Refusal, GroupView>): void {
+	private _reportOutcome(plan: PromotionPlan, outcome: Either<Refusal, GroupView>): void {
 		const {audit, clock, log, membership, metrics} = this._services;
 		const gapMs = clock.nowMs() - plan.sinceMs;
 		const result = outcome.map(({term, primary}) => `${primary} leads term ${term}`).mapLeft(({detail}) => detail).extract();
--- a/src/common/groups/term-claimant.ts
+++ b/src/common/groups/term-claimant.ts
@@ -32,7 +32,7 @@
 
 	/** Raises the promised term of one instance. */
 	async raise(watch: InstanceWatch): Promise<boolean> {
-		const answer = await this._repeat(watch, async control => control.raiseTerm(this.term, this.claimId));
+		const answer = await this._sendUntilAnswered(watch, async control => control.raiseTerm(this.term, this.claimId));
 		if (answer?.isAccepted) {
 			this.accepted.set(watch.name, {endpoint: watch.endpoint, state: answer.state});
 		} else if (answer && answer.state.role !== 'rebuilding') {
@@ -44,7 +44,7 @@
 
 	/** Makes one instance primary; whether it is known to lead the term now. */
 	async promote(watch: InstanceWatch): Promise<boolean> {
-		const answer = await this._repeat(watch, async control => control.promote(this.term, this.claimId));
+		const answer = await this._sendUntilAnswered(watch, async control => control.promote(this.term, this.claimId));
 		const state = answer?.state ?? watch.state;
 		if (answer?.isAccepted === false) {
 			this._refusedTerm = Math.max(this._refusedTerm, answer.state.promisedTerm);
@@ -53,7 +53,7 @@
 		return state !== undefined && isLeading(state) && state.promisedTerm === this.term && state.claimId === this.claimId;
 	}
 
-	private async _repeat(watch: InstanceWatch, give: (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>): Promise<TermClaim | undefined> {
+	private async _sendUntilAnswered(watch: InstanceWatch, give: (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>): Promise<TermClaim | undefined> {
 		for (let attempt = 0; attempt < this._options.orderAttempts && watch.control; attempt++) {
 			const answer = await watch.order(give);
 			if (answer) {
--- a/src/common/groups/term-record.ts
+++ b/src/common/groups/term-record.ts
@@ -43,7 +43,7 @@
 } as const;
 
 /** A record on its way into the table. */
-type Pending = {wanted: TermRecord; readonly sleep: WakeableSleep};
+type PendingRecord = {wanted: TermRecord; readonly sleep: WakeableSleep};
 
 type StoredRecord = {readonly revision: number; readonly record: TermRecord | undefined};
 
@@ -54,7 +54,7 @@
 export class TermRecords implements TermRecorder, Disposable {
 	private readonly _services: TermRecordServices;
 	private readonly _options: typeof termRecordDefaults;
-	private readonly _pending = new Map<string, Pending>();
+	private readonly _pending = new Map<string, PendingRecord>();
 	private _isDisposed = false;
 
 	constructor(services: TermRecordServices, options: Partial<typeof termRecordDefaults> = {}) {
@@ -99,7 +99,7 @@
 		this._pending.clear();
 	}
 
-	private async _run(group: string, pending: Pending): Promise<void> {
+	private async _run(group: string, pending: PendingRecord): Promise<void> {
 		const {clock, random, log, metrics} = this._services;
 		const backoff = new Backoff(clock, random, this._options.retryMinimumMs, this._options.retryMaximumMs);
 		while (!this._isDisposed) {
@@ -130,7 +130,7 @@
 
 		const {revision, record} = stored.unsafeCoerce();
 		if (record && record.term >= wanted.term) {
-			return outcomeAgainst(record, wanted);
+			return outcomeComparedTo(record, wanted);
 		}
 
 		const written = await this._services.table.put(this._itemOf(group, wanted), revision);
@@ -153,7 +153,7 @@
 }
 
 /** What a recorded term that is not lower says about the one to be recorded. */
-function outcomeAgainst(recorded: TermRecord, wanted: TermRecord): RecordOutcome {
+function outcomeComparedTo(recorded: TermRecord, wanted: TermRecord): RecordOutcome {
 	if (recorded.term > wanted.term) {
 		return 'superseded';
 	}
--- a/src/common/groups/testing/fake-instance.ts
+++ b/src/common/groups/testing/fake-instance.ts
@@ -155,7 +155,7 @@
 		this.process = new FakeProcess(this.name, this.address.availabilityZone, this._network);
 		this.role = isLogLost ? 'rebuilding' : 'replica';
 		if (isLogLost) {
-			this.replication.lose();
+			this.replication.clearLog();
 		}
 
 		this._isReportDue = false;
@@ -230,7 +230,7 @@
 			});
 		});
 		this._every(aliveMs, () => {
-			this.replication.beat();
+			this.replication.heartbeat();
 		});
 	}
 
--- a/src/common/groups/testing/fake-replication.ts
+++ b/src/common/groups/testing/fake-replication.ts
@@ -76,13 +76,13 @@
 	}
 
 	/** The log is gone. */
-	lose(): void {
+	clearLog(): void {
 		this.log.length = 0;
 		this._appliedOffset = 0;
 	}
 
 	/** Primary: says that it lives. Follower: gives a silent stream up. */
-	beat(): void {
+	heartbeat(): void {
 		for (const {follower, connection} of this._streams) {
 			connection.sendToA(() => {
 				follower._hear(connection);
