--- a/src/common/groups/candidates.ts
+++ b/src/common/groups/candidates.ts
@@ -1,11 +1,11 @@
 /**
- * The order of instances as candidates for primary, and of monitors as promoters.
+ * Ranks instances as candidates for primary, and monitors as promoters.
  */
 import {comparePositions} from '../positions/log-position.js';
 import type {EndpointAddress, InstanceState} from '../services/services.js';
 import type {GroupServices, PromotionPlan} from './types.js';
 
-/** An instance with the state that it is judged by. */
+/** An instance with the state by which it is ranked. */
 export type Candidate = {
 	readonly endpoint: EndpointAddress;
 	readonly state: InstanceState;
@@ -13,14 +13,14 @@
 
 type CandidateServices = Pick<GroupServices, 'configuration' | 'membership'>;
 
-/** What decides between candidates whose logs are equal. */
+/** Preferences that decide between candidates whose logs are equally advanced. */
 export type CandidatePreferences = {
 	readonly wanted: PromotionPlan['wanted'];
-	/** Zone of the primary before. */
+	/** Availability zone of the previous primary. */
 	readonly availabilityZone: string | undefined;
 };
 
-/** Orders candidates: the most advanced log first; among equals the wishes, and then the name. */
+/** Sorts candidates: the most advanced log first; equal ones by preference, and then by name. */
 export function rankCandidates(
 	candidates: readonly Candidate[],
 	preferences: CandidatePreferences,
@@ -43,8 +43,8 @@
 }
 
 /**
- * Place of this node among the monitors that may promote: the home of the best candidate
- * comes first, and one that serves no candidate last.
+ * Rank of this node among the monitors that may promote, from 0: the home of the best
+ * candidate comes first, and a node that is the home of no candidate last.
  */
 export function promotionRankOfSelf(ranked: readonly Candidate[], {membership}: Pick<CandidateServices, 'membership'>): number {
 	const rank = ranked.findIndex(({endpoint}) => membership.homeOf(endpoint)?.name === membership.self.name);
--- a/src/common/groups/confirmations.test.ts
+++ b/src/common/groups/confirmations.test.ts
@@ -3,7 +3,7 @@
 import {settle, VirtualClock} from '../testing/virtual-clock.js';
 import {Confirmations} from './confirmations.js';
 
-/** Waits for positions and notes how each ended, in the order of the ends. */
+/** Waits for positions and records their outcomes, in the order in which they settle. */
 function waitingFor(confirmations: Confirmations, positions: ReadonlyArray<readonly [term: number, offset: number]>): string[] {
 	const ends: string[] = [];
 	for (const [term, offset] of positions) {
@@ -17,7 +17,7 @@
 }
 
 describe('Confirmations', () => {
-	it('confirms in the order of positions, whatever the order of arrival', async () => {
+	it('confirms in the order of positions, regardless of the order of arrival', async () => {
 		const confirmations = new Confirmations(new VirtualClock());
 		const ends = waitingFor(confirmations, [[1, 3], [1, 1], [1, 2], [1, 4]]);
 		await settle();
@@ -31,7 +31,7 @@
 		expect([...confirmations.terms]).toEqual([]);
 	});
 
-	it('refuses what a higher term fenced, and what nobody confirmed in time', async () => {
+	it('refuses writes of a fenced term, and writes that no majority confirms in time', async () => {
 		const clock = new VirtualClock();
 		const confirmations = new Confirmations(clock);
 		const ends = waitingFor(confirmations, [[1, 5], [2, 6]]);
@@ -44,7 +44,7 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('keeps its queue short while the front of it never ends', async () => {
+	it('compacts its queue while the first waiter stays pending', async () => {
 		const clock = new VirtualClock();
 		const confirmations = new Confirmations(clock);
 		const stuck = confirmations.wait({term: 1, offset: 10_000}, 60_000);
@@ -62,7 +62,7 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('ends its waiters when disposed', async () => {
+	it('refuses its waiters when disposed', async () => {
 		const confirmations = new Confirmations(new VirtualClock());
 		const ends = waitingFor(confirmations, [[1, 5]]);
 		confirmations.dispose();
--- a/src/common/groups/confirmations.ts
+++ b/src/common/groups/confirmations.ts
@@ -1,5 +1,5 @@
 /**
- * Writes that wait for a majority to hold them.
+ * Writes that wait until a majority of the instances holds them.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -13,13 +13,13 @@
 	timer: Disposable | undefined;
 };
 
-/** Waiters of one term, ordered by offset. Those before `head` are done; `live` are not. */
+/** Waiters of one term, ordered by offset. Those before `head` are settled; `pendingCount` counts those that are not settled yet. */
 type TermQueue = {waiters: Waiter[]; head: number; pendingCount: number};
 
-/** Done entries that are kept before a queue is cut. */
+/** Number of settled entries that a queue may hold before it is compacted. */
 const compactionThreshold = 256;
 
-/** Waiters ordered by position, so that one report settles many without a search. */
+/** Keeps waiters ordered by position, so that one state report settles many of them without a search. */
 export class Confirmations implements Disposable {
 	private readonly _clock: Clock;
 	private readonly _queues = new Map<number, TermQueue>();
@@ -28,12 +28,12 @@
 		this._clock = clock;
 	}
 
-	/** Terms that somebody waits for. */
+	/** Terms that have pending waiters. */
 	get terms(): Iterable<number> {
 		return this._queues.keys();
 	}
 
-	/** Waits until `advance` reaches the position. */
+	/** Resolves once `advance` reaches the position; refused with `outcomeUnknown` after the timeout, in milliseconds, or once the term is fenced. */
 	async wait(position: LogPosition, timeoutMs: number): Promise<Either<Refusal, void>> {
 		return new Promise(resolve => {
 			const waiter: Waiter = {
@@ -48,7 +48,7 @@
 		});
 	}
 
-	/** A majority that follows the term holds its log up to the offset. */
+	/** Confirms the waiters of a term up to an offset, when a majority that follows the term holds its log up to there. */
 	advance(term: number, offset: number): void {
 		const queue = this._queues.get(term);
 		if (!queue) {
@@ -63,7 +63,7 @@
 		this._compact(term, queue);
 	}
 
-	/** A majority promised this term: lower ones can no longer be confirmed. */
+	/** Refuses the waiters of lower terms, when a majority has promised this term: they can no longer be confirmed. */
 	fence(term: number): void {
 		for (const lower of this._queues.keys()) {
 			if (lower < term) {
@@ -85,13 +85,13 @@
 			this._queues.set(term, queue);
 		}
 
-		// Answers come nearly in log order, so the place is found at the end.
-		let place = queue.waiters.length;
-		while (place > queue.head && queue.waiters[place - 1].offset > waiter.offset) {
-			place--;
+		// Waiters arrive nearly in log order, so a search from the end is short.
+		let index = queue.waiters.length;
+		while (index > queue.head && queue.waiters[index - 1].offset > waiter.offset) {
+			index--;
 		}
 
-		queue.waiters.splice(place, 0, waiter);
+		queue.waiters.splice(index, 0, waiter);
 		queue.pendingCount++;
 	}
 
@@ -109,15 +109,15 @@
 		}
 	}
 
-	/** Drops done entries once they are many, so that the cost per waiter stays constant. */
+	/** Removes settled entries once they outnumber the pending ones, so that the cost per waiter stays constant. */
 	private _compact(term: number, queue: TermQueue): void {
 		if (queue.pendingCount === 0) {
 			this._queues.delete(term);
 			return;
 		}
 
-		const done = queue.waiters.length - queue.pendingCount;
-		if (done > Math.max(compactionThreshold, queue.pendingCount)) {
+		const settledCount = queue.waiters.length - queue.pendingCount;
+		if (settledCount > Math.max(compactionThreshold, queue.pendingCount)) {
 			queue.waiters = queue.waiters.filter(waiter => waiter.settle);
 			queue.head = 0;
 		}
--- a/src/common/groups/connect-control.ts
+++ b/src/common/groups/connect-control.ts
@@ -1,32 +1,32 @@
 /**
- * One attempt to connect to an instance, and what its failure says about the instance.
+ * One attempt to open a control connection to an instance, and what a failure says about the instance.
  */
 import type {Either} from 'purify-ts';
 import type {EndpointAddress, EndpointFault, InstanceControl} from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
-/** How an attempt failed. */
+/** Why an attempt failed. */
 export type ConnectFailure
-	/** The host answered that nobody listens. */
+	/** The host answered that no process listens on the port. */
 	= | 'refused'
-	/** The endpoint has no connection left: it is alive. */
+	/** The endpoint has no free connection, so it is alive. */
 		| 'exhausted'
-	/** Nothing came back in time. */
+	/** No answer arrived within the timeout. */
 		| 'silent'
-	/** The endpoint refused in its own words. */
+	/** The endpoint refused the connection with some other error. */
 		| 'declined';
 
-/** How an attempt ended. */
+/** The result of an attempt: either a connection or the reason why it failed. */
 export type ConnectOutcome = {
 	readonly control?: InstanceControl;
 	readonly failure?: ConnectFailure;
 };
 
-/** SQLSTATE of an endpoint whose connections are all taken. */
+/** SQLSTATE of an endpoint whose connections are all in use. */
 const tooManyConnections = '53300';
 
-/** Opens a control connection within the time-out. One that is made later is closed again. */
+/** Opens a control connection within `connectTimeoutMs`; one that opens later is closed at once. */
 export async function connectControl(
 	endpoint: EndpointAddress,
 	{clock, connector, membership}: Pick<GroupServices, 'clock' | 'connector' | 'membership'>,
@@ -47,7 +47,7 @@
 		.extract();
 }
 
-/** A refusal comes back at once; a connection that breaks off later met silence. */
+/** Classifies a fault: without an error of the endpoint, a quick failure means that the connection was refused, and a late one that no answer came. */
 function failureOf({sqlState}: EndpointFault, isQuick: boolean): ConnectFailure {
 	if (sqlState === undefined) {
 		return isQuick ? 'refused' : 'silent';
--- a/src/common/groups/constants.ts
+++ b/src/common/groups/constants.ts
@@ -1,112 +1,113 @@
 /**
- * Defaults of the group monitors, in one table. Every time is in milliseconds.
+ * Default options of the group monitors. All times are in milliseconds.
  */
 
-/** Options of a group monitor. */
+/** Default options of a group monitor. */
 export const groupDefaults = {
 	// Control connections
-	/** Longest wait for a control connection; a reachable endpoint takes about 10 ms. */
+	/** Timeout for opening a control connection; a reachable endpoint takes about 10 ms. */
 	connectTimeoutMs: 1000,
-	/** First wait between two attempts to connect; doubles up to the longest, half of it random. */
+	/** First delay between two connection attempts; doubles up to `longestReconnectMs`, and half of it is random. */
 	reconnectMs: 120,
-	/** Longest wait between two attempts, so that a returning instance is seen soon. */
+	/** Maximum delay between two connection attempts, so that an instance that comes back is detected soon. */
 	longestReconnectMs: 1000,
-	/** A failed attempt that came back this fast was refused; a slower one met silence. */
+	/** A connection attempt that fails within this time counts as refused; one that fails later counts as unanswered. */
 	refusedWithinMs: 300,
-	/** The primary is asked for its state when it said nothing for this long. */
+	/** Silence after which the primary is asked for its state. */
 	primaryCheckMs: 200,
-	/** The same for the others, a little above their heartbeat of 500 ms. */
+	/** Silence after which a replica is asked for its state; a little above its heartbeat interval of 500 ms. */
 	replicaCheckMs: 700,
-	/** An instance that said nothing for this long does not count as reachable. */
+	/** Silence after which an instance no longer counts as reachable. */
 	unreachableAfterMs: 1200,
-	/** A control connection that was silent for this long is replaced; a cut one rarely recovers. */
+	/** Silence after which a control connection is replaced: one whose network path was cut rarely recovers. */
 	replaceSilentAfterMs: 5000,
 
 	// Detection
-	/** Silence of the primary after which peers are asked; three checks went unanswered. */
+	/** Silence of the primary after which peers are asked whether they hear it; the status request sent after `primaryCheckMs` has gone unanswered by then. */
 	suspectAfterMs: 350,
-	/** Silence of the primary and of every node in its zone that means a cut or a lost zone. */
+	/** Silence of the primary and of every node in its zone after which the zone counts as cut off or lost. */
 	cutAfterMs: 800,
-	/** Silence of the primary alone that is taken as loss; pauses of up to 2 s must pass. */
+	/** Silence of the primary alone after which it counts as lost; pauses of up to 2 s must not cause a promotion. */
 	frozenAfterMs: 2500,
-	/** Attempts to connect that must be refused before a closed connection means a crash. */
+	/** Connection attempts that must be refused before a closed connection counts as a crash. */
 	crashRefusals: 2,
-	/** A term that a majority promised but nobody leads is taken over after this time. */
+	/** Time after which a term that a majority promised, but that no instance leads, is replaced by a higher one. */
 	vacantAfterMs: 600,
 	/**
-	 * A primary that lives, but that too few replicas hear, is replaced after this time. The
-	 * replicas themselves waited before they said so; orders to follow take less than this.
+	 * Time after which a primary that is alive, but streams to too few replicas, is replaced.
+	 * A replica reports the loss of its stream only after a timeout of its own, so this time
+	 * comes on top of that one; it is longer than redirecting the replicas takes.
 	 */
 	isolatedAfterMs: 500,
-	/** An instance that promised a term above the primary's is brought back after this time. */
+	/** Time after which an instance that promised a term above the primary's is reintegrated by a promotion to a higher term. */
 	strandedAfterMs: 2000,
-	/** Time between two looks at a suspected primary. */
+	/** Interval between two evaluations of the loss rules while the primary is suspected. */
 	suspicionTickMs: 25,
-	/** Time between two looks when nothing is wrong. */
+	/** Maximum interval between two evaluations of the loss rules while nothing is wrong. */
 	quietTickMs: 250,
-	/** Longest wait for a peer's opinion. */
+	/** Timeout for a peer's opinion on the primary. */
 	opinionTimeoutMs: 200,
-	/** A primary that a peer heard from within this time is alive. */
+	/** A primary that was last heard within this time counts as alive. */
 	opinionFreshMs: 450,
-	/** Wait before a majority that did not answer is asked again. */
+	/** Delay before the instances are asked again when no majority of them answered. */
 	majorityRetryMs: 300,
-	/** Nodes of the primary's zone that are asked. */
+	/** Maximum number of nodes in the primary's zone that are probed in one round. */
 	opinionHosts: 3,
-	/** This node was paused when its own tick came this much too late. */
+	/** Delay of this process's own timer above which the process counts as having been paused. */
 	pauseBoundMs: 250,
 
 	// Promotion
-	/** Monitors start one after the other by rank, this far apart, so that races are rare. */
+	/** Monitors start promoting in the order of their rank, this far apart, so that two rarely claim a term at the same time. */
 	staggerMs: 100,
-	/** Random part of the stagger. */
+	/** Maximum random delay that is added to the stagger. */
 	staggerJitterMs: 30,
-	/** Longest wait for an instance's answer to an order. */
+	/** Timeout for an instance's answer to a command. */
 	orderTimeoutMs: 300,
-	/** Wait for the slower instances once a majority has accepted the term. */
+	/** Grace period for the slower instances once a majority has accepted the term. */
 	raiseGraceMs: 60,
-	/** Times an order is repeated whose answer was lost. */
+	/** Number of times that a command is sent, the first included, while no answer arrives. */
 	orderAttempts: 3,
-	/** Attempts of one promotion before detection starts again. */
+	/** Attempts of one promotion before it fails and detection starts again. */
 	promotionAttempts: 3,
-	/** Wait after a failed promotion; doubles up to the longest. */
+	/** First delay after a failed promotion; doubles up to `longestPromotionBackoffMs`. */
 	promotionBackoffMs: 200,
-	/** Longest wait after failed promotions, so that an unreachable majority causes no storm. */
+	/** Maximum delay after failed promotions, so that an unreachable majority does not cause a storm of attempts. */
 	longestPromotionBackoffMs: 5000,
 
 	// Ordered changes
-	/** Log entries that the wanted replica may lack when the change starts. */
+	/** Maximum number of log entries that the wanted replica may lag behind the primary when the change starts. */
 	closeLagEntries: 1000,
-	/** Longest wait for the wanted replica to come that close. */
+	/** Timeout for the wanted replica to catch up to within `closeLagEntries`. */
 	catchUpTimeoutMs: 10_000,
-	/** Longest wait, after the old primary stopped writing, for the replica to have it all. */
+	/** Timeout, after the old primary has stopped writing, for the wanted replica to receive the rest of its log. */
 	finalCatchUpMs: 300,
-	/** Another monitor does an ordered change when the first has not for this long. */
+	/** Time after which any monitor may carry out an ordered change that the responsible one has not completed. */
 	orderedTakeoverMs: 3000,
 
-	/** Time between two looks at an ordered change that is not done. */
+	/** Interval between two checks while an ordered change is pending. */
 	wantedTickMs: 50,
-	/** Time between two looks for an ordered change; a new configuration is looked at at once. */
+	/** Interval between two checks while no change is ordered; a new configuration is checked at once. */
 	unwantedTickMs: 1000,
 
 	// Followers
-	/** An instance that follows an old primary is redirected by other monitors after this time. */
+	/** Time after which monitors other than the promoter's redirect an instance that still follows an old primary. */
 	redirectAfterMs: 150,
-	/** Time between two orders to follow for the same instance. */
+	/** Minimum time between two follow commands to the same instance. */
 	redirectAgainMs: 1000,
 
 	// Proofs of freshness
-	/** Longest wait for one round of a proof. */
+	/** Timeout for one round of a proof. */
 	proofRoundMs: 400,
-	/** Wait after a round that failed. */
+	/** Delay after a round that failed. */
 	proofRetryMs: 25,
-	/** Time between two proofs in the background. */
+	/** Interval between two background proofs. */
 	sampleEveryMs: 100,
-	/** Background proofs end when nobody asked for this long. */
+	/** Background proofs stop when no caller has requested a proof or an age for this long. */
 	sampleIdleMs: 2000,
-	/** Samples kept; only those with different positions take a place. */
+	/** Number of the newest samples that remain when older ones are dropped; a sample with the same position as the last one replaces it. */
 	samplesKept: 512,
 
 	// Lifetime
-	/** A monitor of a group that this node serves no endpoint of ends when unused for this long. */
+	/** Idle time after which the monitor of a group is disposed if this node is the home of none of its endpoints. */
 	unusedAfterMs: 30_000,
 } as const;
--- a/src/common/groups/failover.test.ts
+++ b/src/common/groups/failover.test.ts
@@ -7,21 +7,21 @@
 type Case = {
 	readonly name: string;
 	readonly setup?: FakeSetup;
-	/** Brings the failure about. */
+	/** Injects the failure or orders the change. */
 	readonly act: (world: FakeWorld) => void | Promise<void>;
-	/** Bounds of the time without acknowledged writes, in virtual milliseconds. */
+	/** Bounds of the longest time without acknowledged writes, in virtual milliseconds. */
 	readonly gapMs: readonly [number, number];
-	/** Term at the end; 1 means that nobody promoted. */
+	/** Term at the end; 1 means that no promotion took place, and 0 that any term is accepted. */
 	readonly term: number;
 	readonly primary?: string;
-	/** Whether every write that was made was confirmed. */
-	readonly isSmooth?: boolean;
+	/** Whether every write must be confirmed. */
+	readonly isEveryWriteConfirmed?: boolean;
 };
 
 const oldPrimary = 'stock-a';
 const settledMs = 9000;
 
-/** Freezes the primary's endpoint for a time. */
+/** Freezes the primary's process for a time. */
 function freeze(world: FakeWorld, durationMs: number): void {
 	const {process} = world.instance(oldPrimary);
 	process.pause();
@@ -33,11 +33,11 @@
 function cut(world: FakeWorld, names: readonly string[], others: readonly string[]): void {
 	world.network.cut(names, others);
 	world.clock.setTimer(5000, () => {
-		world.network.heal();
+		world.network.clearCuts();
 	});
 }
 
-/** The node whose claim an instance promised. */
+/** The first node whose claim to a higher term an instance has promised. */
 async function promoterOf(world: FakeWorld): Promise<FakeNode> {
 	await world.clock.advanceWhile(() => world.instances.every(({promisedTerm}) => promisedTerm === 1));
 	const claimed = world.instances.find(({promisedTerm}) => promisedTerm > 1)!;
@@ -54,7 +54,7 @@
 		term: 2,
 	},
 	{
-		name: 'crash, and back without its log',
+		name: 'crash, and restart without its log after 2 s',
 		act(world) {
 			world.instance(oldPrimary).crash();
 			world.clock.setTimer(2000, () => {
@@ -65,7 +65,7 @@
 		term: 2,
 	},
 	{
-		name: 'crash, and back at once without its log',
+		name: 'crash, and immediate restart without its log',
 		act(world) {
 			world.instance(oldPrimary).crash();
 			world.instance(oldPrimary).restart(true);
@@ -90,7 +90,7 @@
 		term: 2,
 	},
 	{
-		name: 'cut of the primary\'s zone',
+		name: 'primary\'s zone cut off',
 		act(world) {
 			cut(world, ['a'], ['b', 'c']);
 		},
@@ -115,7 +115,7 @@
 		term: 1,
 	},
 	{
-		name: 'primary that only its home reaches',
+		name: 'primary that is reachable only from its own home',
 		act(world) {
 			cut(world, [oldPrimary], ['b', 'c']);
 		},
@@ -172,7 +172,7 @@
 		term: 0,
 	},
 	{
-		name: 'promoter that dies after it raised the term',
+		name: 'promoter that dies after raising the term',
 		async act(world) {
 			world.instance(oldPrimary).crash();
 			const promoter = await promoterOf(world);
@@ -182,18 +182,18 @@
 		term: 3,
 	},
 	{
-		name: 'promoter that dies after it promoted',
+		name: 'promoter that dies after promoting',
 		async act(world) {
 			world.instance(oldPrimary).crash();
 			const promoter = await promoterOf(world);
-			await world.clock.advanceWhile(() => !world.leader);
+			await world.clock.advanceWhile(() => !world.primary);
 			promoter.kill();
 		},
 		gapMs: [100, 1000],
 		term: 2,
 	},
 	{
-		name: 'promoter that is frozen halfway',
+		name: 'promoter that freezes during the promotion',
 		async act(world) {
 			world.instance(oldPrimary).crash();
 			const promoter = await promoterOf(world);
@@ -206,7 +206,7 @@
 		term: 3,
 	},
 	{
-		name: 'lost answers to every first order',
+		name: 'lost answer to the first command to each instance',
 		act(world) {
 			for (const instance of world.instances) {
 				instance.answersToLose = 1;
@@ -225,7 +225,7 @@
 		gapMs: [0, 60],
 		term: 2,
 		primary: 'stock-c',
-		isSmooth: true,
+		isEveryWriteConfirmed: true,
 	},
 	{
 		name: 'ordered change while the home of the ordered endpoint is dead',
@@ -236,7 +236,7 @@
 		gapMs: [0, 60],
 		term: 2,
 		primary: 'stock-c',
-		isSmooth: true,
+		isEveryWriteConfirmed: true,
 	},
 	{
 		name: 'draining of the primary, with a preferred replica',
@@ -247,12 +247,12 @@
 		gapMs: [0, 60],
 		term: 2,
 		primary: 'stock-c',
-		isSmooth: true,
+		isEveryWriteConfirmed: true,
 	},
 ];
 
 describe('failover', () => {
-	for (const [number, {name, setup, act, gapMs, term, primary, isSmooth}] of cases.entries()) {
+	for (const [number, {name, setup, act, gapMs, term, primary, isEveryWriteConfirmed}] of cases.entries()) {
 		it(name, async () => {
 			const world = new FakeWorld(number + 1, setup);
 			await world.start();
@@ -268,18 +268,18 @@
 			expect(load.check()).toEqual([]);
 			expect(gap).toBeGreaterThanOrEqual(gapMs[0]);
 			expect(gap).toBeLessThanOrEqual(gapMs[1]);
-			expect(world.leader?.promisedTerm).toEqual(term === 0 ? expect.a(Number) : term);
-			expect(world.leader?.name).toEqual(primary ?? expect.a(String));
-			expect(isSmooth ? load.unknown : 0).toEqual(0);
+			expect(world.primary?.promisedTerm).toEqual(term === 0 ? expect.a(Number) : term);
+			expect(world.primary?.name).toEqual(primary ?? expect.a(String));
+			expect(isEveryWriteConfirmed ? load.unknown : 0).toEqual(0);
 			expectAgreement(world);
 			world.dispose();
 		});
 	}
 });
 
-/** Everybody alive follows the one primary, and the table was told of it. */
+/** Checks that all live instances and nodes agree on one primary, and that its term was recorded. */
 function expectAgreement(world: FakeWorld): void {
-	const {name, promisedTerm, log} = world.leader!;
+	const {name, promisedTerm, log} = world.primary!;
 	for (const instance of world.instances.filter(({process}) => !process.isDead)) {
 		expect(instance.log).toEqual(log);
 		expect(instance.state.isStreaming).toEqual(true);
--- a/src/common/groups/failure-detector.ts
+++ b/src/common/groups/failure-detector.ts
@@ -1,5 +1,5 @@
 /**
- * Notices that a group needs another primary, and decides whose turn it is to promote one.
+ * Detects that a group needs another primary, and decides when it is this node's turn to promote one.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -13,7 +13,7 @@
 	GroupOptions, GroupServices, PrimaryLoss, MonitorContext,
 } from './types.js';
 
-/** Watches over the primary of one group. One task calls `nextLoss` again and again. */
+/** Detects the loss of one group's primary. A single task calls `nextLoss` in a loop. */
 export class FailureDetector implements Disposable {
 	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
@@ -47,7 +47,7 @@
 		];
 	}
 
-	/** Resolves when it is this node's turn to promote; undefined after the end. */
+	/** Resolves with the loss when it is this node's turn to promote; undefined once the detector is disposed. */
 	async nextLoss(): Promise<PrimaryLoss | undefined> {
 		while (!this._isDisposed) {
 			await this._sleep.wait(this._intervalMs());
@@ -74,15 +74,17 @@
 		this._pauseDetector.check();
 		this._updateSuspicion();
 		if (this._isSuspecting || this._group.term === 0) {
-			this._opinions.ask(this._group.primaryWatch?.endpoint);
+			this._opinions.startRound(this._group.primaryWatch?.endpoint);
 		}
 
 		return this._rules.evaluate();
 	}
 
 	/**
-	 * Waits for this node's turn among the monitors. Before it a majority must answer, so
-	 * that a node that is cut off itself raises no term that reaches anybody later.
+	 * Waits for this node's turn among the monitors; false when a majority of the instances
+	 * does not answer or the situation changes meanwhile. The majority must answer first, so
+	 * that a node that is itself cut off does not raise a term that reaches other instances
+	 * later.
 	 */
 	private async _isOurTurn(finding: LossFinding): Promise<boolean> {
 		const {highestTerm} = this._group;
@@ -100,7 +102,7 @@
 		return !this._isDisposed && this._group.highestTerm === highestTerm && this._evaluate()?.reason === finding.reason;
 	}
 
-	/** States of the instances that answer now, the suspect left out. */
+	/** The instances, without the suspect, that answer a status request now and are not rebuilding. */
 	private async _readCandidates(finding: LossFinding): Promise<readonly Candidate[]> {
 		const suspect = this._suspectOf(finding);
 		const others = this._group.watches.filter(({name}) => name !== suspect);
@@ -111,7 +113,7 @@
 		return answers.flat();
 	}
 
-	/** Sleeps through being woken: the time itself is what matters. */
+	/** Sleeps for the whole delay, even if the sleep is woken: the stagger between monitors depends on it. */
 	private async _sleepFor(delayMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + delayMs;
@@ -152,7 +154,7 @@
 		this._isMajorityMissing = isMissing;
 	}
 
-	/** After a pause of this process, everybody's silence counts anew. */
+	/** Restarts all silence timers after a pause of this process, in which it could hear no instance. */
 	private _resetAfterPause(pausedMs: number): void {
 		this._group.resetSilence();
 		this._rules.reset();
--- a/src/common/groups/follower-redirector.ts
+++ b/src/common/groups/follower-redirector.ts
@@ -1,5 +1,5 @@
 /**
- * Makes instances that follow an old primary follow the current one.
+ * Redirects instances that do not follow the current primary to it.
  */
 import {DisposableStore, type Disposable} from '../lifecycle/disposable.js';
 import type {InstanceState} from '../services/services.js';
@@ -7,12 +7,12 @@
 import type {GroupState} from './group-state.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
-/** When an instance was first seen off course, and when it was last told. */
+/** When an instance was first seen to need a redirect, and when it was last sent a follow command. */
 type PendingRedirect = {sinceMs: number; lastOrderedMs: number | undefined; isOrderInFlight: boolean};
 
 /**
- * Orders instances to follow. Any monitor may: the order names the term, and an instance
- * that promised a higher one refuses it.
+ * Sends follow commands to instances. Any monitor may do so at any time: the command names
+ * its term, and an instance that promised a higher one refuses it.
  */
 export class FollowerRedirector implements Disposable {
 	private readonly _group: GroupState;
@@ -34,7 +34,7 @@
 		}));
 	}
 
-	/** Tells every instance that is connected, at once: this node has just promoted. */
+	/** Redirects every connected instance that needs it at once, after this node has promoted a primary. */
 	redirectAll(): void {
 		for (const watch of this._group.watches) {
 			if (watch.control && this._needsRedirect(watch)) {
@@ -54,25 +54,25 @@
 		}
 	}
 
-	/** Tells an instance that has been off course for a while; others may have told it by then. */
+	/** Redirects an instance that has needed it for `redirectAfterMs`; by then another monitor may have redirected it. */
 	private _examine(watch: InstanceWatch): void {
 		if (!watch.control || !this._needsRedirect(watch)) {
 			this._pendingRedirects.delete(watch);
 			return;
 		}
 
-		const deviation = this._pendingRedirectOf(watch);
-		const dueMs = deviation.lastOrderedMs === undefined
-			? deviation.sinceMs + this._options.redirectAfterMs
-			: deviation.lastOrderedMs + this._options.redirectAgainMs;
+		const pendingRedirect = this._pendingRedirectOf(watch);
+		const dueMs = pendingRedirect.lastOrderedMs === undefined
+			? pendingRedirect.sinceMs + this._options.redirectAfterMs
+			: pendingRedirect.lastOrderedMs + this._options.redirectAgainMs;
 		if (this._services.clock.nowMs() < dueMs) {
-			this._examineLater();
-		} else if (!deviation.isOrderInFlight && this._group.isPrimaryLeading()) {
-			void this._redirect(watch, deviation);
+			this._scheduleExamination();
+		} else if (!pendingRedirect.isOrderInFlight && this._group.isPrimaryLeading()) {
+			void this._redirect(watch, pendingRedirect);
 		}
 	}
 
-	private _examineLater(): void {
+	private _scheduleExamination(): void {
 		if (this._timer !== undefined || this._scope.isDisposed) {
 			return;
 		}
@@ -84,17 +84,17 @@
 		});
 	}
 
-	private async _redirect(watch: InstanceWatch, deviation: PendingRedirect): Promise<void> {
+	private async _redirect(watch: InstanceWatch, pendingRedirect: PendingRedirect): Promise<void> {
 		const {term} = this._group;
 		const primary = this._group.primaryWatch;
 		if (!primary || primary === watch) {
 			return;
 		}
 
-		deviation.isOrderInFlight = true;
+		pendingRedirect.isOrderInFlight = true;
 		const answer = await watch.order(async control => control.follow(term, primary.endpoint));
-		deviation.isOrderInFlight = false;
-		deviation.lastOrderedMs = this._services.clock.nowMs();
+		pendingRedirect.isOrderInFlight = false;
+		pendingRedirect.lastOrderedMs = this._services.clock.nowMs();
 		this._services.log.event('instanceRedirected', {
 			group: this._group.name, endpoint: watch.name, term, primary: primary.name, isAccepted: answer?.isAccepted ?? false,
 		});
@@ -105,13 +105,13 @@
 	}
 
 	private _pendingRedirectOf(watch: InstanceWatch): PendingRedirect {
-		let deviation = this._pendingRedirects.get(watch);
-		if (!deviation) {
-			deviation = {sinceMs: this._services.clock.nowMs(), lastOrderedMs: undefined, isOrderInFlight: false};
-			this._pendingRedirects.set(watch, deviation);
+		let pendingRedirect = this._pendingRedirects.get(watch);
+		if (!pendingRedirect) {
+			pendingRedirect = {sinceMs: this._services.clock.nowMs(), lastOrderedMs: undefined, isOrderInFlight: false};
+			this._pendingRedirects.set(watch, pendingRedirect);
 		}
 
-		return deviation;
+		return pendingRedirect;
 	}
 
 	private _needsRedirect(watch: InstanceWatch): boolean {
--- a/src/common/groups/freshness-prover.ts
+++ b/src/common/groups/freshness-prover.ts
@@ -1,9 +1,10 @@
 /**
- * Proofs of freshness: that a term still stood, and how far its primary was, after a
- * moment in time.
+ * Proofs of freshness: that a term had not been replaced when a caller asked, and the log
+ * position that its primary reported after that.
  *
- * A later primary needs a majority that promised a higher term. When a majority answered
- * after the call that it promised this term, that other majority did not exist at the call.
+ * A later primary needs a majority that promised a higher term, and a promise never goes back
+ * to a lower term. When a majority answers after the call that it promises this term, no
+ * majority had promised a higher one at the time of the call, so there was no later primary.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -19,12 +20,12 @@
 	FreshnessSample, GroupOptions, GroupServices, MonitorContext,
 } from './types.js';
 
-/** A caller that waits; `settle` is gone once it has its answer. */
+/** A waiting caller; `settle` is undefined once the caller has its answer. */
 type Waiter = {settle: ((proof: Either<Refusal, LogPosition>) => void) | undefined};
 
-/** Runs one round at a time; callers that come during a round share the next one. */
+/** Runs one round at a time; callers that arrive during a round share the next one. */
 export class FreshnessProver implements Disposable {
-	/** Fires with every proof that succeeded. */
+	/** Fires for every proof that succeeds. */
 	readonly onProof: Event<FreshnessSample>;
 
 	private readonly _group: GroupState;
@@ -47,7 +48,7 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** Proves which position the group's primary has. */
+	/** Resolves with a position that the group's primary reported after the call while it still led its term; refused with `noPrimary` after the timeout, in milliseconds. */
 	async prove(timeoutMs: number): Promise<Either<Refusal, LogPosition>> {
 		if (this._isDisposed) {
 			return notProved('the group is no longer followed');
@@ -70,7 +71,7 @@
 		});
 	}
 
-	/** Gives the round in progress up, because the group changed under it. */
+	/** Aborts the round in progress when the group's primary has changed, so that waiting callers get a new round at once. */
 	abortRound(): void {
 		this._endRound?.();
 		this._sleep.wake();
@@ -105,7 +106,7 @@
 		}
 	}
 
-	/** Reads all states at one time; ends with the first majority that includes its primary. */
+	/** Reads the states of all instances concurrently; ends with the first majority that includes its primary. */
 	private async _round(): Promise<LogPosition | undefined> {
 		const startedAtMs = this._services.clock.nowMs();
 		const round = new Promise<LogPosition | undefined>(resolve => {
@@ -140,7 +141,7 @@
 	}
 }
 
-/** Position of a primary whose term a majority of the group still promised. */
+/** Position of an instance that leads its term, if at least a quorum of the instances, itself included, still promises that term. */
 function provedPosition(answers: readonly InstanceState[], quorum: number): LogPosition | undefined {
 	return answers.find(answer => {
 		const followers = answers.filter(({promisedTerm, role}) => promisedTerm === answer.promisedTerm && role !== 'rebuilding');
--- a/src/common/groups/freshness-samples.test.ts
+++ b/src/common/groups/freshness-samples.test.ts
@@ -3,7 +3,7 @@
 import {FreshnessSamples} from './freshness-samples.js';
 
 describe('FreshnessSamples', () => {
-	it('finds the youngest proof that a position covers, across terms', () => {
+	it('finds the newest proof that a position covers, across terms', () => {
 		const samples = new FreshnessSamples(4);
 		samples.add({startedAtMs: 10, position: {term: 1, offset: 5}});
 		samples.add({startedAtMs: 20, position: {term: 1, offset: 5}});
@@ -16,7 +16,7 @@
 		expect(samples.newestReachedStartMs({term: 2, offset: 7})).toEqual(40);
 	});
 
-	it('ignores proofs that would go back, and forgets the oldest', () => {
+	it('ignores proofs of lower positions, and drops the oldest', () => {
 		const samples = new FreshnessSamples(2);
 		for (let offset = 1; offset <= 6; offset++) {
 			samples.add({startedAtMs: offset, position: {term: 1, offset}});
--- a/src/common/groups/freshness-samples.ts
+++ b/src/common/groups/freshness-samples.ts
@@ -1,10 +1,10 @@
 /**
- * Proofs of freshness, kept to bound the age of what replicas show.
+ * Samples of proved positions, which bound the staleness of replicas.
  */
 import {comparePositions, hasReached, type LogPosition} from '../positions/log-position.js';
 import type {FreshnessSample} from './types.js';
 
-/** Samples in order of time; positions never go back. */
+/** Samples in order of time; their positions never decrease. */
 export class FreshnessSamples {
 	private readonly _limit: number;
 	private _samples: FreshnessSample[] = [];
@@ -13,7 +13,7 @@
 		this._limit = limit;
 	}
 
-	/** Keeps a proof. One that proved the position of the last one takes its place. */
+	/** Adds a sample; it replaces the last one if the position is the same, and is ignored if the position is lower. */
 	add(sample: FreshnessSample): void {
 		const last = this._samples.at(-1);
 		const order = last ? comparePositions(sample.position, last.position) : 1;
@@ -31,7 +31,7 @@
 		}
 	}
 
-	/** Start of the youngest proof whose position a replica that applied this much shows. */
+	/** Start, in milliseconds, of the newest proof whose position a replica that has applied `applied` has reached; undefined when there is none. */
 	newestReachedStartMs(applied: LogPosition): number | undefined {
 		let low = 0;
 		let high = this._samples.length;
--- a/src/common/groups/group-state.ts
+++ b/src/common/groups/group-state.ts
@@ -1,5 +1,5 @@
 /**
- * What this node knows about one group: its instances and who leads it.
+ * The state of one group as this node knows it: its instances, its term and its primary.
  */
 import {DisposableStore, type Disposable} from '../lifecycle/disposable.js';
 import {Emitter, type Event} from '../lifecycle/emitter.js';
@@ -11,14 +11,14 @@
 import type {SafetyRules} from './safety-rules.js';
 import type {GroupOptions, GroupServices, MonitorContext} from './types.js';
 
-/** Follows the instances of one group. The term known never goes back. */
+/** Watches the instances of one group. The known term never decreases. */
 export class GroupState implements Disposable {
 	readonly name: string;
-	/** Fires when an instance reported its state. */
+	/** Fires when an instance has reported its state. */
 	readonly onReport: Event<InstanceWatch>;
-	/** Fires when a connection to an instance was made, lost or refused. */
+	/** Fires when a control connection to an instance was opened or lost, or an attempt to open one failed. */
 	readonly onConnection: Event<InstanceWatch>;
-	/** Fires when a primary of a higher term became known. */
+	/** Fires when the primary of a higher term becomes known. */
 	readonly onPrimary: Event<PrimaryAnnouncement>;
 
 	private readonly _services: GroupServices;
@@ -29,7 +29,7 @@
 	private readonly _onConnection = this._scope.register(new Emitter<InstanceWatch>());
 	private readonly _onPrimary = this._scope.register(new Emitter<PrimaryAnnouncement>());
 	private readonly _watches = new Map<string, InstanceWatch>();
-	private _list: readonly InstanceWatch[] = [];
+	private _orderedWatches: readonly InstanceWatch[] = [];
 	private _term = 0;
 	private _primary = '';
 	private _highestTerm = 0;
@@ -45,7 +45,7 @@
 		this._rules = rules;
 	}
 
-	/** Instances of the group as configured. */
+	/** Number of instances in the group's configuration. */
 	get size(): number {
 		return this._watches.size;
 	}
@@ -57,64 +57,65 @@
 
 	/** The instances, in the order of the configuration. */
 	get watches(): readonly InstanceWatch[] {
-		return this._list;
+		return this._orderedWatches;
 	}
 
-	/** Highest term with a known primary; zero without one. */
+	/** Highest term whose primary is known; zero when none is. */
 	get term(): number {
 		return this._term;
 	}
 
-	/** Name of the primary of that term; empty without one. */
+	/** Name of the endpoint that is the primary of that term; empty when none is known. */
 	get primary(): string {
 		return this._primary;
 	}
 
-	/** The primary's watch; undefined when there is none or it left the group. */
+	/** The primary's watch; undefined when no primary is known or it has left the group. */
 	get primaryWatch(): InstanceWatch | undefined {
 		return this._watches.get(this._primary);
 	}
 
-	/** Highest term seen, promised by any instance or announced. */
+	/** Highest term seen, whether promised by an instance or announced. */
 	get highestTerm(): number {
 		return this._highestTerm;
 	}
 
-	/** Highest term that a majority of the instances reports to have promised, or a higher one. */
+	/** Highest term such that a majority of the instances reports to have promised it or a higher one. */
 	get majorityTerm(): number {
 		return largestValueReachedBy(this.states().map(state => state.promisedTerm), this.majority);
 	}
 
-	/** When that term was first seen. */
+	/** When the highest term was first seen. */
 	get highestTermSinceMs(): number {
 		return this._highestTermSinceMs;
 	}
 
-	/** Instances whose reports are recent. */
+	/** Instances that are connected and have reported recently. */
 	get reachable(): readonly InstanceWatch[] {
 		return this.watches.filter(watch => watch.isReachable);
 	}
 
-	/** States of the instances that are connected. */
+	/** Last reported states of the instances that are connected. */
 	states(): readonly InstanceState[] {
 		return this.watches.flatMap(({state}) => state ?? []);
 	}
 
-	/** The watch of an endpoint. */
+	/** The watch of an endpoint; undefined when the endpoint is not in the group. */
 	watch(endpoint: string): InstanceWatch | undefined {
 		return this._watches.get(endpoint);
 	}
 
-	/** Whether the known primary, by its own last report, still leads the known term. */
+	/** Whether the known primary, according to its own last report, still leads the known term. */
 	isPrimaryLeading(): boolean {
 		const state = this.primaryWatch?.state;
 		return state !== undefined && isLeading(state) && state.promisedTerm === this._term;
 	}
 
 	/**
-	 * Offset up to which a majority that follows the term holds its log. The primary of the
-	 * term counts by the position itself: it wrote that place of its log while it led, so
-	 * whatever it promised later, it promised with that place in its log.
+	 * Offset up to which a majority of the instances, all of which follow the term, holds its
+	 * log; -1 when there is no such majority. The primary of the term counts as holding any
+	 * offset, whatever it reports: it wrote the entry at that offset while it led the term, so
+	 * if it promised a higher term later, the entry was already in its log when it did.
 	 */
 	majorityOffset(term: number): number {
 		const offsets = this.watches.flatMap(({name, state}) => {
@@ -124,7 +125,7 @@
 		return largestValueReachedBy(offsets, this.majority, -1);
 	}
 
-	/** Follows the configuration: adds, drops and replaces watches. */
+	/** Applies the group's definition: adds, removes and replaces watches. */
 	configure(definition: GroupDefinition | undefined): void {
 		const wanted = new Map(definition?.endpoints.map(endpoint => [endpoint.name, endpoint]));
 		for (const [name, watch] of this._watches) {
@@ -141,10 +142,10 @@
 			}
 		}
 
-		this._list = [...wanted.keys()].map(name => this._watches.get(name)!);
+		this._orderedWatches = [...wanted.keys()].map(name => this._watches.get(name)!);
 	}
 
-	/** Takes in that a term has a primary; an older term changes nothing. */
+	/** Records the primary of a term; ignored unless the term is higher than the known one. */
 	learnPrimary(announcement: PrimaryAnnouncement): void {
 		this.learnTerm(announcement.term);
 		if (announcement.term <= this._term) {
@@ -161,7 +162,7 @@
 		this._onPrimary.fire(announcement);
 	}
 
-	/** Takes in that a term has been promised somewhere. */
+	/** Records that a term has been promised by some instance. */
 	learnTerm(term: number): void {
 		if (term > this._highestTerm) {
 			this._highestTerm = term;
@@ -169,14 +170,14 @@
 		}
 	}
 
-	/** Counts everybody's silence from now on. */
+	/** Restarts the silence timers of all instances, as if each had just been heard. */
 	resetSilence(): void {
 		for (const watch of this._watches.values()) {
 			watch.resetSilence();
 		}
 	}
 
-	/** The group as this node knows it. */
+	/** A snapshot of the group as this node knows it. */
 	view(): GroupView {
 		return {
 			group: this.name,
--- a/src/common/groups/instance-watch.ts
+++ b/src/common/groups/instance-watch.ts
@@ -1,6 +1,6 @@
 /**
- * One instance of a group as this node sees it: keeps a control connection to it and the
- * last state that it reported.
+ * One instance of a group as this node sees it: keeps a control connection to it open and
+ * holds the last state that it reported.
  */
 import {Backoff} from '../homes/backoff.js';
 import {DisposableStore, type Disposable} from '../lifecycle/disposable.js';
@@ -14,20 +14,20 @@
 
 type WatchServices = Pick<GroupServices, 'clock' | 'random' | 'connector' | 'log' | 'membership'>;
 
-/** Orders that answer with the instance's state. */
-type ClaimOrder = (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>;
+/** Sends a command that the instance answers with its state. */
+type ClaimCommand = (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>;
 
-/** Reads that may wait for an answer of one instance; a frozen one gets no more. */
+/** Maximum number of status requests in flight to one instance, so that they do not pile up at a frozen one. */
 const maximumConcurrentReads = 4;
 
-/** Watches one instance. One task connects, serves the connection, and connects again. */
+/** Watches one instance. A single task connects, serves the connection until it ends, and reconnects. */
 export class InstanceWatch implements Disposable {
 	readonly endpoint: EndpointAddress;
-	/** Silence after which the instance is asked for its state; shorter for a primary. */
+	/** Silence, in milliseconds, after which the instance is asked for its state; shorter for a primary. */
 	checkAfterMs: number;
-	/** Fires with every state that the instance reported. */
+	/** Fires with every state that the instance reports. */
 	readonly onReport: Event<InstanceState>;
-	/** Fires when the connection was made or lost, or an attempt was refused. */
+	/** Fires when the connection was opened or lost, or an attempt to open it failed. */
 	readonly onConnection: Event<void>;
 
 	private readonly _services: WatchServices;
@@ -63,38 +63,38 @@
 		return this.endpoint.name;
 	}
 
-	/** The connection while it lasts. */
+	/** The control connection; undefined while there is none. */
 	get control(): InstanceControl | undefined {
 		return this._control;
 	}
 
-	/** Last state reported on the connection that is open; undefined without one. */
+	/** Last state reported on the open connection; undefined while there is none. */
 	get state(): InstanceState | undefined {
 		return this._state;
 	}
 
-	/** Attempts to connect that were refused since the instance was last heard. */
+	/** Number of connection attempts that were refused since the instance last reported its state. */
 	get refusals(): number {
 		return this._refusals;
 	}
 
-	/** When the instance was last heard, or silence was last excused. */
+	/** When the instance was last heard, or its silence was last reset, in milliseconds on this node's clock. */
 	get lastHeardMs(): number {
 		return this._lastHeardMs;
 	}
 
-	/** When the last connection was lost. */
+	/** When the last connection was lost, in milliseconds on this node's clock. */
 	get lastClosedMs(): number {
 		return this._lastClosedMs;
 	}
 
-	/** Whether the instance reported its state not long ago. */
+	/** Whether the instance is connected, has reported its state and was heard within `unreachableAfterMs`. */
 	get isReachable(): boolean {
 		const silenceMs = this._services.clock.nowMs() - this._lastHeardMs;
 		return this._state !== undefined && silenceMs < this._options.unreachableAfterMs;
 	}
 
-	/** What this node knows about the instance. */
+	/** A snapshot of what this node knows about the instance. */
 	view(): InstanceView {
 		return {
 			endpoint: this.name,
@@ -104,18 +104,18 @@
 		};
 	}
 
-	/** Starts the task. */
+	/** Starts the task that keeps the instance connected. */
 	start(): void {
 		void this._run();
 	}
 
-	/** Counts silence from now on, after this node itself was paused. */
+	/** Restarts the silence timer after this node itself was paused. */
 	resetSilence(): void {
 		this._lastHeardMs = this._services.clock.nowMs();
 		this._refusals = 0;
 	}
 
-	/** Asks for the state; undefined when no answer came in time. */
+	/** Requests the instance's state; undefined when it is not connected, too many requests are in flight or no answer arrives within the timeout, in milliseconds. */
 	async readState(timeoutMs: number): Promise<InstanceState | undefined> {
 		const control = this._control;
 		if (!control || this._readsInProgress >= maximumConcurrentReads) {
@@ -136,21 +136,21 @@
 		return state;
 	}
 
-	/** Gives an order; undefined when it is not known what became of it. */
-	async order(give: ClaimOrder, timeoutMs = this._options.orderTimeoutMs): Promise<TermClaim | undefined> {
+	/** Sends a command and returns the answer; undefined when its result is unknown or there is no connection. */
+	async order(send: ClaimCommand, timeoutMs = this._options.orderTimeoutMs): Promise<TermClaim | undefined> {
 		const control = this._control;
 		if (!control) {
 			return undefined;
 		}
 
 		const reports = this._reportCount;
-		const answer = await withTimeout(this._services.clock, give(control), timeoutMs);
+		const answer = await withTimeout(this._services.clock, send(control), timeoutMs);
 		const claim = answer?.toMaybe().extract();
 		this._handleAnswer(control, reports, claim?.state);
 		return claim;
 	}
 
-	/** Waits for a connection, if there is none. */
+	/** Resolves when a connection is open, or after the timeout, in milliseconds. */
 	async whenConnected(timeoutMs: number): Promise<void> {
 		if (this._control) {
 			return;
@@ -185,7 +185,7 @@
 
 			const servedMs = this._services.clock.nowMs() - startedMs;
 			if (control && servedMs > this._options.reconnectMs) {
-				// No wait: the first attempt tells a crash from a reset.
+				// Reconnects without delay: the first attempt distinguishes a crash from a reset connection.
 				backoff.reset();
 			} else {
 				backoff.fail();
@@ -195,7 +195,7 @@
 		}
 	}
 
-	/** Connects once. */
+	/** Tries to connect once. */
 	private async _connect(): Promise<InstanceControl | undefined> {
 		const {control, failure} = await connectControl(this.endpoint, this._services, this._options);
 		if (failure === 'refused') {
@@ -245,7 +245,7 @@
 		this._onConnection.fire();
 	}
 
-	/** Asks a silent instance for its state; gives the time until the next look. */
+	/** Requests the state of a silent instance, or closes the connection after a long silence; returns the time until the next check, in milliseconds. */
 	private _checkSilence(): number {
 		const silenceMs = this._services.clock.nowMs() - Math.max(this._lastHeardMs, this._connectedMs);
 		if (silenceMs >= this._options.replaceSilentAfterMs) {
@@ -267,7 +267,7 @@
 		control?.dispose();
 	}
 
-	/** Takes in an answer, unless a report that came meanwhile may be newer. */
+	/** Applies the state in an answer, unless a report that arrived meanwhile may be newer. */
 	private _handleAnswer(control: InstanceControl, reportsBefore: number, state: InstanceState | undefined): void {
 		if (!state || this._control !== control) {
 			return;
--- a/src/common/groups/loss-rules.ts
+++ b/src/common/groups/loss-rules.ts
@@ -1,26 +1,27 @@
 /**
- * The rules by which a primary is taken as lost.
+ * The rules by which a primary counts as lost.
  *
- * A wrong decision costs an interruption, never a write: promotion is safe at any time.
- * So the rules weigh speed against interruptions only (constants.ts has the numbers).
+ * A wrong decision costs an interruption, but never an acknowledged write: promotion is safe
+ * at any time. So the rules only weigh the speed of detection against needless interruptions
+ * (constants.ts has the thresholds).
  */
 import type {InstanceWatch} from './instance-watch.js';
 import type {GroupState} from './group-state.js';
 import type {PeerOpinions} from './peer-opinions.js';
 import type {GroupOptions, GroupServices, PromotionReason} from './types.js';
 
-/** What a rule found. */
+/** The result of a rule that calls for another primary. */
 export type LossFinding = {
 	readonly reason: PromotionReason;
-	/** When the primary was last known to serve. */
+	/** When the primary was last known to serve, in milliseconds on this node's clock. */
 	readonly sinceMs: number;
-	/** Whether the known primary is not to be waited for. */
+	/** Whether the known primary is suspected, so that the promotion does not wait for its answer. */
 	readonly isPrimarySuspected: boolean;
 };
 
 type Rule = () => LossFinding | undefined;
 
-/** Judges what is known about one group. */
+/** Applies the rules to the known state of one group. */
 export class LossRules {
 	private readonly _group: GroupState;
 	private readonly _opinions: PeerOpinions;
@@ -29,7 +30,7 @@
 	private readonly _startedMs: number;
 	private readonly _sinceMs = new Map<PromotionReason, number>();
 
-	/** The rules, in the order of their speed. */
+	/** The rules, the fastest to detect a loss first. */
 	private readonly _rules: readonly Rule[] = [
 		() => this._crash(),
 		() => this._silence(),
@@ -46,12 +47,12 @@
 		this._startedMs = services.clock.nowMs();
 	}
 
-	/** Whether a rule's condition holds that has to last. */
+	/** Whether the condition of a rule with a minimum duration currently holds. */
 	get isPending(): boolean {
 		return this._sinceMs.size > 0;
 	}
 
-	/** The first rule that calls for another primary; none while somebody claims a term. */
+	/** The finding of the first rule that calls for another primary; undefined while another promoter has recently claimed a higher term. */
 	evaluate(): LossFinding | undefined {
 		const findings = this._rules.flatMap(rule => rule() ?? []);
 		const claimedMs = this._services.clock.nowMs() - this._group.highestTermSinceMs;
@@ -59,14 +60,14 @@
 		return isClaimed ? undefined : findings[0];
 	}
 
-	/** Counts what has to last anew. */
+	/** Restarts the durations of all conditions that must hold for a minimum time. */
 	reset(): void {
 		this._sinceMs.clear();
 	}
 
 	/**
-	 * The endpoint refuses connections and a replica lost its stream: the process is gone. Or
-	 * it is back, and says itself that it lost its log.
+	 * Either the endpoint refuses connections and a replica has lost its stream, so the process
+	 * is gone; or the process is back and reports that it is rebuilding, so it lost its log.
 	 */
 	private _crash(): LossFinding | undefined {
 		const watch = this._group.primaryWatch;
@@ -81,8 +82,9 @@
 	}
 
 	/**
-	 * Nobody hears the primary: a cut if its whole zone is silent, too, and no replica gets
-	 * its stream; otherwise it is frozen.
+	 * Neither this node nor a peer hears the primary. It counts as cut off if its whole zone is
+	 * silent as well and no replica receives its stream; otherwise it counts as frozen, after a
+	 * longer silence.
 	 */
 	private _silence(): LossFinding | undefined {
 		if (!this._group.primaryWatch) {
@@ -100,7 +102,7 @@
 		return silenceMs >= this._options.frozenAfterMs ? {reason: 'frozen', sinceMs, isPrimarySuspected: true} : undefined;
 	}
 
-	/** The primary is heard, so it is not paused, but too few replicas get its stream for a write to be confirmed. */
+	/** The primary is heard, so it is not frozen, but too few replicas receive its stream for a write to be confirmed. */
 	private _isolation(): LossFinding | undefined {
 		const isHeard = this._group.primaryWatch !== undefined
 			&& this._services.clock.nowMs() - this._primaryLastHeardMs() < this._options.opinionFreshMs;
@@ -109,7 +111,7 @@
 		return this._ifSustained('isolated', isHeard && isIsolated, this._options.isolatedAfterMs);
 	}
 
-	/** A term was promised that nobody leads, or no primary was ever seen. */
+	/** A majority promised a higher term that no instance leads, the known primary is fenced or no longer in the group, or no primary was ever seen. */
 	private _vacancy(): LossFinding | undefined {
 		if (this._group.term === 0) {
 			const isLate = this._services.clock.nowMs() - this._startedMs >= this._options.frozenAfterMs;
@@ -121,14 +123,14 @@
 		return this._ifSustained('vacant', isVacant, this._options.vacantAfterMs);
 	}
 
-	/** An instance promised a higher term than the primary's to a promoter that did not finish. */
+	/** An instance promised a higher term than the primary's to a promoter that did not finish, so it no longer follows the primary. */
 	private _stranding(): LossFinding | undefined {
 		const isStranded = this._group.isPrimaryLeading() && this._group.reachable.some(({state}) =>
 			state !== undefined && state.role !== 'rebuilding' && state.promisedTerm > this._group.term);
 		return this._ifSustained('stranded', isStranded, this._options.strandedAfterMs);
 	}
 
-	/** A finding once a condition has held for a time. */
+	/** Returns a finding once the condition has held without interruption for the given time. */
 	private _ifSustained(reason: PromotionReason, isTrue: boolean, durationMs: number): LossFinding | undefined {
 		if (!isTrue) {
 			this._sinceMs.delete(reason);
@@ -141,7 +143,7 @@
 		return nowMs - sinceMs >= durationMs ? {reason, sinceMs, isPrimarySuspected: reason === 'isolated'} : undefined;
 	}
 
-	/** When the primary was last heard, by this node or by a peer. */
+	/** When this node or a peer last heard the primary. */
 	private _primaryLastHeardMs(): number {
 		return Math.max(this._group.primaryWatch?.lastHeardMs ?? 0, this._opinions.primaryLastHeardMs);
 	}
@@ -150,7 +152,7 @@
 		return this._group.reachable.filter(({name}) => name !== this._group.primary);
 	}
 
-	/** Replicas that get the primary's stream. */
+	/** Reachable replicas that receive the primary's stream in the known term. */
 	private _streamingReplicas(): readonly InstanceWatch[] {
 		return this._replicas().filter(({state}) => state?.isStreaming && state.promisedTerm === this._group.term);
 	}
--- a/src/common/groups/monitored-group.test.ts
+++ b/src/common/groups/monitored-group.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('MonitoredGroup', () => {
-	it('adopts the primary that the group has, confirms, proves and bounds ages', async () => {
+	it('adopts the existing primary, confirms writes, proves positions and bounds the age of replicas', async () => {
 		const world = await startedWorld();
 		for (const {monitor} of world.nodes) {
 			const {term, primary} = monitor.view();
@@ -29,8 +29,8 @@
 	it('replaces a primary that crashed', async () => {
 		const world = await startedWorld();
 		world.instance('stock-a').crash();
-		await world.clock.advanceWhile(() => !world.leader, 1500);
-		expect(world.leader?.promisedTerm).toEqual(2);
+		await world.clock.advanceWhile(() => !world.primary, 1500);
+		expect(world.primary?.promisedTerm).toEqual(2);
 		await world.clock.advance(500);
 		for (const {monitor} of world.nodes) {
 			expect(monitor.view().term).toEqual(2);
--- a/src/common/groups/monitored-group.ts
+++ b/src/common/groups/monitored-group.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one database group: confirmation of writes, proofs of freshness, detection of a
- * lost primary and promotion.
+ * Monitors one database group: confirms writes, proves freshness, detects the loss of the
+ * primary and promotes another.
  */
 import {Left, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -23,10 +23,10 @@
 import {isLeading} from './quorum.js';
 import type {GroupOptions, GroupServices, MonitorContext} from './types.js';
 
-/** One group, followed from this node. */
+/** One group, monitored from this node. */
 export class MonitoredGroup implements GroupMonitor, Disposable {
 	readonly group: string;
-	/** Fires when an instance reported, or a connection or the primary changed. */
+	/** Fires with the new view when an instance has reported its state, or a connection or the primary has changed. */
 	readonly onChange: Event<GroupView>;
 
 	private readonly _services: GroupServices;
@@ -41,7 +41,7 @@
 	private readonly _promoter: Promoter;
 	private readonly _orderedChanges: OrderedPrimaryChanges;
 	private _sampleTimer: Disposable | undefined;
-	private _freshnessAskedMs = Number.NEGATIVE_INFINITY;
+	private _freshnessLastRequestedMs = Number.NEGATIVE_INFINITY;
 	private _lastUsedMs: number;
 	private _recordedTerm = 0;
 
@@ -60,18 +60,18 @@
 		this._promoter = new Promoter(this._state, followers, context);
 		this._detector = this._scope.register(new FailureDetector(this._state, context));
 		this._orderedChanges = this._scope.register(new OrderedPrimaryChanges(this._state, this._promoter, services, options));
-		this._listen();
+		this._subscribe();
 		this.configure(services.configuration.group(group));
 		void this._replaceLostPrimaries();
 		void this._orderedChanges.run();
 	}
 
-	/** When somebody last asked something of the monitor. */
+	/** When the monitor was last used, in milliseconds on this node's clock. */
 	get lastUsedMs(): number {
 		return this._lastUsedMs;
 	}
 
-	/** Follows a change of the group's definition. */
+	/** Applies a change of the group's definition. */
 	configure(definition: GroupDefinition | undefined): void {
 		this._state.configure(definition);
 		this._orderedChanges.wake();
@@ -135,8 +135,8 @@
 	}
 
 	/**
-	 * Records the term of a primary that was seen to lead: its promoter may have died before.
-	 * A term that the table has already costs one read.
+	 * Records the term of a primary that was seen to lead, because its promoter may have died
+	 * before it recorded the term. For a term that is already in the table this costs one read.
 	 */
 	private _recordTerm({name, state}: InstanceWatch): void {
 		if (state && isLeading(state) && state.promisedTerm > this._recordedTerm) {
@@ -145,7 +145,7 @@
 		}
 	}
 
-	private _listen(): void {
+	private _subscribe(): void {
 		this._scope.register(this._prover.onProof(sample => {
 			this._samples.add(sample);
 		}));
@@ -165,7 +165,7 @@
 		}));
 	}
 
-	/** The task that replaces lost primaries. */
+	/** Runs the task that replaces lost primaries. */
 	private async _replaceLostPrimaries(): Promise<void> {
 		const backoff = this._promoter.newBackoff();
 		const sleep = this._scope.register(new WakeableSleep(this._services.clock));
@@ -191,14 +191,14 @@
 		this._confirmations.fence(majorityTerm);
 		for (const term of this._confirmations.terms) {
 			this._services.invariants.check('fencedAcknowledgement', term >= majorityTerm, () =>
-				`${this.group}: a majority promised term ${majorityTerm}, a write waits in ${term}`);
+				`${this.group}: a majority promised term ${majorityTerm}, but a write of term ${term} still waits for confirmation`);
 			this._confirmations.advance(term, this._state.majorityOffset(term));
 		}
 	}
 
-	/** Takes proofs in the background while somebody asks for ages. */
+	/** Keeps background proofs running while callers request proofs or ages. */
 	private _keepSampling(): void {
-		this._freshnessAskedMs = this._services.clock.nowMs();
+		this._freshnessLastRequestedMs = this._services.clock.nowMs();
 		if (!this._sampleTimer && !this._scope.isDisposed) {
 			this._sample();
 		}
@@ -207,7 +207,7 @@
 	private _sample(): void {
 		const {clock} = this._services;
 		this._sampleTimer = undefined;
-		if (clock.nowMs() - this._freshnessAskedMs > this._options.sampleIdleMs) {
+		if (clock.nowMs() - this._freshnessLastRequestedMs > this._options.sampleIdleMs) {
 			return;
 		}
 
--- a/src/common/groups/monitored-groups.test.ts
+++ b/src/common/groups/monitored-groups.test.ts
@@ -4,7 +4,7 @@
 import {FakeWorld} from './testing/fake-world.js';
 
 describe('MonitoredGroups', () => {
-	it('keeps a monitor while its group is configured and this node serves or uses it', async () => {
+	it('keeps a monitor while its group is configured and this node is a home of the group or uses the monitor', async () => {
 		const world = new FakeWorld(1);
 		await world.start();
 		let isConfigured = true;
@@ -39,7 +39,7 @@
 		world.dispose();
 	});
 
-	it('leaves nothing running when disposed', async () => {
+	it('leaves no timers pending when disposed', async () => {
 		const world = new FakeWorld(2);
 		await world.start();
 		const groups = new MonitoredGroups(world.nodes[0].services());
--- a/src/common/groups/monitored-groups.ts
+++ b/src/common/groups/monitored-groups.ts
@@ -9,7 +9,7 @@
 import {safetyRules} from './safety-rules.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
-/** Creates monitors on demand; ends those that are no longer needed. */
+/** Creates monitors on demand, and disposes of those that are no longer needed. */
 export class MonitoredGroups implements Groups {
 	private readonly _services: GroupServices;
 	private readonly _options: GroupOptions;
@@ -23,9 +23,9 @@
 		this._options = {...groupDefaults, ...options};
 		this._pauseDetector = this._scope.register(new PauseDetector(services.clock, this._options.pauseBoundMs));
 		this._scope.register(services.configuration.onChange(() => {
-			this._configure();
+			this._applyConfiguration();
 		}));
-		this._sweepLater();
+		this._scheduleSweep();
 	}
 
 	monitor(group: string): MonitoredGroup {
@@ -48,41 +48,41 @@
 		this._scope.dispose();
 		this._sweepTimer?.dispose();
 		for (const group of this._monitors.keys()) {
-			this._end(group);
+			this._removeMonitor(group);
 		}
 	}
 
-	private _configure(): void {
+	private _applyConfiguration(): void {
 		for (const [group, monitor] of this._monitors) {
 			const definition = this._services.configuration.group(group);
 			if (definition) {
 				monitor.configure(definition);
 			} else {
-				this._end(group);
+				this._removeMonitor(group);
 			}
 		}
 	}
 
-	/** Ends monitors of groups that this node serves no endpoint of and nobody asks about. */
+	/** Removes idle monitors of groups for which this node is the home of no endpoint. */
 	private _sweep(): void {
 		const {clock, configuration, membership} = this._services;
 		for (const [group, monitor] of this._monitors) {
 			const endpoints = configuration.group(group)?.endpoints ?? [];
 			const isHome = endpoints.some(endpoint => membership.homeOf(endpoint)?.name === membership.self.name);
 			if (!isHome && clock.nowMs() - monitor.lastUsedMs > this._options.unusedAfterMs) {
-				this._end(group);
+				this._removeMonitor(group);
 			}
 		}
 	}
 
-	private _sweepLater(): void {
+	private _scheduleSweep(): void {
 		this._sweepTimer = this._services.clock.setTimer(this._options.unusedAfterMs / 3, () => {
 			this._sweep();
-			this._sweepLater();
+			this._scheduleSweep();
 		});
 	}
 
-	private _end(group: string): void {
+	private _removeMonitor(group: string): void {
 		this._monitors.get(group)?.dispose();
 		this._monitors.delete(group);
 	}
--- a/src/common/groups/ordered-primary-changes.ts
+++ b/src/common/groups/ordered-primary-changes.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of the primary that operators order: one endpoint is to be primary, or the
- * primary's endpoint is to be emptied.
+ * Changes of the primary that operators order: a given endpoint is to become primary, or the
+ * primary's endpoint is to be drained.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -15,10 +15,10 @@
 import {lagEntries} from './quorum.js';
 import type {GroupOptions, GroupServices, PromotionReason} from './types.js';
 
-/** A change that the rules in force ask for. */
+/** A change that the current configuration asks for. */
 type WantedChange = {readonly reason: PromotionReason; readonly endpoint: string | undefined; readonly responsibleEndpoint: string};
 
-/** Carries ordered changes out, from the node that is closest to them. */
+/** Carries out ordered changes, normally on the home of the endpoint concerned. */
 export class OrderedPrimaryChanges implements Disposable {
 	private readonly _group: GroupState;
 	private readonly _promoter: Promoter;
@@ -38,7 +38,7 @@
 		this._backoff = promoter.newBackoff();
 	}
 
-	/** The task that follows the rules in force. */
+	/** Runs the task that carries out the changes that the configuration asks for; resolves once disposed. */
 	async run(): Promise<void> {
 		while (!this._isDisposed) {
 			const isWanted = this._wantedSinceMs !== undefined;
@@ -58,12 +58,12 @@
 		}
 	}
 
-	/** Looks again at once. */
+	/** Checks for an ordered change at once. */
 	wake(): void {
 		this._sleep.wake();
 	}
 
-	/** Moves the primary to an endpoint, or to the best one. */
+	/** Makes an endpoint primary, or the best replica if none is given; refused if it cannot be reached, is too stale or does not become primary. */
 	async movePrimary(reason: PromotionReason, endpoint: string | undefined): Promise<Either<Refusal, GroupView>> {
 		const wanted = this._wantedWatch(endpoint);
 		if (!wanted?.isReachable) {
@@ -95,10 +95,10 @@
 		this._sleep.dispose();
 	}
 
-	/** Waits, with the primary at work, until the replica lacks little of its log. */
+	/** Waits, while the primary keeps writing, until the replica has nearly caught up; false after `catchUpTimeoutMs`. */
 	private async _waitForCatchUp(wanted: InstanceWatch): Promise<boolean> {
 		let subscription: Disposable | undefined;
-		const close = new Promise<true>(resolve => {
+		const caughtUp = new Promise<true>(resolve => {
 			const check = (): void => {
 				if (this._isNearlyCaughtUp(wanted)) {
 					resolve(true);
@@ -108,9 +108,9 @@
 			subscription = this._group.onReport(check);
 			check();
 		});
-		const isClose = await withTimeout(this._services.clock, close, this._options.catchUpTimeoutMs);
+		const isCaughtUp = await withTimeout(this._services.clock, caughtUp, this._options.catchUpTimeoutMs);
 		subscription?.dispose();
-		return isClose ?? false;
+		return isCaughtUp ?? false;
 	}
 
 	private _isNearlyCaughtUp(replica: InstanceWatch | undefined): boolean {
@@ -147,10 +147,10 @@
 		return isPrimaryDraining ? {reason: 'draining', endpoint: undefined, responsibleEndpoint: this._group.primary} : undefined;
 	}
 
-	/** The home of the endpoint acts; another monitor steps in when it does not. */
-	private _isResponsible({responsibleEndpoint: orderedOf}: WantedChange): boolean {
+	/** Whether this node is to carry out the change: the home of the endpoint does, and any other monitor after `orderedTakeoverMs`. */
+	private _isResponsible({responsibleEndpoint}: WantedChange): boolean {
 		const {clock, membership} = this._services;
-		const endpoint = this._group.watch(orderedOf)?.endpoint;
+		const endpoint = this._group.watch(responsibleEndpoint)?.endpoint;
 		const isHome = endpoint !== undefined && membership.homeOf(endpoint)?.name === membership.self.name;
 		return isHome || clock.nowMs() - (this._wantedSinceMs ?? clock.nowMs()) >= this._options.orderedTakeoverMs;
 	}
--- a/src/common/groups/pause-detector.ts
+++ b/src/common/groups/pause-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Notices when this process itself was paused, so that it does not take its own absence
- * for the silence of others.
+ * Detects when this process itself was paused, so that it does not mistake its own pause for
+ * the silence of others.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {Emitter, type Event} from '../lifecycle/emitter.js';
@@ -8,9 +8,9 @@
 
 const tickMs = 100;
 
-/** Ticks; a tick that comes much too late means that the process did not run. */
+/** Runs a periodic timer; a tick that is late by more than the bound means that the process was paused. */
 export class PauseDetector implements Disposable {
-	/** Fires with the length of a pause in milliseconds. */
+	/** Fires after a pause, with its length in milliseconds. */
 	readonly onPause: Event<number>;
 
 	private readonly _clock: Clock;
@@ -27,7 +27,7 @@
 		this._tick();
 	}
 
-	/** Looks now: after a pause, timers may run before this watch's own. */
+	/** Checks for a pause now: after one, other timers may run before the detector's own. */
 	check(): void {
 		const nowMs = this._clock.nowMs();
 		const lateMs = nowMs - this._lastTickMs - tickMs;
--- a/src/common/groups/peer-opinions.ts
+++ b/src/common/groups/peer-opinions.ts
@@ -1,15 +1,16 @@
 /**
- * What peers say about a primary that this node does not hear.
+ * What peers report about a primary that this node does not hear.
  *
- * An answer from a node in the primary's zone tells a frozen endpoint from a zone that is
- * cut off or lost. A peer that hears the primary itself tells a broken path from a loss.
+ * An answer from a node in the primary's zone distinguishes a frozen endpoint from a zone that
+ * is cut off or lost. A peer that hears the primary itself distinguishes a broken network path
+ * from the loss of the primary.
  */
 import {Right} from 'purify-ts';
 import type {EndpointAddress, Host} from '../services/services.js';
 import type {GroupState} from './group-state.js';
 import type {GroupOptions, GroupServices} from './types.js';
 
-/** Asks in rounds, one at a time. */
+/** Collects peer opinions in rounds, one round at a time. */
 export class PeerOpinions {
 	private readonly _group: GroupState;
 	private readonly _services: GroupServices;
@@ -17,7 +18,7 @@
 	private _primary = '';
 	private _zoneLastHeardMs = 0;
 	private _primaryLastHeardMs = 0;
-	private _isAsking = false;
+	private _isRoundInFlight = false;
 
 	constructor(group: GroupState, services: GroupServices, options: GroupOptions) {
 		this._group = group;
@@ -25,42 +26,42 @@
 		this._options = options;
 	}
 
-	/** When a node in the primary's zone was last known to live; zero when not known. */
+	/** When a node in the primary's zone was last known to be alive, in milliseconds on this node's clock; zero when unknown. */
 	get zoneLastHeardMs(): number {
 		return this._zoneLastHeardMs;
 	}
 
-	/** When a peer last heard the primary; zero when not known. */
+	/** When a peer last heard the primary, in milliseconds on this node's clock; zero when unknown. */
 	get primaryLastHeardMs(): number {
 		return this._primaryLastHeardMs;
 	}
 
-	/** Starts a round unless one is on its way. */
-	ask(primary: EndpointAddress | undefined): void {
+	/** Starts a round about the given primary, unless a round is already in flight. */
+	startRound(primary: EndpointAddress | undefined): void {
 		if (this._primary !== (primary?.name ?? '')) {
 			this._primary = primary?.name ?? '';
 			this._zoneLastHeardMs = 0;
 			this._primaryLastHeardMs = 0;
 		}
 
-		if (!this._isAsking) {
-			this._isAsking = true;
-			void this._round(primary);
+		if (!this._isRoundInFlight) {
+			this._isRoundInFlight = true;
+			void this._runRound(primary);
 		}
 	}
 
-	private async _round(primary: EndpointAddress | undefined): Promise<void> {
-		const asking = [...this._homes()].map(async home => this._askView(home));
+	private async _runRound(primary: EndpointAddress | undefined): Promise<void> {
+		const requests = [...this._otherHomes()].map(async home => this._requestView(home));
 		if (primary) {
-			asking.push(...this._zoneHosts(primary).map(async host => this._askZone(host, primary)));
+			requests.push(...this._zoneHosts(primary).map(async host => this._probeZoneHost(host, primary)));
 		}
 
-		await Promise.all(asking);
-		this._isAsking = false;
+		await Promise.all(requests);
+		this._isRoundInFlight = false;
 	}
 
-	/** Asks a home of one of the group's endpoints what it sees. */
-	private async _askView(host: Host): Promise<void> {
+	/** Requests the view of the group from the home of one of its endpoints. */
+	private async _requestView(host: Host): Promise<void> {
 		const {clock, peers} = this._services;
 		const answer = await peers.groupView(host, this._group.name, this._options.opinionTimeoutMs);
 		answer.ifRight(view => {
@@ -76,8 +77,8 @@
 		});
 	}
 
-	/** Asks a node in the primary's zone whether it lives. */
-	private async _askZone(host: Host, primary: EndpointAddress): Promise<void> {
+	/** Checks whether a node in the primary's zone is alive. */
+	private async _probeZoneHost(host: Host, primary: EndpointAddress): Promise<void> {
 		const {clock, membership, peers} = this._services;
 		const startedMs = clock.nowMs();
 		const isSelf = host.name === membership.self.name;
@@ -87,15 +88,15 @@
 		}
 	}
 
-	/** Homes of the group's endpoints on other nodes. */
-	private _homes(): Iterable<Host> {
+	/** The nodes other than this one that are homes of the group's endpoints. */
+	private _otherHomes(): Iterable<Host> {
 		const {membership} = this._services;
 		const homes = this._group.watches.flatMap(({endpoint}) => membership.homeOf(endpoint) ?? []);
 		const others = homes.filter(({name}) => name !== membership.self.name);
 		return new Map(others.map(home => [home.name, home])).values();
 	}
 
-	/** Nodes in the primary's zone, its home first. */
+	/** Nodes to probe in the primary's zone, its home first; only this node if it is in that zone itself. */
 	private _zoneHosts(primary: EndpointAddress): readonly Host[] {
 		const {membership} = this._services;
 		const home = membership.homeOf(primary);
--- a/src/common/groups/promoter.ts
+++ b/src/common/groups/promoter.ts
@@ -1,10 +1,10 @@
 /**
- * Promotion: raises the term on a majority, promotes the most advanced instance of those
- * that accepted, makes the others follow it, and lets everybody know.
+ * Promotion: raises the term on a majority of the instances, promotes the one with the most
+ * advanced log among those that accepted, makes the others follow it, and announces it.
  *
- * Nothing here rests on time or on being the only promoter. An instance accepts a term for
- * one claim only, so of two promoters at most one gets a majority for a term; the other
- * one sees a refusal and leaves, or starts again with a higher term.
+ * Safety depends neither on timing nor on there being a single promoter. An instance accepts
+ * a term for one claim only, so of two promoters at most one gets a majority for a term; the
+ * other one is refused and either gives way or starts again with a higher term.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -23,7 +23,7 @@
 	GroupOptions, GroupServices, MonitorContext, PromotionPlan,
 } from './types.js';
 
-/** Carries promotions of one group out, one at a time. */
+/** Carries out the promotions of one group, one at a time. */
 export class Promoter {
 	private readonly _group: GroupState;
 	private readonly _followers: FollowerRedirector;
@@ -50,7 +50,7 @@
 		return this._isBusy;
 	}
 
-	/** Carries one promotion out, unless another is in progress. */
+	/** Carries out a promotion and returns the resulting view of the group; refused while another promotion is in progress. */
 	async promote(plan: PromotionPlan): Promise<Either<Refusal, GroupView>> {
 		if (this._isBusy) {
 			return failed('a promotion of the group is in progress');
@@ -67,13 +67,13 @@
 		}
 	}
 
-	/** Waits between promotions that failed, so that an unreachable majority causes no storm. */
+	/** Creates the backoff between failed promotions, which keeps an unreachable majority from causing a storm of attempts. */
 	newBackoff(): Backoff {
 		const {promotionBackoffMs, longestPromotionBackoffMs} = this._options;
 		return new Backoff(this._services.clock, this._services.random, promotionBackoffMs, longestPromotionBackoffMs);
 	}
 
-	/** Tries again with a higher term, unless somebody else claimed one: that one goes first. */
+	/** Retries with a higher term, unless another promoter has claimed one: that promoter goes first. */
 	private async _tryRepeatedly(plan: PromotionPlan): Promise<Either<Refusal, GroupView>> {
 		for (let attempt = 1; ; attempt++) {
 			const claimant = this._newClaimant();
@@ -108,11 +108,11 @@
 	}
 
 	/**
-	 * For a change without failure: the old primary is the first to promise the new term, so
-	 * that it stops writing while the replicas still take the end of its log. Writes in
-	 * progress are then confirmed, not lost. Where the wanted replica does not get the end in
-	 * time, the most advanced instance is promoted as ever, most likely the old primary; the
-	 * change has failed then, and whoever ordered it tries again.
+	 * For a change of a primary that has not failed: the old primary is the first to promise
+	 * the new term, so that it stops writing while the replicas still receive the end of its
+	 * log. Writes in progress are then confirmed, not lost. If the wanted replica does not
+	 * receive the end in time, the most advanced instance is promoted as usual, most likely the
+	 * old primary; the change has then failed, and the caller that ordered it retries.
 	 */
 	private async _stopWrites(claimant: TermClaimant, wanted: string): Promise<void> {
 		const primary = this._group.primaryWatch;
@@ -128,7 +128,7 @@
 		}
 	}
 
-	/** Waits, within a bound, until a majority with this replica among it holds a position. */
+	/** Waits, at most `finalCatchUpMs`, until a majority that includes this replica holds a position. */
 	private async _waitUntilHeld(position: LogPosition, replica: InstanceWatch): Promise<void> {
 		let subscription: Disposable | undefined;
 		const held = new Promise<void>(resolve => {
@@ -147,14 +147,14 @@
 	}
 
 	/**
-	 * Raises the term on all instances at the same time. Ends when all that are thought
-	 * reachable have answered, or a short grace after a majority accepted.
+	 * Raises the term on all instances concurrently. Returns when all that count as reachable
+	 * have answered, or a short grace period after a majority has accepted.
 	 */
 	private async _raiseTermOnAll(claimant: TermClaimant, plan: PromotionPlan): Promise<void> {
 		const {clock} = this._services;
 		const missing = this._group.watches.filter(({name}) => !claimant.accepted.has(name));
 		const awaited: Array<Promise<boolean>> = [];
-		const enough = new Promise<void>(resolve => {
+		const quorumReached = new Promise<void>(resolve => {
 			const raise = async (watch: InstanceWatch): Promise<boolean> => {
 				const isAccepted = await claimant.raise(watch);
 				if (this._acceptedWithoutSuspect(plan, claimant).length >= this._rules.promotionQuorum(this._group.size)) {
@@ -172,19 +172,19 @@
 			}
 		});
 		const all = Promise.all(awaited);
-		await Promise.race([all, enough]);
+		await Promise.race([all, quorumReached]);
 		await withTimeout(clock, all, this._options.raiseGraceMs);
 		if (claimant.accepted.size < this._rules.promotionQuorum(this._group.size)) {
-			await withTimeout(clock, enough, this._options.raiseGraceMs);
+			await withTimeout(clock, quorumReached, this._options.raiseGraceMs);
 		}
 	}
 
-	/** The most advanced of the accepted; the suspect only where a majority needs it. */
+	/** The most advanced of the instances that accepted; the suspect is a candidate only if there is no majority without it. */
 	private _choose(plan: PromotionPlan, claimant: TermClaimant): Candidate {
 		const others = this._acceptedWithoutSuspect(plan, claimant);
-		const pool = others.length >= this._rules.promotionQuorum(this._group.size) ? others : [...claimant.accepted.values()];
+		const candidates = others.length >= this._rules.promotionQuorum(this._group.size) ? others : [...claimant.accepted.values()];
 		const preferences = {wanted: plan.wanted, availabilityZone: this._group.primaryWatch?.endpoint.availabilityZone};
-		return this._rules.rank(pool, preferences, this._services)[0];
+		return this._rules.rank(candidates, preferences, this._services)[0];
 	}
 
 	private _acceptedWithoutSuspect({suspect}: PromotionPlan, claimant: TermClaimant): Candidate[] {
@@ -213,7 +213,7 @@
 	private _newClaimant(): TermClaimant {
 		const {self} = this._services.membership;
 		this._claimCount++;
-		// State reports separate fields by spaces, so a claim has none.
+		// State reports separate their fields with spaces, so a claim must not contain any.
 		const claimId = `${self.name}.${self.incarnation}.${this._claimCount}`.replaceAll(/\s/gv, '_');
 		return new TermClaimant(this._group.highestTerm + 1, claimId, this._options);
 	}
--- a/src/common/groups/safety.test.ts
+++ b/src/common/groups/safety.test.ts
@@ -6,17 +6,17 @@
 import {Workload} from './testing/workload.js';
 
 const faultsMs = 12_000;
-const healingMs = 8000;
+const recoveryMs = 8000;
 
 type Run = {readonly violations: readonly string[]; readonly acknowledged: number; readonly gapAtEndMs: number};
 
-/** Random faults from a seed, then time to heal. */
+/** Injects random faults from a seed, then leaves time to recover. */
 async function runSeed(seed: number): Promise<Run> {
 	const world = new FakeWorld(seed);
 	await world.start();
 	const load = new Workload(world, 8);
 	await runFaults(world, faultsMs);
-	await world.clock.advance(healingMs);
+	await world.clock.advance(recoveryMs);
 	const gapAtEndMs = load.longestGapMs(world.clock.nowMs() - 1000);
 	load.end();
 	await world.clock.advance(1500);
@@ -24,7 +24,7 @@
 	return {violations: load.check(), acknowledged: load.acknowledged.length, gapAtEndMs};
 }
 
-type Broken = {
+type BrokenRule = {
 	readonly name: string;
 	readonly setup: FakeSetup;
 	readonly act: (world: FakeWorld) => void;
@@ -37,11 +37,11 @@
 function cut(world: FakeWorld): void {
 	world.network.cut(['a'], ['b', 'c']);
 	world.clock.setTimer(5000, () => {
-		world.network.heal();
+		world.network.clearCuts();
 	});
 }
 
-const broken: readonly Broken[] = [
+const brokenRules: readonly BrokenRule[] = [
 	{
 		name: 'promotion by a minority',
 		setup: {rules: {promotionQuorum: () => 1}},
@@ -51,22 +51,22 @@
 		},
 	},
 	{
-		name: 'promotion of the least advanced',
+		name: 'promotion of the least advanced instance',
 		setup: {rules: {rank: (...candidates) => rankCandidates(...candidates).toReversed()}},
 		act(world) {
 			world.network.cut(['a'], ['c']);
 			world.clock.setTimer(300, () => {
 				crash(world);
-				world.network.heal();
+				world.network.clearCuts();
 			});
 		},
 	},
-	{name: 'confirmation whatever the term', setup: {rules: {heldOffset: ({received}) => received.offset}}, act: cut},
+	{name: 'confirmation regardless of the term', setup: {rules: {heldOffset: ({received}) => received.offset}}, act: cut},
 	{name: 'proof by the primary alone', setup: {rules: {proofQuorum: () => 1}}, act: cut},
 ];
 
 describe('safety', () => {
-	it('keeps acknowledged writes, one primary a term, proofs and ages under random faults, and heals', async () => {
+	it('preserves acknowledged writes, one primary per term, proofs and ages under random faults, and recovers', async () => {
 		for (let seed = 1; seed <= 10; seed++) {
 			const {violations, acknowledged, gapAtEndMs} = await runSeed(seed);
 			expect({seed, violations}).toEqual({seed, violations: []});
@@ -75,8 +75,8 @@
 		}
 	});
 
-	for (const {name, setup, act} of broken) {
-		it(`would notice ${name}`, async () => {
+	for (const {name, setup, act} of brokenRules) {
+		it(`detects ${name}`, async () => {
 			const violationsOf = async (seed: number): Promise<readonly string[]> => {
 				const world = new FakeWorld(seed, setup);
 				await world.start();
--- a/src/common/groups/term-claimant.ts
+++ b/src/common/groups/term-claimant.ts
@@ -1,5 +1,5 @@
 /**
- * One claim to a term: the orders given under it, and what they found.
+ * One claim to a term: the commands sent under it, and their results.
  */
 import type {InstanceControl, TermClaim} from '../services/services.js';
 import type {Candidate} from './candidates.js';
@@ -8,13 +8,13 @@
 import type {GroupOptions} from './types.js';
 
 /**
- * Gives orders under one claim. Every order may be repeated under its claim, so that one
- * whose answer was lost is repeated to find out what became of it.
+ * Sends commands under one claim. Commands are idempotent under their claim, so one whose
+ * answer was lost is sent again to learn its result.
  */
 export class TermClaimant {
 	readonly term: number;
 	readonly claimId: string;
-	/** Instances that promised the term to this claim, with the state that they answered. */
+	/** Instances that promised the term to this claim, by endpoint name, with the state in their answer. */
 	readonly accepted = new Map<string, Candidate>();
 	private readonly _options: GroupOptions;
 	private _refusedTerm = 0;
@@ -25,12 +25,12 @@
 		this._options = options;
 	}
 
-	/** Highest term of which an instance said that it is promised to another claim; zero for none. */
+	/** Highest term that an instance reported as promised to another claim when it refused a command; zero when there is none. */
 	get refusedTerm(): number {
 		return this._refusedTerm;
 	}
 
-	/** Raises the promised term of one instance. */
+	/** Raises the promised term of one instance; true if it accepted, false if it refused or did not answer. */
 	async raise(watch: InstanceWatch): Promise<boolean> {
 		const answer = await this._sendUntilAnswered(watch, async control => control.raiseTerm(this.term, this.claimId));
 		if (answer?.isAccepted) {
@@ -42,7 +42,7 @@
 		return answer?.isAccepted ?? false;
 	}
 
-	/** Makes one instance primary; whether it is known to lead the term now. */
+	/** Promotes one instance; true if it is now known to lead the term under this claim. */
 	async promote(watch: InstanceWatch): Promise<boolean> {
 		const answer = await this._sendUntilAnswered(watch, async control => control.promote(this.term, this.claimId));
 		const state = answer?.state ?? watch.state;
@@ -53,14 +53,14 @@
 		return state !== undefined && isLeading(state) && state.promisedTerm === this.term && state.claimId === this.claimId;
 	}
 
-	private async _sendUntilAnswered(watch: InstanceWatch, give: (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>): Promise<TermClaim | undefined> {
+	private async _sendUntilAnswered(watch: InstanceWatch, send: (control: InstanceControl) => ReturnType<InstanceControl['raiseTerm']>): Promise<TermClaim | undefined> {
 		for (let attempt = 0; attempt < this._options.orderAttempts && watch.control; attempt++) {
-			const answer = await watch.order(give);
+			const answer = await watch.order(send);
 			if (answer) {
 				return answer;
 			}
 
-			// The connection may be the only thing that was lost.
+			// Perhaps only the connection was lost: retry once it is open again.
 			await watch.whenConnected(this._options.orderTimeoutMs);
 		}
 
--- a/src/common/groups/term-record.test.ts
+++ b/src/common/groups/term-record.test.ts
@@ -28,7 +28,7 @@
 const termOf = (term: number, primary = `i${term}`) => ({group: 'g', term, primary});
 
 describe('TermRecords', () => {
-	it('records a term through an outage, and the highest of those that waited', async () => {
+	it('records the highest pending term after an outage of the table', async () => {
 		const {clock, platform, connect} = setUp();
 		const {records} = connect();
 		platform.faults.outage = 'refused';
@@ -44,16 +44,16 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('tries seldom during a long outage', async () => {
+	it('backs off during a long outage', async () => {
 		const {clock, platform, connect} = setUp();
 		platform.faults.outage = 'refused';
 		connect().records.record(termOf(2), 'c2');
 		await clock.advance(600_000);
-		// At least half of the longest delay passes between two attempts after the first few.
+		// After the first few attempts, at least half of the maximum delay passes between two of them.
 		expect(platform.limits.counts.unavailable < 10 + (600 / 7.5)).toEqual(true);
 	});
 
-	it('finds that a write took effect whose answer was lost', async () => {
+	it('detects that a write whose answer was lost took effect', async () => {
 		const {clock, platform, connect} = setUp();
 		const {records, faults, table} = connect();
 		faults.lostAnswers = 1;
@@ -64,7 +64,7 @@
 		expect([item?.revision, platform.limits.counts.writes]).toEqual([1, 1]);
 	});
 
-	it('only goes up when nodes race, whoever writes last', async () => {
+	it('never records a lower term over a higher one when nodes race', async () => {
 		const {clock, platform, connect, log} = setUp();
 		const nodes = [connect(), connect(), connect()];
 		Object.assign(platform.faults, {latencyMs: 1, latencySpreadMs: 300, lostAnswerShare: 0.3});
@@ -86,7 +86,7 @@
 		expect(log.names.includes('termRecordContradicted')).toEqual(false);
 	});
 
-	it('says when two claims led one term', async () => {
+	it('logs a contradiction when two claims led the same term', async () => {
 		const {clock, connect, log} = setUp();
 		const [a, b] = [connect().records, connect().records];
 		a.record(termOf(2), 'c');
@@ -96,7 +96,7 @@
 		expect(log.names).toEqual(['termRecorded', 'termRecordContradicted']);
 	});
 
-	it('ends its tasks when disposed', async () => {
+	it('stops its tasks when disposed', async () => {
 		const {clock, platform, connect} = setUp();
 		const {records} = connect();
 		platform.faults.outage = 'silent';
--- a/src/common/groups/term-record.ts
+++ b/src/common/groups/term-record.ts
@@ -1,8 +1,9 @@
 /**
- * The record of terms in the platform's table, one item a group.
+ * The record of terms in the platform's table, one item per group.
  *
- * A promotion does not wait for it. The record only goes up: it is written on the revision
- * that was read before, and never over an equal or higher term.
+ * A promotion does not wait for it. The recorded term only increases: it is written on
+ * condition that the revision is still the one that was read, and never over an equal or
+ * higher term.
  */
 import {Right, type Either} from 'purify-ts';
 import {z} from 'zod';
@@ -21,10 +22,10 @@
 	claimId: z.string(),
 });
 
-/** A term of a group, its primary and the claim that raised it. */
+/** A term of a group, its primary and the claim under which it was raised. */
 export type TermRecord = z.infer<typeof termRecordSchema>;
 
-/** What the records use. */
+/** Services that `TermRecords` uses. */
 export type TermRecordServices = {
 	readonly table: Table;
 	readonly clock: Clock;
@@ -37,20 +38,20 @@
 export const termRecordDefaults = {
 	/** Partition of the table; the sort key is the group's name. */
 	partition: 'groups',
-	/** First and longest delay between two attempts while the table does not answer. */
+	/** Minimum and maximum delay between two attempts while the table does not answer. */
 	retryMinimumMs: 200,
 	retryMaximumMs: 15_000,
 } as const;
 
-/** A record on its way into the table. */
+/** A record that is being written to the table. */
 type PendingRecord = {wanted: TermRecord; readonly sleep: WakeableSleep};
 
 type StoredRecord = {readonly revision: number; readonly record: TermRecord | undefined};
 
-/** `undefined` while the record has to be tried again. */
+/** Outcome of a completed attempt; attempts that must be retried have none. */
 type RecordOutcome = 'recorded' | 'superseded' | 'contradicted';
 
-/** Records new terms in the background; one task for each group that has something to record. */
+/** Records new terms in the background, with one task for each group that has a term to record. */
 export class TermRecords implements TermRecorder, Disposable {
 	private readonly _services: TermRecordServices;
 	private readonly _options: typeof termRecordDefaults;
@@ -62,12 +63,12 @@
 		this._options = {...termRecordDefaults, ...options};
 	}
 
-	/** Groups whose newest term is not in the table yet. */
+	/** Number of groups whose newest term is not in the table yet. */
 	get pendingCount(): number {
 		return this._pending.size;
 	}
 
-	/** Records a term; a higher one replaces a lower one that still waits. */
+	/** Records a term in the background; replaces a lower one of the group that is still pending. */
 	record(announcement: PrimaryAnnouncement, claimId: string): void {
 		const {group, term, primary} = announcement;
 		const wanted = {term, primary, claimId};
@@ -84,7 +85,7 @@
 		}
 	}
 
-	/** The highest recorded term of a group; undefined when none was recorded. */
+	/** Reads the highest recorded term of a group; undefined when none is recorded, or a fault when the table does not answer. */
 	async read(group: string): Promise<Either<PlatformFault, TermRecord | undefined>> {
 		const stored = await this._readStored(group);
 		return stored.map(({record}) => record);
@@ -152,7 +153,7 @@
 	}
 }
 
-/** What a recorded term that is not lower says about the one to be recorded. */
+/** The outcome for a term to be recorded, given a recorded term that is not lower. */
 function outcomeComparedTo(recorded: TermRecord, wanted: TermRecord): RecordOutcome {
 	if (recorded.term > wanted.term) {
 		return 'superseded';
@@ -162,7 +163,7 @@
 	return isSame ? 'recorded' : 'contradicted';
 }
 
-/** Undefined when the body is not a record; it is then written anew. */
+/** Decodes a stored record; undefined when the body is not valid, so that it is overwritten. */
 function decodeRecord(body: string): TermRecord | undefined {
 	return parseJsonWith(termRecordSchema, body).toMaybe().extract();
 }
--- a/src/common/groups/testing/fake-control.ts
+++ b/src/common/groups/testing/fake-control.ts
@@ -1,5 +1,5 @@
 /**
- * The node's side of a control connection to a fake instance.
+ * The node's end of a control connection to a fake instance.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {Disposable} from '../../lifecycle/disposable.js';
@@ -10,9 +10,9 @@
 import type {FakeInstance} from './fake-instance.js';
 import type {FakeConnection} from './fake-network.js';
 
-const orderTimeoutMs = 1000;
+const requestTimeoutMs = 1000;
 
-/** The node's side of a control connection to a fake instance. */
+/** The node's end of a control connection to a fake instance. */
 export class FakeControl implements InstanceControl {
 	readonly connection: FakeConnection;
 	private readonly _instance: FakeInstance;
@@ -28,32 +28,32 @@
 		this.connection = connection;
 	}
 
-	take(state: InstanceState): void {
+	handleState(state: InstanceState): void {
 		this._onState.fire(state);
 	}
 
 	async readState(): Promise<Either<EndpointFault, InstanceState>> {
-		return this._order(() => this._instance.state);
+		return this._request(() => this._instance.state);
 	}
 
 	async raiseTerm(term: number, claimId: string): Promise<Either<EndpointFault, TermClaim>> {
-		return this._order(() => this._instance.raiseTerm(term, claimId));
+		return this._request(() => this._instance.raiseTerm(term, claimId));
 	}
 
 	async promote(term: number, claimId: string): Promise<Either<EndpointFault, TermClaim>> {
-		return this._order(() => this._instance.promote(term, claimId));
+		return this._request(() => this._instance.promote(term, claimId));
 	}
 
 	async follow(term: number, primary: EndpointAddress): Promise<Either<EndpointFault, TermClaim>> {
-		return this._order(() => this._instance.follow(term, this._instance.group.instances.find(({name}) => name === primary.name)!));
+		return this._request(() => this._instance.follow(term, this._instance.group.instances.find(({name}) => name === primary.name)!));
 	}
 
 	async attach(homeId: string): Promise<Either<EndpointFault, {isAttached: boolean; holder: string}>> {
-		return this._order(() => ({isAttached: true, holder: homeId}));
+		return this._request(() => ({isAttached: true, holder: homeId}));
 	}
 
 	async detach(): Promise<Either<EndpointFault, void>> {
-		return this._order(() => undefined);
+		return this._request(() => undefined);
 	}
 
 	dispose(): void {
@@ -62,7 +62,7 @@
 		}
 
 		this._isClosed = true;
-		this._instance.forget(this);
+		this._instance.removeControl(this);
 		this.connection.close();
 		for (const fail of this._pending) {
 			fail({mayHaveReached: true, detail: 'connection lost'});
@@ -71,7 +71,7 @@
 		this._onClose.fire();
 	}
 
-	private async _order<T>(run: () => T): Promise<Either<EndpointFault, T>> {
+	private async _request<T>(run: () => T): Promise<Either<EndpointFault, T>> {
 		if (this._isClosed) {
 			return Left({mayHaveReached: false, detail: 'closed'});
 		}
@@ -87,7 +87,7 @@
 				settle(Left(fault));
 			};
 
-			const timer: Disposable = this.connection.a.setTimer(orderTimeoutMs, () => {
+			const timer: Disposable = this.connection.a.setTimer(requestTimeoutMs, () => {
 				fail({mayHaveReached: true, detail: 'no answer'});
 			});
 			this._pending.add(fail);
--- a/src/common/groups/testing/fake-instance.ts
+++ b/src/common/groups/testing/fake-instance.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of an instance of a database group (docs/ENDPOINTS.md): promise, log,
- * replication and control connections. It can crash, freeze and lose answers.
+ * A small model of an instance of a database group (docs/ENDPOINTS.md): its promised term,
+ * log, replication and control connections. It can crash, freeze and lose answers.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {LogPosition} from '../../positions/log-position.js';
@@ -11,26 +11,26 @@
 import {FakeConnection, FakeProcess, type FakeNetwork} from './fake-network.js';
 import {FakeReplication, type FakeEntry} from './fake-replication.js';
 
-/** A primary that began its term, with the log that it began with. */
-export type FakeOpening = {
+/** The start of a primary's term, with the log that the primary had at that moment. */
+export type FakeTermStart = {
 	readonly term: number;
 	readonly claimId: string;
 	readonly primary: string;
 	readonly log: readonly FakeEntry[];
 };
 
-/** What the instances of one group share. */
+/** State that the instances of one group share. */
 export type FakeGroup = {
 	readonly network: FakeNetwork;
 	readonly instances: FakeInstance[];
-	readonly openings: FakeOpening[];
+	readonly termStarts: FakeTermStart[];
 };
 
 const reportDelayMs = 2;
 const heartbeatMs = 500;
-const aliveMs = 100;
+const streamHeartbeatMs = 100;
 
-/** One instance. */
+/** A fake instance. */
 export class FakeInstance {
 	readonly address: EndpointAddress;
 	readonly group: FakeGroup;
@@ -39,12 +39,12 @@
 	role: InstanceRole;
 	promisedTerm = 1;
 	claimId = '';
-	/** Orders from now on that take effect, but whose connection breaks before the answer. */
+	/** Number of next commands that take effect, but whose connection breaks before the answer is sent. */
 	answersToLose = 0;
 
 	private readonly _network: FakeNetwork;
 	private readonly _controls = new Set<FakeControl>();
-	private _isReportDue = false;
+	private _isReportScheduled = false;
 
 	constructor(address: EndpointAddress, role: InstanceRole, group: FakeGroup) {
 		this.address = address;
@@ -52,7 +52,7 @@
 		this.role = role;
 		this._network = group.network;
 		this.process = new FakeProcess(address.name, address.availabilityZone, group.network);
-		this._beat();
+		this._startHeartbeats();
 	}
 
 	get name(): string {
@@ -74,16 +74,16 @@
 		};
 	}
 
-	/** Begins the first term. */
-	openTerm(): void {
+	/** Starts leading the promised term. */
+	startTerm(): void {
 		this.role = 'primary';
-		this.group.openings.push({
+		this.group.termStarts.push({
 			term: this.promisedTerm, claimId: this.claimId, primary: this.name, log: [...this.log],
 		});
 		this.append(0);
 	}
 
-	/** Adds an entry, if this is the primary. */
+	/** Appends an entry and returns its position; undefined unless this is a running primary. */
 	append(id: number): LogPosition | undefined {
 		if (this.role !== 'primary' || this.process.isDead || this.process.isPaused) {
 			return undefined;
@@ -115,7 +115,7 @@
 		const isAccepted = this.role !== 'rebuilding' && term === this.promisedTerm && claimId === this.claimId;
 		if (isAccepted && this.role !== 'primary') {
 			this.replication.unlink();
-			this.openTerm();
+			this.startTerm();
 		}
 
 		return {isAccepted, state: this.state};
@@ -137,7 +137,7 @@
 		return {isAccepted: true, state: this.state};
 	}
 
-	/** The process ends: connections are reset, and new ones refused. */
+	/** Ends the process: connections are reset, and new ones are refused. */
 	crash(): void {
 		this.process.isPaused = false;
 		this.process.isDead = true;
@@ -150,7 +150,7 @@
 		this._network.changed();
 	}
 
-	/** A new process: the promise was kept, and the log unless it is said to be lost. */
+	/** Starts a new process with the promised term of the old one, and with its log unless `isLogLost`. */
 	restart(isLogLost: boolean): void {
 		this.process = new FakeProcess(this.name, this.address.availabilityZone, this._network);
 		this.role = isLogLost ? 'rebuilding' : 'replica';
@@ -158,11 +158,11 @@
 			this.replication.clearLog();
 		}
 
-		this._isReportDue = false;
-		this._beat();
+		this._isReportScheduled = false;
+		this._startHeartbeats();
 	}
 
-	/** Connects a node's control connection. */
+	/** Opens a control connection from a node. */
 	async connect(node: FakeProcess): Promise<Either<EndpointFault, InstanceControl>> {
 		return new Promise(resolve => {
 			const connection = new FakeConnection(this._network, node, this.process);
@@ -185,7 +185,7 @@
 		});
 	}
 
-	/** The connection is lost; the node's side learns it once the news can pass. */
+	/** Breaks a connection; the node's end is reset once the network lets the reset pass. */
 	breakControl(control: FakeControl): void {
 		this._controls.delete(control);
 		control.connection.resetToA(() => {
@@ -193,17 +193,17 @@
 		});
 	}
 
-	/** The node's side closed the connection. */
-	forget(control: FakeControl): void {
+	/** Removes a connection that the node's end has closed. */
+	removeControl(control: FakeControl): void {
 		this._controls.delete(control);
 	}
 
-	/** The state has changed: it is reported soon. */
+	/** Schedules a state report after a change of the state. */
 	changed(): void {
-		if (!this._isReportDue) {
-			this._isReportDue = true;
+		if (!this._isReportScheduled) {
+			this._isReportScheduled = true;
 			this.process.setTimer(reportDelayMs, () => {
-				this._isReportDue = false;
+				this._isReportScheduled = false;
 				this._reportAll();
 			});
 		}
@@ -212,7 +212,7 @@
 	private _report(control: FakeControl): void {
 		const {state} = this;
 		control.connection.sendToA(() => {
-			control.take(state);
+			control.handleState(state);
 		});
 	}
 
@@ -222,14 +222,14 @@
 		}
 	}
 
-	private _beat(): void {
+	private _startHeartbeats(): void {
 		this.process.setTimer(heartbeatMs * this._network.random.next(), () => {
 			this._reportAll();
 			this._every(heartbeatMs, () => {
 				this._reportAll();
 			});
 		});
-		this._every(aliveMs, () => {
+		this._every(streamHeartbeatMs, () => {
 			this.replication.heartbeat();
 		});
 	}
--- a/src/common/groups/testing/fake-network.ts
+++ b/src/common/groups/testing/fake-network.ts
@@ -1,13 +1,13 @@
 /**
- * A network for tests: zones that can be cut off from each other, processes that can be
- * paused, and ordered connections between them.
+ * A simulated network: zones that can be cut off from each other, processes that can be
+ * paused, and connections between them that deliver messages in order.
  */
 import {Emitter} from '../../lifecycle/emitter.js';
 import type {Disposable} from '../../lifecycle/disposable.js';
 import type {Clock, Random} from '../../services/services.js';
 import type {VirtualClock} from '../../testing/virtual-clock.js';
 
-/** Something that runs somewhere: a node or an endpoint. */
+/** A simulated process in a zone: a node or an endpoint. */
 export class FakeProcess implements Clock {
 	readonly name: string;
 	readonly zone: string;
@@ -15,7 +15,7 @@
 	isDead = false;
 	private readonly _clock: VirtualClock;
 	private readonly _network: FakeNetwork;
-	private readonly _late: Array<() => void> = [];
+	private readonly _deferredTimers: Array<() => void> = [];
 
 	constructor(name: string, zone: string, network: FakeNetwork) {
 		this.name = name;
@@ -32,12 +32,12 @@
 		return this._clock.wallClockMs();
 	}
 
-	/** Timers that fall due during a pause run after it; those of the dead never. */
+	/** Sets a timer: one that falls due during a pause runs after it, and none runs once the process is dead. */
 	setTimer(delayMs: number, callback: () => void): Disposable {
 		let isCancelled = false;
 		const run = (): void => {
 			if (this.isPaused) {
-				this._late.push(run);
+				this._deferredTimers.push(run);
 			} else if (!isCancelled && !this.isDead) {
 				callback();
 			}
@@ -56,10 +56,10 @@
 		this.isPaused = true;
 	}
 
-	/** Late timers run first and then what arrived, as in an event loop. */
+	/** Ends a pause: runs the overdue timers first and then delivers the messages that arrived, as an event loop does. */
 	resume(): void {
 		this.isPaused = false;
-		for (const run of this._late.splice(0)) {
+		for (const run of this._deferredTimers.splice(0)) {
 			run();
 		}
 
@@ -67,7 +67,7 @@
 	}
 }
 
-/** Which zones reach each other, and how long messages take. */
+/** Holds which zones and processes can reach each other, and gives the latency of messages. */
 export class FakeNetwork {
 	readonly clock: VirtualClock;
 	readonly random: Random;
@@ -80,7 +80,7 @@
 		this.random = random;
 	}
 
-	/** One way, with some spread. */
+	/** One-way latency in milliseconds, with a random part; lower within a zone. */
 	delayMs(a: FakeProcess, b: FakeProcess): number {
 		return (a.zone === b.zone ? 0.2 : 1) * (1 + this.random.next());
 	}
@@ -89,7 +89,7 @@
 		return [a.zone, a.name].every(from => [b.zone, b.name].every(to => !this._cuts.has(`${from} ${to}`)));
 	}
 
-	/** Messages between the zones or processes of these names are held back. */
+	/** Holds back all messages between the zones or processes of these names, in both directions. */
 	cut(names: readonly string[], others: readonly string[]): void {
 		for (const a of names) {
 			for (const b of others) {
@@ -98,18 +98,18 @@
 		}
 	}
 
-	heal(): void {
+	clearCuts(): void {
 		this._cuts.clear();
 		this.changed();
 	}
 
-	/** Held messages may move again. */
+	/** Lets connections deliver messages that were held back and can pass now. */
 	changed(): void {
 		this._onChange.fire();
 	}
 }
 
-/** One direction of a connection: delivers in order, and holds back what cannot pass. */
+/** One direction of a connection: delivers messages in order, and holds back those that cannot pass. */
 class Direction {
 	private readonly _queue: Array<{readonly dueMs: number; readonly deliver: () => void}> = [];
 	private readonly _network: FakeNetwork;
@@ -129,11 +129,11 @@
 		this._lastDueMs = dueMs;
 		this._queue.push({dueMs, deliver});
 		this._network.clock.setTimer(dueMs - this._network.clock.nowMs(), () => {
-			this.pump();
+			this.deliverDue();
 		});
 	}
 
-	pump(): void {
+	deliverDue(): void {
 		while (!this._isClosed && this._queue.length > 0 && this._queue[0].dueMs <= this._network.clock.nowMs()) {
 			if (this._to.isPaused || !this._network.isOpen(this._from, this._to)) {
 				return;
@@ -167,8 +167,8 @@
 		this._toA = new Direction(network, b, a);
 		this._toB = new Direction(network, a, b);
 		this._subscription = network.onChange(() => {
-			this._toA.pump();
-			this._toB.pump();
+			this._toA.deliverDue();
+			this._toB.deliverDue();
 		});
 	}
 
@@ -180,13 +180,13 @@
 		this._toA.send(deliver);
 	}
 
-	/** What was on its way to a is dropped; only this arrives. */
+	/** Drops the messages in flight to `a` and sends only this one. */
 	resetToA(deliver: () => void): void {
 		this._toA.clear();
 		this._toA.send(deliver);
 	}
 
-	/** Nothing more arrives on either side. */
+	/** Closes the connection: no message is delivered any more in either direction. */
 	close(): void {
 		this._toA.close();
 		this._toB.close();
--- a/src/common/groups/testing/fake-replication.ts
+++ b/src/common/groups/testing/fake-replication.ts
@@ -1,11 +1,11 @@
 /**
- * The log of a fake instance, and its streams to followers and from a primary.
+ * The log of a fake instance, its streams to followers and its stream from a primary.
  */
 import type {LogPosition} from '../../positions/log-position.js';
 import type {FakeInstance} from './fake-instance.js';
 import {FakeConnection} from './fake-network.js';
 
-/** An entry of the log; the id is unique over the whole test. */
+/** An entry of the log; the id is unique within a test. */
 export type FakeEntry = {readonly term: number; readonly id: number};
 
 type Stream = {readonly follower: FakeReplication; readonly connection: FakeConnection};
@@ -14,24 +14,24 @@
 	readonly term: number;
 	readonly primary: FakeInstance;
 	connection: FakeConnection | undefined;
-	heardMs: number;
+	lastHeardMs: number;
 };
 
 const streamSilenceMs = 700;
 const streamRetryMs = 100;
 
-/** Replication as one instance sees it. */
+/** The replication of one instance. */
 export class FakeReplication {
 	readonly log: FakeEntry[] = [];
 	isStreaming = false;
-	/** Delay between receiving and applying. */
+	/** Delay between receiving and applying an entry, in milliseconds. */
 	lagMs = 0;
 
 	private readonly _instance: FakeInstance;
 	private readonly _streams = new Set<Stream>();
 	private _link: Link | undefined;
 	private _appliedOffset = 0;
-	/** Offset at which a rebuilding instance has the whole log. */
+	/** Offset at which a rebuilding instance holds the whole log again. */
 	private _rebuiltOffset = 0;
 
 	constructor(instance: FakeInstance) {
@@ -46,7 +46,7 @@
 		return this._positionAt(this._appliedOffset);
 	}
 
-	/** Primary: adds an entry and sends it. */
+	/** On a primary: appends an entry and sends it to the followers. */
 	append(entry: FakeEntry): void {
 		this.log.push(entry);
 		this._appliedOffset = this.log.length;
@@ -55,7 +55,7 @@
 		}
 	}
 
-	/** Follows a primary, unless it does so already. */
+	/** Follows a primary in a term; does nothing if it does so already. */
 	link(term: number, primary: FakeInstance): void {
 		if (this._link?.term === term && this._link.primary === primary) {
 			return;
@@ -63,39 +63,39 @@
 
 		this.unlink();
 		this._link = {
-			term, primary, connection: undefined, heardMs: 0,
+			term, primary, connection: undefined, lastHeardMs: 0,
 		};
 		this._openStream(this._link);
 	}
 
-	/** Follows nobody. */
+	/** Stops following a primary. */
 	unlink(): void {
 		this._link?.connection?.close();
 		this._link = undefined;
 		this.isStreaming = false;
 	}
 
-	/** The log is gone. */
+	/** Clears the log, as if the data of the instance were lost. */
 	clearLog(): void {
 		this.log.length = 0;
 		this._appliedOffset = 0;
 	}
 
-	/** Primary: says that it lives. Follower: gives a silent stream up. */
+	/** On a primary: sends a heartbeat on each stream. On a follower: closes a stream that is silent for too long. */
 	heartbeat(): void {
 		for (const {follower, connection} of this._streams) {
 			connection.sendToA(() => {
-				follower._hear(connection);
+				follower._recordContact(connection);
 			});
 		}
 
 		const link = this._link;
-		if (link?.connection && this._instance.process.nowMs() - link.heardMs >= streamSilenceMs) {
+		if (link?.connection && this._instance.process.nowMs() - link.lastHeardMs >= streamSilenceMs) {
 			this._loseStream(link.connection);
 		}
 	}
 
-	/** Primary: followers get what was sent before a graceful end, but not before a crash. */
+	/** On a primary: ends all streams; followers still receive the entries in flight, unless it crashed. */
 	endStreams(isCrash: boolean): void {
 		for (const {follower, connection} of this._streams) {
 			const lose = (): void => {
@@ -112,7 +112,7 @@
 		this._streams.clear();
 	}
 
-	/** Primary: streams the log to a follower, if it leads the term. */
+	/** On a primary: streams the log to a follower, if this instance leads the term. */
 	serve(stream: Stream, term: number, log: readonly FakeEntry[]): void {
 		const {follower, connection} = stream;
 		if (connection.b.isDead || this._instance.role !== 'primary' || this._instance.promisedTerm !== term) {
@@ -134,26 +134,26 @@
 		}
 	}
 
-	/** Follower: the stream begins; what the primary lacks is dropped. */
+	/** On a follower: begins a stream and drops the entries that the primary does not have. */
 	begin(connection: FakeConnection, kept: number, end: number): void {
-		if (this._hear(connection)) {
+		if (this._recordContact(connection)) {
 			this.log.length = Math.min(kept, this.log.length);
 			this._appliedOffset = Math.min(this._appliedOffset, kept);
 			this.isStreaming = true;
 			this._rebuiltOffset = end;
-			this._noteRebuilt();
+			this._finishRebuild();
 			this._instance.changed();
 		}
 	}
 
-	/** Follower: an entry arrived. */
+	/** On a follower: appends an entry that arrived, and applies it after `lagMs`. */
 	receive(connection: FakeConnection, entry: FakeEntry): void {
-		if (!this._hear(connection)) {
+		if (!this._recordContact(connection)) {
 			return;
 		}
 
 		this.log.push(entry);
-		this._noteRebuilt();
+		this._finishRebuild();
 		const offset = this.log.length;
 		this._instance.process.setTimer(this.lagMs, () => {
 			if (this.log[offset - 1] === entry) {
@@ -168,7 +168,7 @@
 		const {primary, term} = link;
 		const connection = new FakeConnection(this._instance.group.network, this._instance.process, primary.process);
 		link.connection = connection;
-		link.heardMs = this._instance.process.nowMs();
+		link.lastHeardMs = this._instance.process.nowMs();
 		const log = [...this.log];
 		connection.sendToB(() => {
 			primary.replication.serve({follower: this, connection}, term, log);
@@ -181,16 +181,16 @@
 		});
 	}
 
-	private _hear(connection: FakeConnection): boolean {
+	private _recordContact(connection: FakeConnection): boolean {
 		if (this._link?.connection !== connection) {
 			return false;
 		}
 
-		this._link.heardMs = this._instance.process.nowMs();
+		this._link.lastHeardMs = this._instance.process.nowMs();
 		return true;
 	}
 
-	private _noteRebuilt(): void {
+	private _finishRebuild(): void {
 		if (this._instance.role === 'rebuilding' && this.log.length >= this._rebuiltOffset) {
 			this._instance.role = 'replica';
 		}
--- a/src/common/groups/testing/fake-world.ts
+++ b/src/common/groups/testing/fake-world.ts
@@ -1,5 +1,5 @@
 /**
- * One group over three zones with a node in each, in one process on virtual time.
+ * A simulated group over three zones, with a node in each, in one process on virtual time.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../errors/error-kinds.js';
@@ -16,21 +16,21 @@
 import {PauseDetector} from '../pause-detector.js';
 import {safetyRules, type SafetyRules} from '../safety-rules.js';
 import type {GroupOptions, GroupServices} from '../types.js';
-import {FakeInstance, type FakeOpening} from './fake-instance.js';
+import {FakeInstance, type FakeTermStart} from './fake-instance.js';
 import {FakeNetwork, FakeProcess} from './fake-network.js';
 
 const groupName = 'stock';
 const zones = ['a', 'b', 'c'] as const;
 const ignore = (): void => undefined;
 
-const plainPolicy: EndpointPolicy = {
+const defaultPolicy: EndpointPolicy = {
 	isDraining: false, acceptsReads: true, primaryPreference: 0, isOrderedPrimary: false,
 };
 
-/** What differs from the defaults. */
+/** Safety rules and options that differ from the defaults. */
 export type FakeSetup = {readonly rules?: Partial<SafetyRules>; readonly options?: Partial<GroupOptions>};
 
-/** A node with its monitor of the group. */
+/** A simulated node with its monitor of the group. */
 export class FakeNode {
 	process: FakeProcess;
 	monitor!: MonitoredGroup;
@@ -39,7 +39,7 @@
 	private readonly _world: FakeWorld;
 	private readonly _zone: string;
 	private _incarnation = 1;
-	private _pauseWatch!: PauseDetector;
+	private _pauseDetector!: PauseDetector;
 
 	constructor(zone: string, world: FakeWorld) {
 		this._world = world;
@@ -63,27 +63,27 @@
 	start(): void {
 		const services = this.services();
 		const options = {...groupDefaults, ...this._world.setup.options};
-		this._pauseWatch = new PauseDetector(this.process, options.pauseBoundMs);
+		this._pauseDetector = new PauseDetector(this.process, options.pauseBoundMs);
 		this.monitor = new MonitoredGroup(groupName, {
-			services, options, pause: this._pauseWatch, rules: {...safetyRules, ...this._world.setup.rules},
+			services, options, pause: this._pauseDetector, rules: {...safetyRules, ...this._world.setup.rules},
 		});
 	}
 
-	/** The process ends without a word. */
+	/** Ends the process without notice to the others. */
 	kill(): void {
 		this.process.isDead = true;
 		this.monitor.dispose();
-		this._pauseWatch.dispose();
+		this._pauseDetector.dispose();
 	}
 
-	/** A new process of the same name. */
+	/** Starts a new process of the same name, with the next incarnation. */
 	restart(): void {
 		this.process = new FakeProcess(this.host.name, this.host.availabilityZone, this._world.network);
 		this._incarnation++;
 		this.start();
 	}
 
-	/** What a monitor on this node is given. */
+	/** Services for a monitor on this node. */
 	services(): GroupServices {
 		const world = this._world;
 		const log = {
@@ -123,12 +123,12 @@
 	}
 }
 
-/** The whole. */
+/** The simulated group, its nodes and the network between them. */
 export class FakeWorld {
 	readonly clock = new VirtualClock();
 	readonly random: SeededRandom;
 	readonly network: FakeNetwork;
-	readonly openings: FakeOpening[] = [];
+	readonly termStarts: FakeTermStart[] = [];
 	readonly instances: FakeInstance[] = [];
 	readonly nodes: FakeNode[];
 	readonly policies = new Map<string, Partial<EndpointPolicy>>();
@@ -151,7 +151,7 @@
 			callerPolicy() {
 				throw new Error('not modelled');
 			},
-			endpointPolicy: endpoint => ({...plainPolicy, ...this.policies.get(endpoint)}),
+			endpointPolicy: endpoint => ({...defaultPolicy, ...this.policies.get(endpoint)}),
 		};
 		for (const endpoint of definition.endpoints) {
 			this.instances.push(new FakeInstance(endpoint, 'replica', this));
@@ -160,17 +160,17 @@
 		this.nodes = zones.map(zone => new FakeNode(zone, this));
 	}
 
-	/** The instance that leads the highest term. */
-	get leader(): FakeInstance | undefined {
+	/** The live instance with the role of primary in the highest term; undefined when there is none. */
+	get primary(): FakeInstance | undefined {
 		return this.instances
 			.filter(({role, process}) => role === 'primary' && !process.isDead)
 			.toSorted((a, b) => b.promisedTerm - a.promisedTerm)[0];
 	}
 
-	/** Starts everything in term 1 and waits until it is calm. */
+	/** Starts all instances and nodes in term 1, and lets 300 ms pass for them to connect. */
 	async start(): Promise<void> {
 		const [primary, ...replicas] = this.instances;
-		primary.openTerm();
+		primary.startTerm();
 		for (const replica of replicas) {
 			replica.follow(1, primary);
 		}
@@ -186,7 +186,7 @@
 		return this.instances.find(instance => instance.name === name)!;
 	}
 
-	/** Changes the rules for an endpoint, on all nodes at once. */
+	/** Changes the policy of an endpoint on all nodes at once. */
 	setPolicy(endpoint: string, policy: Partial<EndpointPolicy>): void {
 		this.policies.set(endpoint, policy);
 		for (const {monitor} of this.nodes) {
@@ -194,14 +194,14 @@
 		}
 	}
 
-	/** Says that the configuration changed. */
+	/** Notifies the nodes that the configuration has changed. */
 	announceConfiguration(): void {
 		this._onConfiguration.fire(this.configuration.version + 1);
 	}
 
-	/** Writes at the primary and waits for a majority, as its home does. */
+	/** Writes at the primary and waits for the confirmation by a majority, as the primary's home does. */
 	async write(id: number, timeoutMs = 1000): Promise<Either<Refusal, LogPosition>> {
-		const primary = this.leader;
+		const {primary} = this;
 		const position = primary?.append(id);
 		const node = this.nodes.find(({host}) => host.availabilityZone === primary?.address.availabilityZone);
 		if (!position || !node || node.process.isDead) {
@@ -243,18 +243,18 @@
 			handOver: notModelled,
 			announceLeaving: notModelled,
 			dispose: ignore,
-			groupView: async (host, _group, timeoutMs) => this._ask(node, host, timeoutMs, peer => peer.monitor.view()),
-			probe: async (host, timeoutMs) => this._ask(node, host, timeoutMs, peer => ({host: peer.host, configurationVersion: 1})),
+			groupView: async (host, _group, timeoutMs) => this._request(node, host, timeoutMs, peer => peer.monitor.view()),
+			probe: async (host, timeoutMs) => this._request(node, host, timeoutMs, peer => ({host: peer.host, configurationVersion: 1})),
 			announcePrimary: (host, announcement) => {
-				void this._ask(node, host, 1000, peer => {
+				void this._request(node, host, 1000, peer => {
 					peer.monitor.learnPrimary(announcement);
 				});
 			},
 		};
 	}
 
-	/** Asks a peer; what is held back by a cut or a pause counts as not answered. */
-	private async _ask<T>(node: FakeNode, host: Host, timeoutMs: number, answer: (peer: FakeNode) => T): Promise<Either<Refusal, T>> {
+	/** Sends a request to a peer; one that a cut or a pause holds back is never answered and times out. */
+	private async _request<T>(node: FakeNode, host: Host, timeoutMs: number, answer: (peer: FakeNode) => T): Promise<Either<Refusal, T>> {
 		const peer = this._node(host.name);
 		const isReached = (): boolean => peer !== undefined && !peer.process.isDead && !peer.process.isPaused
 			&& this.network.isOpen(node.process, peer.process);
--- a/src/common/groups/testing/random-faults.ts
+++ b/src/common/groups/testing/random-faults.ts
@@ -1,15 +1,15 @@
 /**
- * Faults at random, from a seed: crashes, freezes, cuts, lost answers, paused and killed
- * monitors, and changes that operators order.
+ * Injects random faults from a seed: crashes, freezes, network cuts, lost answers, paused and
+ * killed nodes, replication lag, and changes of the primary that operators order.
  */
 import type {FakeInstance} from './fake-instance.js';
 import type {FakeNode, FakeWorld} from './fake-world.js';
 
-/** Times between two faults, and of their lasting. */
-const calmMs = {shortest: 50, longest: 1500};
-const lastingMs = {shortest: 20, longest: 3500};
+/** Ranges of the time between two faults and of their duration. */
+const faultIntervalMs = {minimum: 50, maximum: 1500};
+const faultDurationMs = {minimum: 20, maximum: 3500};
 
-/** Brings a fault about; gives the act that ends it. */
+/** Injects a fault; returns the function that ends it. */
 type Fault = (world: FakeWorld) => () => void;
 
 const faults: Readonly<Record<string, Fault>> = {
@@ -33,7 +33,7 @@
 		const [zone, ...others] = shuffled(world, world.instances.map(({address}) => address.availabilityZone));
 		world.network.cut([zone], world.random.next() < 0.5 ? others : others.slice(1));
 		return () => {
-			world.network.heal();
+			world.network.clearCuts();
 		};
 	},
 	loseAnswers(world) {
@@ -79,7 +79,7 @@
 	},
 };
 
-/** Brings faults about for a time, several at once, and then ends all of them. */
+/** Injects faults for a time, several of them concurrently, then ends all of them and returns the names and times of those injected. */
 export async function runFaults(world: FakeWorld, durationMs: number): Promise<readonly string[]> {
 	const history: string[] = [];
 	const endMs = world.clock.nowMs() + durationMs;
@@ -89,23 +89,23 @@
 		history.push(`${world.clock.nowMs().toFixed(0)} ${name}`);
 		const end = faults[name](world);
 		ends.add(end);
-		world.clock.setTimer(between(world, lastingMs), () => {
+		world.clock.setTimer(randomBetween(world, faultDurationMs), () => {
 			if (ends.delete(end)) {
 				end();
 			}
 		});
-		await world.clock.advance(between(world, calmMs));
+		await world.clock.advance(randomBetween(world, faultIntervalMs));
 	}
 
 	for (const end of ends) {
 		end();
 	}
 
-	world.network.heal();
+	world.network.clearCuts();
 	return history;
 }
 
-/** A log may be lost only while the other instances are whole: nothing survives otherwise. */
+/** Whether an instance may lose its log: only while the others have theirs, since acknowledged writes could not survive otherwise. */
 function canLoseLog(world: FakeWorld, instance: FakeInstance): boolean {
 	const others = world.instances.filter(other => other !== instance);
 	return world.random.next() < 0.5 && others.every(({role, process}) => role !== 'rebuilding' && !process.isDead);
@@ -119,6 +119,6 @@
 	return items.map(item => ({item, order: world.random.next()})).toSorted((a, b) => a.order - b.order).map(({item}) => item);
 }
 
-function between(world: FakeWorld, {shortest, longest}: {readonly shortest: number; readonly longest: number}): number {
-	return shortest + ((longest - shortest) * world.random.next());
+function randomBetween(world: FakeWorld, {minimum, maximum}: {readonly minimum: number; readonly maximum: number}): number {
+	return minimum + ((maximum - minimum) * world.random.next());
 }
--- a/src/common/groups/testing/workload.ts
+++ b/src/common/groups/testing/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Writes, proofs and ages against a fake group, and the checks of what they promise.
+ * Requests writes, proofs and ages from a fake group, and checks the guarantees that each of them gives.
  */
 import {hasReached, type LogPosition} from '../../positions/log-position.js';
 import type {FakeInstance} from './fake-instance.js';
@@ -7,15 +7,15 @@
 
 type Acknowledged = {readonly id: number; readonly position: LogPosition; readonly atMs: number};
 
-/** Writes at every instance that takes writes, as its home would; the home is in its zone where a node runs there. */
+/** Writes at every instance that accepts writes, as its home would; the home is the node in its zone if one runs there, otherwise any running node. */
 export class Workload {
 	readonly acknowledged: Acknowledged[] = [];
-	/** What did not hold. */
+	/** Descriptions of the guarantees that did not hold. */
 	readonly violations: string[] = [];
-	/** Writes whose outcome was not known. */
+	/** Number of writes whose outcome is unknown. */
 	unknown = 0;
-	proofs = 0;
-	ages = 0;
+	proofCount = 0;
+	ageCount = 0;
 	private readonly _world: FakeWorld;
 	private readonly _everyMs: number;
 	private _lastId = 0;
@@ -27,7 +27,7 @@
 		this._tick();
 	}
 
-	/** Longest time between two acknowledgements since a moment. */
+	/** Longest time without an acknowledged write since `sinceMs`, in milliseconds. */
 	longestGapMs(sinceMs: number): number {
 		const times = this.acknowledged.map(({atMs}) => atMs).filter(atMs => atMs >= sinceMs);
 		const gaps = times.map((atMs, index) => atMs - (times[index - 1] ?? sinceMs));
@@ -38,10 +38,10 @@
 		this._isEnded = true;
 	}
 
-	/** All that must hold over the whole run. */
+	/** Checks the guarantees over the whole run and returns all violations. */
 	check(): readonly string[] {
 		this._checkOnePrimaryPerTerm();
-		this._checkAcknowledgedKept();
+		this._checkAcknowledgedWritesKept();
 		return this.violations;
 	}
 
@@ -92,12 +92,12 @@
 		const before = this.acknowledged.length;
 		const proof = await node.monitor.prove(1000);
 		proof.ifRight(position => {
-			this.proofs++;
+			this.proofCount++;
 			this._expectCovers(this.acknowledged.slice(0, before), position, `proof ${JSON.stringify(position)}`);
 		});
 	}
 
-	/** Whatever was acknowledged before the stated age must be visible. */
+	/** Checks that every write that was acknowledged before the stated age is visible. */
 	private _readAges(node: FakeNode): void {
 		if (!isRunning(node)) {
 			return;
@@ -105,9 +105,9 @@
 
 		for (const {name, state} of this._world.instances) {
 			const ageMs = node.monitor.ageMs(name);
-			// An instance that lost its log serves no reads; this node may not have heard yet.
+			// An instance that lost its log serves no reads, but this node may not know yet that it did.
 			if (ageMs !== undefined && state.role !== 'rebuilding') {
-				this.ages++;
+				this.ageCount++;
 				const oldestMs = this._world.clock.nowMs() - ageMs;
 				const visible = this.acknowledged.filter(({atMs}) => atMs < oldestMs);
 				this._expectCovers(visible.slice(-1), state.applied, `age ${ageMs} of ${name}`);
@@ -115,16 +115,16 @@
 		}
 	}
 
-	private _expectCovers(acknowledged: readonly Acknowledged[], position: LogPosition, what: string): void {
+	private _expectCovers(acknowledged: readonly Acknowledged[], position: LogPosition, subject: string): void {
 		const missing = acknowledged.find(write => !hasReached(position, write.position));
 		if (missing) {
-			this.violations.push(`${what} lacks ${JSON.stringify(missing)}`);
+			this.violations.push(`${subject} does not cover ${JSON.stringify(missing)}`);
 		}
 	}
 
 	private _checkOnePrimaryPerTerm(): void {
 		const primaries = new Map<number, string>();
-		for (const {term, primary} of this._world.openings) {
+		for (const {term, primary} of this._world.termStarts) {
 			const other = primaries.get(term);
 			if (other !== undefined && other !== primary) {
 				this.violations.push(`term ${term} had ${other} and ${primary} as primaries`);
@@ -134,8 +134,8 @@
 		}
 	}
 
-	private _checkAcknowledgedKept(): void {
-		for (const {term, primary, log} of this._world.openings) {
+	private _checkAcknowledgedWritesKept(): void {
+		for (const {term, primary, log} of this._world.termStarts) {
 			const lost = this.acknowledged.find(({id, position}) => position.term < term && log[position.offset - 1]?.id !== id);
 			if (lost) {
 				this.violations.push(`${primary} opened term ${term} without ${JSON.stringify(lost)}`);
--- a/src/common/groups/types.ts
+++ b/src/common/groups/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types shared by the parts of the group monitors.
+ * Types shared by the modules that monitor database groups.
  */
 import type {LogPosition} from '../positions/log-position.js';
 import type {
@@ -10,15 +10,15 @@
 import type {PauseDetector} from './pause-detector.js';
 import type {SafetyRules} from './safety-rules.js';
 
-/** Options of a group monitor; defaults in constants.ts. */
+/** Options of a group monitor; constants.ts has the defaults. */
 export type GroupOptions = {readonly [Name in keyof typeof groupDefaults]: number};
 
-/** Keeps a record of terms and their primaries in the platform's table. */
+/** Records terms and their primaries in the platform's table. */
 export type TermRecorder = {
 	record(announcement: PrimaryAnnouncement, claimId: string): void;
 };
 
-/** What the group monitors need from the node. */
+/** Services of the node that the group monitors use. */
 export type GroupServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -33,7 +33,7 @@
 	readonly terms: TermRecorder;
 };
 
-/** What a monitor is made with. */
+/** Dependencies with which a group monitor is constructed. */
 export type MonitorContext = {
 	readonly services: GroupServices;
 	readonly options: GroupOptions;
@@ -44,24 +44,24 @@
 /** Why a group needs a new primary. */
 export type PromotionReason = 'crash' | 'cut' | 'frozen' | 'isolated' | 'vacant' | 'stranded' | 'ordered' | 'draining';
 
-/** A finding that calls for a promotion. */
+/** A detected loss of the primary, which calls for a promotion. */
 export type PrimaryLoss = {
 	readonly reason: PromotionReason;
-	/** When the primary was last known to serve, on the clock of this node. */
+	/** When the primary was last known to serve, in milliseconds on this node's clock. */
 	readonly sinceMs: number;
-	/** Term that was lost. */
+	/** Term of the primary that was lost. */
 	readonly term: number;
-	/** Endpoint that is not to be waited for; undefined when none is suspected. */
+	/** Endpoint whose answer the promotion does not wait for; undefined when none is suspected. */
 	readonly suspect: string | undefined;
 };
 
 /** A promotion to carry out. */
 export type PromotionPlan = PrimaryLoss & {
-	/** Endpoint that is to become primary if it is as advanced as any. */
+	/** Endpoint that is to become primary if no candidate has a more advanced log. */
 	readonly wanted: string | undefined;
 };
 
-/** A proof that the group's primary was still primary after `startedAtMs`. */
+/** A proof that the group's primary still led its term at `startedAtMs`, and the position that it reported after that. */
 export type FreshnessSample = {
 	readonly startedAtMs: number;
 	readonly position: LogPosition;
