--- a/src/common/homes/acknowledgement.ts
+++ b/src/common/homes/acknowledgement.ts
@@ -12,7 +12,7 @@
 import type {HomeContext, RunningRequest} from './types.js';
 
 /** Instances of a group in which two are a majority. */
-const largestImpliedGroup = 3;
+const largestGroupWithImpliedMajority = 3;
 
 /** Decides over the answers of one endpoint. */
 export class Acknowledgement {
@@ -21,7 +21,7 @@
 	private readonly _monitor: GroupMonitor;
 	private readonly _admission: Admission;
 	/** Everything up to here is held by a majority for good. */
-	private _confirmed: LogPosition = zeroPosition;
+	private _confirmedPosition: LogPosition = zeroPosition;
 
 	constructor(context: HomeContext, endpoint: string, monitor: GroupMonitor, admission: Admission) {
 		this._context = context;
@@ -35,7 +35,7 @@
 	 * that it came from. Larger groups need the confirmation of more instances.
 	 */
 	get isImpliedOnReplicas(): boolean {
-		return this._monitor.view().instances.length <= largestImpliedGroup;
+		return this._monitor.view().instances.length <= largestGroupWithImpliedMajority;
 	}
 
 	/** The reason why what an unfinished answer holds so far must not be passed on. */
@@ -48,7 +48,7 @@
 	async confirmCurrent(run: RunningRequest): Promise<Either<Refusal, LogPosition>> {
 		const state = await this._monitor.control(this._endpoint)?.readState();
 		if (!state || state.isLeft()) {
-			return Left(this._unconfirmed(run, 'no control connection'));
+			return Left(this._unconfirmedRefusal(run, 'no control connection'));
 		}
 
 		const position = state.map(({received}) => received).orDefault(zeroPosition);
@@ -67,10 +67,10 @@
 		const result = await this._monitor.confirm(position, timeoutMs);
 		metrics.observe('homeConfirmationMs', clock.nowMs() - startedAtMs, {endpoint: this._endpoint, access: run.request.access});
 		if (result.isLeft()) {
-			return Left(this._unconfirmed(run, result.extract().detail));
+			return Left(this._unconfirmedRefusal(run, result.extract().detail));
 		}
 
-		this._confirmed = hasReached(this._confirmed, position) ? this._confirmed : position;
+		this._confirmedPosition = hasReached(this._confirmedPosition, position) ? this._confirmedPosition : position;
 		return Right(position);
 	}
 
@@ -98,10 +98,10 @@
 		}
 
 		const {access, isInTransaction} = run.request;
-		return access === 'read' && !isInTransaction && hasReached(this._confirmed, position) && this._confirmed.term === position.term;
+		return access === 'read' && !isInTransaction && hasReached(this._confirmedPosition, position) && this._confirmedPosition.term === position.term;
 	}
 
-	private _unconfirmed(run: RunningRequest, detail: string): Refusal {
+	private _unconfirmedRefusal(run: RunningRequest, detail: string): Refusal {
 		const correction = this._admission.correction();
 		const {access, isInTransaction} = run.request;
 		if (access === 'write' || isInTransaction) {
--- a/src/common/homes/admission.ts
+++ b/src/common/homes/admission.ts
@@ -66,7 +66,7 @@
 	}
 
 	/** How far each instance was when it last reported. */
-	private _applied(): Array<{readonly endpoint: string; readonly position: LogPosition}> {
+	private _appliedPositions(): Array<{readonly endpoint: string; readonly position: LogPosition}> {
 		return this._monitor.view().instances.flatMap(({endpoint, state}) => state ? [{endpoint, position: state.applied}] : []);
 	}
 
@@ -144,20 +144,20 @@
 	private _positionRefusal(run: RunningRequest): Refusal | undefined {
 		return this._tracker.hasApplied(run.minimumPosition)
 			? undefined
-			: new Refusal('behindToken', this._endpoint, {correction: {...this.correction(), applied: this._applied()}});
+			: new Refusal('behindToken', this._endpoint, {correction: {...this.correction(), applied: this._appliedPositions()}});
 	}
 
 	/** Data that may be too old is proved newer, or refused with the age it could have had. */
 	private async _awaitAge(run: RunningRequest): Promise<Refusal | undefined> {
 		const {maximumAgeMs} = run.request;
-		if (maximumAgeMs === undefined || this._isYoung(run, maximumAgeMs)) {
+		if (maximumAgeMs === undefined || this._isFreshEnough(run, maximumAgeMs)) {
 			return undefined;
 		}
 
 		const {clock, options} = this._context;
 		const timeoutMs = Math.min(options.ageProofTimeoutMs, this._timeLeftMs(run));
 		await withTimeout(clock, this._monitor.prove(timeoutMs), timeoutMs);
-		if (this._isYoung(run, maximumAgeMs)) {
+		if (this._isFreshEnough(run, maximumAgeMs)) {
 			return undefined;
 		}
 
@@ -165,7 +165,7 @@
 		return new Refusal('tooStale', possible, {correction: this.correction()});
 	}
 
-	private _isYoung(run: RunningRequest, maximumAgeMs: number): boolean {
+	private _isFreshEnough(run: RunningRequest, maximumAgeMs: number): boolean {
 		run.ageMs = this._monitor.ageMs(this._endpoint);
 		return run.ageMs !== undefined && run.ageMs <= maximumAgeMs;
 	}
--- a/src/common/homes/answer-buffer.ts
+++ b/src/common/homes/answer-buffer.ts
@@ -40,14 +40,14 @@
 /** Holds an answer back until it may be passed on. */
 export class AnswerBuffer implements AnswerSink {
 	private readonly _settings: AnswerBufferSettings;
-	private _pieces: Uint8Array[] = [];
-	private _pieceBytes = 0;
+	private _chunks: Uint8Array[] = [];
+	private _bufferedBytes = 0;
 	private _firstType: number | undefined;
 	private _hasCommitted = false;
-	private _hasPushed = false;
+	private _hasForwarded = false;
 	private _isClosed = false;
 	private _stopReason: Refusal | undefined;
-	private _passing: Promise<void> | undefined;
+	private _forwarding: Promise<void> | undefined;
 
 	constructor(settings: AnswerBufferSettings) {
 		this._settings = settings;
@@ -55,7 +55,7 @@
 
 	/** Whether a part has been passed on. */
 	get hasForwarded(): boolean {
-		return this._hasPushed;
+		return this._hasForwarded;
 	}
 
 	/** Whether the endpoint reported a COMMIT. */
@@ -79,30 +79,30 @@
 		}
 
 		this._scan(frames);
-		this._pieces.push(frames);
-		this._pieceBytes += frames.length;
+		this._chunks.push(frames);
+		this._bufferedBytes += frames.length;
 		this._settings.held.totalBytes += frames.length;
 		// An answer whose first message is not known may still turn out not to have run.
-		const isReady = this._firstType !== undefined && this._passing === undefined;
+		const isReady = this._firstType !== undefined && this._forwarding === undefined;
 		if (!isReady || !this._isFull()) {
 			return;
 		}
 
-		this._passing = this._passThroughGate();
-		return this._passing;
+		this._forwarding = this._forwardThroughGate();
+		return this._forwarding;
 	}
 
 	/** Passes on what is left; the caller has seen to the gate. */
 	async flush(): Promise<void> {
-		await this._passing;
-		await this._pass(this._take());
+		await this._forwarding;
+		await this._forward(this._takeBuffered());
 		this._isClosed = true;
 	}
 
 	/** Drops what is held and whatever still comes. */
 	close(): void {
 		this._isClosed = true;
-		this._take();
+		this._takeBuffered();
 	}
 
 	private get _isGated(): boolean {
@@ -112,32 +112,32 @@
 	private _isFull(): boolean {
 		const {held, options} = this._settings;
 		if (!this._isGated) {
-			return this._pieceBytes >= options.answerChunkBytes;
+			return this._bufferedBytes >= options.answerChunkBytes;
 		}
 
-		const isOverTotal = held.totalBytes >= options.heldTotalBytes && this._pieceBytes >= options.answerChunkBytes;
-		return isOverTotal || this._pieceBytes >= options.heldAnswerBytes;
+		const isOverTotal = held.totalBytes >= options.heldTotalBytes && this._bufferedBytes >= options.answerChunkBytes;
+		return isOverTotal || this._bufferedBytes >= options.heldAnswerBytes;
 	}
 
 	/** What comes while the gate is asked waits for the next turn. */
-	private async _passThroughGate(): Promise<void> {
-		const bytes = this._take();
+	private async _forwardThroughGate(): Promise<void> {
+		const bytes = this._takeBuffered();
 		const reason = this._isGated ? await this._settings.gate?.() : undefined;
 		if (reason) {
 			this._stop(reason);
 		} else if (!this._isClosed) {
-			await this._pass(bytes);
+			await this._forward(bytes);
 		}
 
-		this._passing = undefined;
+		this._forwarding = undefined;
 	}
 
-	private async _pass(bytes: Uint8Array): Promise<void> {
+	private async _forward(bytes: Uint8Array): Promise<void> {
 		if (bytes.length === 0) {
 			return;
 		}
 
-		this._hasPushed = true;
+		this._hasForwarded = true;
 		try {
 			await this._settings.sink.push(bytes);
 		} catch (error) {
@@ -151,11 +151,11 @@
 		this._settings.onStopped();
 	}
 
-	private _take(): Uint8Array {
-		const bytes = join(this._pieces, this._pieceBytes);
-		this._settings.held.totalBytes -= this._pieceBytes;
-		this._pieces = [];
-		this._pieceBytes = 0;
+	private _takeBuffered(): Uint8Array {
+		const bytes = concatenate(this._chunks, this._bufferedBytes);
+		this._settings.held.totalBytes -= this._bufferedBytes;
+		this._chunks = [];
+		this._bufferedBytes = 0;
 		return bytes;
 	}
 
@@ -168,7 +168,7 @@
 				this._firstType = type;
 			}
 
-			if (type === commandCompleteType && hasTag(frames, offset + headerBytes)) {
+			if (type === commandCompleteType && hasCommitTag(frames, offset + headerBytes)) {
 				this._hasCommitted = true;
 			}
 
@@ -181,7 +181,7 @@
 	return (bytes[offset] * 0x1_00_00_00) + (bytes[offset + 1] * 0x1_00_00) + (bytes[offset + 2] * 0x1_00) + bytes[offset + 3];
 }
 
-function hasTag(bytes: Uint8Array, offset: number): boolean {
+function hasCommitTag(bytes: Uint8Array, offset: number): boolean {
 	for (let index = 0; index < commitTag.length; index++) {
 		if (bytes[offset + index] !== commitTag.codePointAt(index)) {
 			return false;
@@ -191,7 +191,7 @@
 	return true;
 }
 
-function join(pieces: readonly Uint8Array[], size: number): Uint8Array {
+function concatenate(pieces: readonly Uint8Array[], size: number): Uint8Array {
 	if (pieces.length === 1) {
 		return pieces[0];
 	}
--- a/src/common/homes/attachment.ts
+++ b/src/common/homes/attachment.ts
@@ -39,7 +39,7 @@
 	private readonly _owned = new DisposableStore();
 	private readonly _retry: Backoff;
 	private readonly _forceRetry: Backoff;
-	private readonly _onNudge = this._owned.register(new Emitter<void>());
+	private readonly _onWake = this._owned.register(new Emitter<void>());
 	private _isStopped = false;
 	private _isAttached = false;
 	private _holder = '';
@@ -85,7 +85,7 @@
 	/** The endpoint said on a work connection that another home is attached. */
 	reportNotAttached(): void {
 		this._setAttached(false);
-		this._onNudge.fire();
+		this._onWake.fire();
 	}
 
 	/** Gives the endpoint up for good. */
@@ -93,7 +93,7 @@
 		this._isStopped = true;
 		const wasAttached = this._isAttached;
 		this._setAttached(false);
-		this._onNudge.fire();
+		this._onWake.fire();
 		const control = this._monitor.control(this._endpoint);
 		if (wasAttached && control) {
 			await control.detach(this._homeId);
@@ -104,7 +104,7 @@
 	dispose(): void {
 		this._isStopped = true;
 		this._setAttached(false);
-		this._onNudge.fire();
+		this._onWake.fire();
 		this._owned.dispose();
 	}
 
@@ -113,25 +113,25 @@
 		while (!this._isStopped) {
 			const control = this._monitor.control(this._endpoint);
 			if (control) {
-				await this._follow(control);
+				await this._attachOn(control);
 			}
 
 			if (!this._isStopped) {
-				await this._pause(control);
+				await this._waitForRetry(control);
 			}
 		}
 	}
 
 	/** Attaches on one control connection and stays until it or the attach is lost. */
-	private async _follow(control: InstanceControl): Promise<void> {
-		const watches = new DisposableStore();
+	private async _attachOn(control: InstanceControl): Promise<void> {
+		const subscriptions = new DisposableStore();
 		let isOpen = true;
-		watches.register(control.onClose(() => {
+		subscriptions.register(control.onClose(() => {
 			isOpen = false;
 			this._setAttached(false);
-			this._onNudge.fire();
+			this._onWake.fire();
 		}));
-		watches.register(control.onState(state => {
+		subscriptions.register(control.onState(state => {
 			this._tracker.observeState(state);
 		}));
 		const isAttached = await this._attach(control) && isOpen && await this._readState(control);
@@ -140,7 +140,7 @@
 			this._setAttached(true);
 			await waitUntil(this._context.clock, {
 				condition: () => !isOpen || !this._isAttached || this._isStopped,
-				events: [this._onNudge.event],
+				events: [this._onWake.event],
 			});
 		}
 
@@ -148,39 +148,39 @@
 			this._retry.fail();
 		}
 
-		watches.dispose();
+		subscriptions.dispose();
 		this._setAttached(false);
 		this._tracker.reset();
 	}
 
 	/** Waits for a new control connection or for the next try on the same one. */
-	private async _pause(former: InstanceControl | undefined): Promise<void> {
+	private async _waitForRetry(previous: InstanceControl | undefined): Promise<void> {
 		const {clock, options} = this._context;
 		await waitUntil(clock, {
-			condition: () => this._isStopped || (this._monitor.control(this._endpoint) ?? former) !== former,
-			events: [this._monitor.onChange, this._onNudge.event],
-			timeoutMs: former ? this._retry.remainingMs : options.attachRetryMaximumMs,
+			condition: () => this._isStopped || (this._monitor.control(this._endpoint) ?? previous) !== previous,
+			events: [this._monitor.onChange, this._onWake.event],
+			timeoutMs: previous ? this._retry.remainingMs : options.attachRetryMaximumMs,
 		});
 	}
 
 	private async _attach(control: InstanceControl): Promise<boolean> {
-		const answer = await this._order(control, false);
+		const answer = await this._requestAttach(control, false);
 		if (answer !== 'refused') {
 			return answer === 'attached';
 		}
 
 		const {log} = this._context;
 		log.event('endpointHeldByAnother', {endpoint: this._endpoint, holder: this._holder});
-		const finding = await this._askHolder();
+		const finding = await this._requestHandOver();
 		if (finding === 'letGo' && !this._isStopped) {
-			const secondAnswer = await this._order(control, false);
+			const secondAnswer = await this._requestAttach(control, false);
 			if (secondAnswer !== 'refused') {
 				return secondAnswer === 'attached';
 			}
 		}
 
-		const isForceJustified = finding !== 'unknown' || this._isUnknownForLong();
-		return isForceJustified ? this._force(control) : false;
+		const isForceJustified = finding !== 'unknown' || this._isUnknownHolderExpired();
+		return isForceJustified ? this._forceAttach(control) : false;
 	}
 
 	/**
@@ -188,7 +188,7 @@
 	 * Taking from it at once would let nodes that start together take endpoints from each
 	 * other in turn. One that is gone lost its control connection, which detached it already.
 	 */
-	private _isUnknownForLong(): boolean {
+	private _isUnknownHolderExpired(): boolean {
 		const {clock, options} = this._context;
 		if (this._unknownHolder.homeId !== this._holder) {
 			this._unknownHolder = {homeId: this._holder, sinceMs: clock.nowMs()};
@@ -198,17 +198,17 @@
 	}
 
 	/** Replaces the holder by force; rarely, because that cuts its running work short. */
-	private async _force(control: InstanceControl): Promise<boolean> {
+	private async _forceAttach(control: InstanceControl): Promise<boolean> {
 		if (this._isStopped || this._forceRetry.remainingMs > 0) {
 			return false;
 		}
 
 		this._forceRetry.fail();
 		this._context.log.event('endpointAttachForced', {endpoint: this._endpoint, holder: this._holder});
-		return await this._order(control, true) === 'attached';
+		return await this._requestAttach(control, true) === 'attached';
 	}
 
-	private async _order(control: InstanceControl, isForced: boolean): Promise<'attached' | 'refused' | 'failed'> {
+	private async _requestAttach(control: InstanceControl, isForced: boolean): Promise<'attached' | 'refused' | 'failed'> {
 		const result = await control.attach(this._homeId, isForced);
 		if (result.isLeft()) {
 			return 'failed';
@@ -222,7 +222,7 @@
 	}
 
 	/** Asks the holder's node to let go, and finds out whether the holder is still there. */
-	private async _askHolder(): Promise<HolderStatus> {
+	private async _requestHandOver(): Promise<HolderStatus> {
 		const {membership, peers, options} = this._context;
 		const host = membership.host(nodeOf(this._holder));
 		if (!host) {
--- a/src/common/homes/connection-pool.ts
+++ b/src/common/homes/connection-pool.ts
@@ -31,17 +31,17 @@
 	private readonly _idle: EndpointConnection[] = [];
 	private readonly _open = new Set<EndpointConnection>();
 	/** Connections of an earlier attach; closed when given back. */
-	private readonly _outdated = new Set<EndpointConnection>();
+	private readonly _stale = new Set<EndpointConnection>();
 	/** Connections in use whose exchange nobody waits for any more. */
-	private readonly _givenUp = new Set<EndpointConnection>();
+	private readonly _abandoned = new Set<EndpointConnection>();
 	private readonly _waiters: Waiter[] = [];
 	private readonly _backoff: Backoff;
 	private _opening = 0;
 	private _closing = 0;
 	private _limit: number;
-	private _wanted: number;
+	private _targetSize: number;
 	private _isStarted = false;
-	private _attachNumber = 0;
+	private _attachGeneration = 0;
 	private _hasRetryTimer = false;
 	private readonly _onLost = this._owned.register(new Emitter<EndpointConnection>());
 	private readonly _onNotAttached = this._owned.register(new Emitter<void>());
@@ -51,7 +51,7 @@
 		this._endpoint = endpoint;
 		this._homeId = homeId;
 		this._limit = limit;
-		this._wanted = 0;
+		this._targetSize = 0;
 		const {clock, random, options} = context;
 		this._backoff = new Backoff(clock, random, options.connectRetryMinimumMs, options.connectRetryMaximumMs);
 	}
@@ -79,7 +79,7 @@
 	/** Begins to open connections, after an attach. */
 	start(): void {
 		this._isStarted = true;
-		this._attachNumber += 1;
+		this._attachGeneration += 1;
 		this._backoff.reset();
 		this._fill();
 	}
@@ -87,15 +87,15 @@
 	/** Opens none from now on and closes idle ones; those in use are closed when given back. */
 	stop(): void {
 		this._isStarted = false;
-		for (const connection of [...this._idle.splice(0), ...this._givenUp]) {
+		for (const connection of [...this._idle.splice(0), ...this._abandoned]) {
 			this._close(connection);
 		}
 
 		for (const connection of this._open) {
-			this._outdated.add(connection);
+			this._stale.add(connection);
 		}
 
-		this._answerWaiters();
+		this._releaseWaiters();
 	}
 
 	/** Closes every connection, those in use included. */
@@ -108,7 +108,7 @@
 
 	/** Sets how many connections are worth having. */
 	setTargetSize(count: number): void {
-		this._wanted = count;
+		this._targetSize = count;
 		this._fill();
 	}
 
@@ -129,12 +129,12 @@
 			return Right(idle);
 		}
 
-		if (!this._isStarted || this._isHopeless()) {
-			return Left(this._unavailable());
+		if (!this._isStarted || this._isWaitFutile()) {
+			return Left(this._unavailableRefusal());
 		}
 
 		const connection = await this._wait(Math.min(timeoutMs, this._context.options.acquireTimeoutMs));
-		return connection ? Right(connection) : Left(this._unavailable());
+		return connection ? Right(connection) : Left(this._unavailableRefusal());
 	}
 
 	/** Takes back a connection whose last exchange ended outside of a transaction. */
@@ -143,7 +143,7 @@
 			return;
 		}
 
-		if (this._outdated.has(connection) || !this._isStarted || this.count > this._limit) {
+		if (this._stale.has(connection) || !this._isStarted || this.count > this._limit) {
 			this.discard(connection);
 			return;
 		}
@@ -159,7 +159,7 @@
 	/** Notes that a connection in use will not be used again; it is closed when the attach ends, or discarded before. */
 	abandon(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
-			this._givenUp.add(connection);
+			this._abandoned.add(connection);
 		}
 	}
 
@@ -177,11 +177,11 @@
 	}
 
 	/** Nothing is open or on its way, and the last try failed: waiting would not help. */
-	private _isHopeless(): boolean {
+	private _isWaitFutile(): boolean {
 		return this._backoff.isFailing && this._opening === 0 && this._open.size === 0;
 	}
 
-	private _unavailable(): Refusal {
+	private _unavailableRefusal(): Refusal {
 		const retryAfterMs = Math.max(this._context.options.retryAfterMinimumMs, Math.ceil(this._backoff.remainingMs));
 		return new Refusal('endpointUnavailable', `no connection to ${this._endpoint.name}`, {retryAfterMs});
 	}
@@ -203,26 +203,26 @@
 		});
 	}
 
-	private _answerWaiters(): void {
+	private _releaseWaiters(): void {
 		for (const waiter of this._waiters.splice(0)) {
 			waiter.answer(undefined);
 		}
 	}
 
 	private _fill(): void {
-		const target = Math.min(this._wanted, this._limit);
+		const target = Math.min(this._targetSize, this._limit);
 		while (this._isStarted && this.count < target && this._backoff.remainingMs === 0) {
 			void this._openOne();
 		}
 
 		if (this._isStarted && this.count < target) {
-			this._fillLater();
+			this._scheduleFill();
 		}
 
 		this._context.metrics.gauge('homeConnections', this._open.size, {endpoint: this._endpoint.name});
 	}
 
-	private _fillLater(): void {
+	private _scheduleFill(): void {
 		if (this._hasRetryTimer) {
 			return;
 		}
@@ -237,7 +237,7 @@
 
 	private async _openOne(): Promise<void> {
 		const {connector, invariants} = this._context;
-		const attachNumber = this._attachNumber;
+		const attachNumber = this._attachGeneration;
 		this._opening += 1;
 		invariants.check('connectionLimit', this.count <= this._limit, () => `${this.count} connections to ${this._endpoint.name}`);
 		const result = await connector.connectWork(this._endpoint, this._homeId);
@@ -254,7 +254,7 @@
 		connection.onClose(() => {
 			this._onClosed(connection);
 		});
-		if (!this._isStarted || attachNumber !== this._attachNumber) {
+		if (!this._isStarted || attachNumber !== this._attachGeneration) {
 			this.discard(connection);
 			return;
 		}
@@ -271,8 +271,8 @@
 
 		this._backoff.fail();
 		this._context.log.event('workConnectionFailed', {endpoint: this._endpoint.name, detail: fault.detail, sqlState: fault.sqlState});
-		if (this._isHopeless()) {
-			this._answerWaiters();
+		if (this._isWaitFutile()) {
+			this._releaseWaiters();
 		}
 
 		if (fault.sqlState === notAttachedSqlState) {
@@ -288,7 +288,7 @@
 			return;
 		}
 
-		this._forget(connection);
+		this._remove(connection);
 		const index = this._idle.indexOf(connection);
 		if (index !== -1) {
 			this._idle.splice(index, 1);
@@ -298,15 +298,15 @@
 		this._fill();
 	}
 
-	private _forget(connection: EndpointConnection): void {
+	private _remove(connection: EndpointConnection): void {
 		this._open.delete(connection);
-		this._outdated.delete(connection);
-		this._givenUp.delete(connection);
+		this._stale.delete(connection);
+		this._abandoned.delete(connection);
 	}
 
 	/** This side closes it; it counts until the endpoint has had time to notice. */
 	private _close(connection: EndpointConnection): void {
-		this._forget(connection);
+		this._remove(connection);
 		this._closing += 1;
 		connection.dispose();
 		const timer = this._owned.register(this._context.clock.setTimer(this._context.options.closingGraceMs, () => {
--- a/src/common/homes/endpoint-home.ts
+++ b/src/common/homes/endpoint-home.ts
@@ -54,16 +54,16 @@
 	private readonly _runner: StatementRunner;
 	private readonly _inProgress = new Set<RunningRequest>();
 	private readonly _onFinished = this._owned.register(new Emitter<void>());
-	private _place: EndpointAssignment;
+	private _assignment: EndpointAssignment;
 	private _isPrimary: boolean;
 	private _stage: Stage = 'serving';
-	private _letGo: Promise<void> | undefined;
+	private _draining: Promise<void> | undefined;
 
-	constructor(context: HomeContext, place: EndpointAssignment, homeId: string, monitor: GroupMonitor) {
-		const {definition} = place;
+	constructor(context: HomeContext, assignment: EndpointAssignment, homeId: string, monitor: GroupMonitor) {
+		const {definition} = assignment;
 		const {name: endpoint} = definition;
 		this._context = context;
-		this._place = place;
+		this._assignment = assignment;
 		const tracker = this._owned.register(new PositionTracker());
 		this._transactions = this._owned.register(new HeldTransactions(context, endpoint));
 		this._pool = this._owned.register(new ConnectionPool(context, definition, homeId, this._connectionLimit()));
@@ -86,10 +86,10 @@
 			transactions: this._transactions,
 			runner: this._runner,
 			finish: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
-			closedRefusal: () => this._stage === 'stopping' ? this._notHome() : undefined,
+			closedRefusal: () => this._stage === 'stopping' ? this._notHomeRefusal() : undefined,
 		});
 		this._isPrimary = monitor.view().primary === endpoint;
-		this._connectParts(monitor);
+		this._subscribe(monitor);
 	}
 
 	/** Whether the endpoint has accepted this node as its home. */
@@ -99,26 +99,26 @@
 
 	/** The endpoint as this home knows it. */
 	get definition(): EndpointDefinition {
-		return this._place.definition;
+		return this._assignment.definition;
 	}
 
 	/** Begins to attach. */
 	start(): void {
-		this._pool.setTargetSize(this._wantedConnections());
+		this._pool.setTargetSize(this._targetConnections());
 		this._attachment.start();
 	}
 
 	/** Follows a change of the endpoint's slots or connections. */
-	update(place: EndpointAssignment): void {
-		this._place = place;
-		this._queue.setSlots(place.definition.slots);
+	update(assignment: EndpointAssignment): void {
+		this._assignment = assignment;
+		this._queue.setSlots(assignment.definition.slots);
 		this._pool.setLimit(this._connectionLimit());
-		this._pool.setTargetSize(this._wantedConnections());
+		this._pool.setTargetSize(this._targetConnections());
 	}
 
 	/** Runs one request cycle. */
 	async execute(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
-		const run = this._newRun(request, sink, signal);
+		const run = this._createRun(request, sink, signal);
 		this._inProgress.add(run);
 		try {
 			return await this._requests.run(run);
@@ -154,19 +154,19 @@
 
 	/** Finishes what is in progress, within bounds, and detaches. The first call sets the bounds. */
 	async letGo(bounds: DrainBounds): Promise<void> {
-		this._letGo ??= this._letGoWithin(bounds);
-		return this._letGo;
+		this._draining ??= this._drainWithin(bounds);
+		return this._draining;
 	}
 
 	dispose(): void {
 		this._stage = 'stopping';
-		this._queue.refuseNewWork(() => this._notHome());
+		this._queue.refuseNewWork(() => this._notHomeRefusal());
 		this._owned.dispose();
 	}
 
-	private _connectParts(monitor: GroupMonitor): void {
+	private _subscribe(monitor: GroupMonitor): void {
 		this._owned.register(monitor.onChange(({primary}) => {
-			this._onPrimary(primary);
+			this._onPrimaryChanged(primary);
 		}));
 		this._owned.register(this._attachment.onChange(isAttached => {
 			if (isAttached) {
@@ -182,7 +182,7 @@
 			this._transactions.onConnectionLost(connection);
 		}));
 		this._owned.register(this._transactions.onChange(() => {
-			this._pool.setTargetSize(this._wantedConnections());
+			this._pool.setTargetSize(this._targetConnections());
 			this._queue.serve();
 		}));
 		this._owned.register(this._transactions.onAbandoned(connection => {
@@ -194,7 +194,7 @@
 	 * Once another endpoint is primary, what waits to write here cannot succeed, nor what runs:
 	 * an endpoint that lives says so itself within the grace time, in words that tell more.
 	 */
-	private _onPrimary(primary: string): void {
+	private _onPrimaryChanged(primary: string): void {
 		const {clock, options} = this._context;
 		const {name} = this.definition;
 		const wasPrimary = this._isPrimary;
@@ -212,7 +212,7 @@
 		}));
 	}
 
-	private _newRun(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): RunningRequest {
+	private _createRun(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): RunningRequest {
 		return {
 			request,
 			sink,
@@ -235,20 +235,20 @@
 	 * statements that were running already are waited for. New work stops for no longer than
 	 * the last statements take.
 	 */
-	private async _letGoWithin(bounds: DrainBounds): Promise<void> {
+	private async _drainWithin(bounds: DrainBounds): Promise<void> {
 		const endMs = this._context.clock.nowMs() + bounds.boundMs;
 		this._stage = 'finishing';
 		await this._wait(bounds.transactionMs, () => this._transactions.count + this._queue.beginsRunning === 0);
 		this._transactions.abandonAll('transactionLost');
 		const newest = this._queue.newestGrant;
-		await this._wait(this._msUntil(endMs), () => !this._queue.isRunningUpTo(newest));
+		await this._wait(this._remainingMs(endMs), () => !this._queue.isRunningUpTo(newest));
 		this._stage = 'stopping';
-		this._queue.refuseNewWork(() => this._notHome());
-		await this._wait(this._msUntil(endMs), () => this._queue.running === 0);
+		this._queue.refuseNewWork(() => this._notHomeRefusal());
+		await this._wait(this._remainingMs(endMs), () => this._queue.running === 0);
 		this._pool.closeAll();
 		await this._attachment.detach();
 		// Answers that wait for confirmation need neither slot nor connection.
-		await this._wait(this._msUntil(endMs), () => this._inProgress.size === 0);
+		await this._wait(this._remainingMs(endMs), () => this._inProgress.size === 0);
 	}
 
 	private async _wait(timeoutMs: number, condition: () => boolean): Promise<void> {
@@ -256,11 +256,11 @@
 		await waitUntil(this._context.clock, {condition, events, timeoutMs});
 	}
 
-	private _msUntil(timeMs: number): number {
+	private _remainingMs(timeMs: number): number {
 		return timeMs - this._context.clock.nowMs();
 	}
 
-	private _notHome(): Refusal {
+	private _notHomeRefusal(): Refusal {
 		const {membership} = this._context;
 		const home = membership.homeOf(this.definition)?.name;
 		const homeNode = home === membership.self.name ? undefined : home;
@@ -274,11 +274,11 @@
 	}
 
 	private _connectionLimit(): number {
-		const {definition, groupSize} = this._place;
+		const {definition, groupSize} = this._assignment;
 		return Math.max(1, definition.connections - groupSize - this._context.options.spareConnections);
 	}
 
-	private _wantedConnections(): number {
+	private _targetConnections(): number {
 		return this.definition.slots + this._transactions.count;
 	}
 }
--- a/src/common/homes/fair-share.ts
+++ b/src/common/homes/fair-share.ts
@@ -36,7 +36,7 @@
 		const account = this._accounts.get(key);
 		if (account) {
 			account.waiting -= 1;
-			this._forgetIfSettled(key, account);
+			this._dropIfSettled(key, account);
 		}
 	}
 
@@ -62,7 +62,7 @@
 		}
 
 		account.attainedMs += serviceMs;
-		this._forgetIfSettled(key, account);
+		this._dropIfSettled(key, account);
 	}
 
 	/** Moves virtual time to the start of the key that is served now. */
@@ -77,11 +77,11 @@
 	/** Drops the accounts of keys that virtual time has caught up with. */
 	prune(): void {
 		for (const [key, account] of this._accounts) {
-			this._forgetIfSettled(key, account);
+			this._dropIfSettled(key, account);
 		}
 	}
 
-	private _forgetIfSettled(key: Key, account: Account): void {
+	private _dropIfSettled(key: Key, account: Account): void {
 		if (account.waiting === 0 && account.attainedMs <= this._virtualTimeMs) {
 			this._accounts.delete(key);
 		}
--- a/src/common/homes/held-transactions.ts
+++ b/src/common/homes/held-transactions.ts
@@ -81,7 +81,7 @@
 		this._held.set(held.sessionId, held);
 		this._connections.add(held.connection);
 		this._startIdleTimer(held);
-		this._changed();
+		this._notifyChanged();
 	}
 
 	/** A statement of the transaction begins. */
@@ -111,7 +111,7 @@
 
 		this._connections.delete(held.connection);
 
-		this._changed();
+		this._notifyChanged();
 	}
 
 	/** Ends a session's transaction from outside; its connection is announced as abandoned. */
@@ -121,7 +121,7 @@
 			return;
 		}
 
-		this._remember(sessionId, reason);
+		this._recordEndReason(sessionId, reason);
 		const {isBusy} = held;
 		this.end(held);
 		this._context.log.event('transactionAbandoned', {endpoint: this._endpoint, sessionId, reason: reason ?? 'released'});
@@ -143,7 +143,7 @@
 		const held = [...this._held.values()].find(other => other.connection === connection);
 		// A statement in progress finds out by itself.
 		if (held && !held.isBusy) {
-			this._remember(held.sessionId, 'transactionLost');
+			this._recordEndReason(held.sessionId, 'transactionLost');
 			this.end(held);
 		}
 	}
@@ -164,7 +164,7 @@
 		});
 	}
 
-	private _remember(sessionId: string, reason: ErrorKind | undefined): void {
+	private _recordEndReason(sessionId: string, reason: ErrorKind | undefined): void {
 		if (!reason) {
 			return;
 		}
@@ -176,7 +176,7 @@
 		}
 	}
 
-	private _changed(): void {
+	private _notifyChanged(): void {
 		this._context.metrics.gauge('homeTransactionsHeld', this._held.size, {endpoint: this._endpoint});
 		this._onChange.fire();
 	}
--- a/src/common/homes/home-service.ts
+++ b/src/common/homes/home-service.ts
@@ -32,7 +32,7 @@
 	private readonly _owned = new DisposableStore();
 	private readonly _served = new Map<string, ServedEndpoint>();
 	/** Endpoints of this node that another one asked for a moment ago; they are left alone for a while. */
-	private readonly _pauses = new Map<string, Disposable>();
+	private readonly _cooldowns = new Map<string, Disposable>();
 	private _isDraining = false;
 
 	constructor(services: HomeServiceServices) {
@@ -76,11 +76,11 @@
 	}
 
 	async handOver(endpoint: string): Promise<void> {
-		if (this._served.has(endpoint) && this._ownPlaces().has(endpoint)) {
-			this._pause(endpoint);
+		if (this._served.has(endpoint) && this._ownAssignments().has(endpoint)) {
+			this._startCooldown(endpoint);
 		}
 
-		await this._letGo(endpoint, this._handOverBounds());
+		await this._drainHome(endpoint, this._handOverBounds());
 	}
 
 	async drain(boundMs: number): Promise<void> {
@@ -88,7 +88,7 @@
 		const transactionMs = boundMs * options.drainTransactionShare;
 		const homes = [...this._served.values()].map(({home}) => home);
 		this._isDraining = true;
-		const letGo = [...this._served.keys()].map(async endpoint => this._letGo(endpoint, {boundMs, transactionMs}));
+		const letGo = [...this._served.keys()].map(async endpoint => this._drainHome(endpoint, {boundMs, transactionMs}));
 		// An endpoint that another node asked for before has bounds of its own.
 		await withTimeout(clock, Promise.all(letGo), boundMs);
 		const cut = homes.reduce((count, home) => count + home.runningCount, 0);
@@ -106,37 +106,37 @@
 
 	/** Takes up what is this node's, and gives up what is not any more. */
 	private _reconcile(): void {
-		const places = this._ownPlaces();
+		const assignments = this._ownAssignments();
 		for (const [endpoint, served] of this._served) {
-			this._follow(endpoint, served, places.get(endpoint));
+			this._reconcileServed(endpoint, served, assignments.get(endpoint));
 		}
 
-		for (const endpoint of this._pauses.keys()) {
-			if (!places.has(endpoint)) {
-				this._endPause(endpoint);
+		for (const endpoint of this._cooldowns.keys()) {
+			if (!assignments.has(endpoint)) {
+				this._endCooldown(endpoint);
 			}
 		}
 
-		for (const [endpoint, place] of places) {
-			if (!this._served.has(endpoint) && !this._isDraining && !this._pauses.has(endpoint)) {
-				this._takeUp(endpoint, place);
+		for (const [endpoint, assignment] of assignments) {
+			if (!this._served.has(endpoint) && !this._isDraining && !this._cooldowns.has(endpoint)) {
+				this._startHome(endpoint, assignment);
 			}
 		}
 	}
 
-	private _follow(endpoint: string, served: ServedEndpoint, place: EndpointAssignment | undefined): void {
+	private _reconcileServed(endpoint: string, served: ServedEndpoint, assignment: EndpointAssignment | undefined): void {
 		const {definition} = served.home;
-		if (place && isSameAddress(place.definition, definition)) {
-			this._stopMoving(served);
-			served.home.update(place);
+		if (assignment && isSameAddress(assignment.definition, definition)) {
+			this._cancelMove(served);
+			served.home.update(assignment);
 			return;
 		}
 
-		const isElsewhere = !place && this._definition(definition.group, endpoint) !== undefined;
+		const isElsewhere = !assignment && this._definition(definition.group, endpoint) !== undefined;
 		if (isElsewhere) {
-			this._giveUpLater(endpoint, served);
+			this._scheduleDrain(endpoint, served);
 		} else {
-			void this._letGo(endpoint, this._handOverBounds());
+			void this._drainHome(endpoint, this._handOverBounds());
 		}
 	}
 
@@ -144,35 +144,35 @@
 	 * The new home asks for the endpoint once it is ready to take it; until then it is served
 	 * here. If nobody asks, it is let go after a while all the same.
 	 */
-	private _giveUpLater(endpoint: string, served: ServedEndpoint): void {
+	private _scheduleDrain(endpoint: string, served: ServedEndpoint): void {
 		const {clock, options} = this._services;
 		served.moveTimer ??= this._owned.register(clock.setTimer(options.movedGraceMs, () => {
-			void this._letGo(endpoint, this._handOverBounds());
+			void this._drainHome(endpoint, this._handOverBounds());
 		}));
 	}
 
-	private _ownPlaces(): Map<string, EndpointAssignment> {
+	private _ownAssignments(): Map<string, EndpointAssignment> {
 		const {configuration, membership} = this._services;
-		const places = new Map<string, EndpointAssignment>();
+		const assignments = new Map<string, EndpointAssignment>();
 		for (const group of configuration.groups()) {
 			for (const definition of group.endpoints) {
 				if (membership.homeOf(definition)?.name === membership.self.name) {
-					places.set(definition.name, {definition, groupSize: group.endpoints.length});
+					assignments.set(definition.name, {definition, groupSize: group.endpoints.length});
 				}
 			}
 		}
 
-		return places;
+		return assignments;
 	}
 
-	private _takeUp(endpoint: string, place: EndpointAssignment): void {
+	private _startHome(endpoint: string, assignment: EndpointAssignment): void {
 		const {groups} = this._services;
-		const home = new EndpointHome(this._services, place, this._homeId, groups.monitor(place.definition.group));
+		const home = new EndpointHome(this._services, assignment, this._homeId, groups.monitor(assignment.definition.group));
 		this._served.set(endpoint, {home, moveTimer: undefined});
 		home.start();
 	}
 
-	private _stopMoving(served: ServedEndpoint): void {
+	private _cancelMove(served: ServedEndpoint): void {
 		if (served.moveTimer) {
 			served.moveTimer.dispose();
 			this._owned.release(served.moveTimer);
@@ -185,7 +185,7 @@
 		return {boundMs, transactionMs};
 	}
 
-	private async _letGo(endpoint: string, bounds: DrainBounds): Promise<void> {
+	private async _drainHome(endpoint: string, bounds: DrainBounds): Promise<void> {
 		const served = this._served.get(endpoint);
 		if (!served) {
 			return;
@@ -196,7 +196,7 @@
 			return;
 		}
 
-		this._stopMoving(served);
+		this._cancelMove(served);
 		served.home.dispose();
 		this._served.delete(endpoint);
 		this._services.log.event('endpointLetGo', {endpoint});
@@ -207,24 +207,24 @@
 	 * Two nodes that both believe to be home must not take an endpoint from each other in turn.
 	 * Where this one knows that the other is home, there is no such danger.
 	 */
-	private _pause(endpoint: string): void {
+	private _startCooldown(endpoint: string): void {
 		const {clock, options} = this._services;
-		this._endPause(endpoint);
+		this._endCooldown(endpoint);
 		const timer = this._owned.register(clock.setTimer(options.handedOverPauseMs, () => {
 			this._owned.release(timer);
-			this._pauses.delete(endpoint);
+			this._cooldowns.delete(endpoint);
 			this._reconcile();
 		}));
-		this._pauses.set(endpoint, timer);
+		this._cooldowns.set(endpoint, timer);
 	}
 
 	/** The pause keeps two views apart that contradict each other; a home that has moved since is a new view. */
-	private _endPause(endpoint: string): void {
-		const timer = this._pauses.get(endpoint);
+	private _endCooldown(endpoint: string): void {
+		const timer = this._cooldowns.get(endpoint);
 		if (timer) {
 			this._owned.release(timer);
 			timer.dispose();
-			this._pauses.delete(endpoint);
+			this._cooldowns.delete(endpoint);
 		}
 	}
 
--- a/src/common/homes/position-tracker.ts
+++ b/src/common/homes/position-tracker.ts
@@ -13,7 +13,7 @@
 
 /** Follows the applied position of one endpoint. */
 export class PositionTracker implements Disposable {
-	private _known: LogPosition | undefined;
+	private _knownPosition: LogPosition | undefined;
 	private _state: InstanceState | undefined;
 	private _epoch = 0;
 	private readonly _onChange = new Emitter<void>();
@@ -39,47 +39,47 @@
 			return true;
 		}
 
-		return this._known !== undefined && hasReached(this._known, position);
+		return this._knownPosition !== undefined && hasReached(this._knownPosition, position);
 	}
 
 	/** Whether a position that is missing may well arrive within a short wait. */
 	isClose(position: LogPosition, maximumEntries: number): boolean {
-		if (!this._known || !this._state?.isStreaming) {
+		if (!this._knownPosition || !this._state?.isStreaming) {
 			return false;
 		}
 
-		return position.offset - this._known.offset <= maximumEntries;
+		return position.offset - this._knownPosition.offset <= maximumEntries;
 	}
 
 	/** Takes in a report of the control connection; those come in order. */
 	observeState(state: InstanceState): void {
-		const former = this._state;
-		const isSameRole = former?.promisedTerm === state.promisedTerm && former.role === state.role;
-		const isCut = former !== undefined && comparePositions(state.received, former.received) < 0;
-		if (!isSameRole || isCut) {
+		const previous = this._state;
+		const isSameRole = previous?.promisedTerm === state.promisedTerm && previous.role === state.role;
+		const isTruncated = previous !== undefined && comparePositions(state.received, previous.received) < 0;
+		if (!isSameRole || isTruncated) {
 			this._epoch += 1;
-			this._known = undefined;
+			this._knownPosition = undefined;
 		}
 
 		this._state = state;
-		this._known = this._known ? laterPosition(this._known, state.applied) : state.applied;
+		this._knownPosition = this._knownPosition ? laterPosition(this._knownPosition, state.applied) : state.applied;
 		this._onChange.fire();
 	}
 
 	/** Takes in what a work connection reported, if it was sent within the current epoch. */
 	observeExchange(position: LogPosition, epoch: number): void {
-		if (epoch !== this._epoch || !this._known) {
+		if (epoch !== this._epoch || !this._knownPosition) {
 			return;
 		}
 
-		this._known = laterPosition(this._known, position);
+		this._knownPosition = laterPosition(this._knownPosition, position);
 		this._onChange.fire();
 	}
 
 	/** The control connection is gone: nothing is known. */
 	reset(): void {
 		this._epoch += 1;
-		this._known = undefined;
+		this._knownPosition = undefined;
 		this._state = undefined;
 		this._onChange.fire();
 	}
--- a/src/common/homes/request-completion.ts
+++ b/src/common/homes/request-completion.ts
@@ -36,27 +36,27 @@
 		const {answer, result} = outcome;
 		const finished = result.isLeft()
 			? Left(this._brokenRefusal(run, outcome))
-			: await this._finishEnded(run, answer, result.unsafeCoerce());
+			: await this._completeExchange(run, answer, result.unsafeCoerce());
 		answer.close();
 		return finished;
 	}
 
-	private async _finishEnded(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, HomeEnd>> {
+	private async _completeExchange(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, HomeEnd>> {
 		const early = this._readOnlyRefusal(run, answer, end)
-			?? this._behindRefusal(run, answer, end)
+			?? this._behindTokenRefusal(run, answer, end)
 			?? await this._acknowledgement.awaitProof(run);
 		if (early) {
-			return Left(this._inTime(run, answer, early));
+			return Left(this._adjustForPartialAnswer(run, answer, early));
 		}
 
 		const confirmed = await this._confirm(run, answer, end);
 		if (confirmed.isLeft()) {
-			return Left(this._inTime(run, answer, confirmed.extract()));
+			return Left(this._adjustForPartialAnswer(run, answer, confirmed.extract()));
 		}
 
 		await answer.flush();
 		if (answer.stopReason) {
-			return Left(this._inTime(run, answer, answer.stopReason));
+			return Left(this._adjustForPartialAnswer(run, answer, answer.stopReason));
 		}
 
 		return Right(this._homeEnd(run, end, confirmed.orDefault(end.position)));
@@ -106,14 +106,14 @@
 	private _brokenRefusal(run: RunningRequest, outcome: StatementOutcome): Refusal {
 		const {answer, overdue} = outcome;
 		if (answer.stopReason) {
-			return this._inTime(run, answer, answer.stopReason);
+			return this._adjustForPartialAnswer(run, answer, answer.stopReason);
 		}
 
 		const fault = outcome.result.swap().unsafeCoerce();
-		const {hasForwarded: hasPushed, hasCommitted} = answer;
+		const {hasForwarded, hasCommitted} = answer;
 		const isOutOfTime = overdue !== undefined && this._context.clock.nowMs() >= run.deadlineMs;
 		const meaning = classifyBrokenExchange({
-			run, fault, isOutOfTime, hasForwarded: hasPushed, hasCommitted,
+			run, fault, isOutOfTime, hasForwarded, hasCommitted,
 		});
 		run.isWithoutEffect = meaning.isWithoutEffect;
 		return new Refusal(meaning.kind, fault.detail, {correction: this._admission.correction()});
@@ -137,7 +137,7 @@
 	}
 
 	/** The endpoint's own report shows that the read came too early. */
-	private _behindRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
+	private _behindTokenRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
 		const {request} = run;
 		const isRead = request.access === 'read' && end.transactionStatus === 'idle';
 		if (!isRead || hasReached(end.position, run.minimumPosition)) {
@@ -149,7 +149,7 @@
 	}
 
 	/** Once a part of the answer has been passed on, the asker may not conclude that nothing ran. */
-	private _inTime(run: RunningRequest, answer: AnswerBuffer, refusal: Refusal): Refusal {
+	private _adjustForPartialAnswer(run: RunningRequest, answer: AnswerBuffer, refusal: Refusal): Refusal {
 		if (!answer.hasForwarded || refusal.answer.outcome === 'unknown') {
 			return refusal;
 		}
--- a/src/common/homes/request-runner.ts
+++ b/src/common/homes/request-runner.ts
@@ -35,25 +35,25 @@
 /** Runs the request cycles of one endpoint. */
 export class RequestRunner {
 	private readonly _context: HomeContext;
-	private readonly _path: RequestPipeline;
+	private readonly _pipeline: RequestPipeline;
 
-	constructor(context: HomeContext, path: RequestPipeline) {
+	constructor(context: HomeContext, pipeline: RequestPipeline) {
 		this._context = context;
-		this._path = path;
+		this._pipeline = pipeline;
 	}
 
 	/** Runs one request cycle to its answer or refusal. */
 	async run(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
 		const result = run.request.isInTransaction ? await this._continueTransaction(run) : await this._runNew(run);
 		result.ifLeft(refusal => {
-			this._noteRefusal(run, refusal);
+			this._recordRefusal(run, refusal);
 		});
 		return result;
 	}
 
 	/** A cycle outside of a transaction, or the first one of it. */
 	private async _runNew(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
-		const {admission, transactions, monitor, closedRefusal} = this._path;
+		const {admission, transactions, monitor, closedRefusal} = this._pipeline;
 		// The entry node knows of no transaction: what is left of one is of no use to anybody.
 		transactions.abandon(run.request.sessionId);
 		const refusal = closedRefusal() ?? await admission.admit(run);
@@ -65,7 +65,7 @@
 			run.proof = monitor.prove(this._timeLeftMs(run));
 		}
 
-		const slot = await this._enter(run, run.request.step === 'begin' ? 'begin' : run.request.access);
+		const slot = await this._acquireSlot(run, run.request.step === 'begin' ? 'begin' : run.request.access);
 		if (slot.isLeft()) {
 			return slot;
 		}
@@ -81,7 +81,7 @@
 	}
 
 	private async _runOnFreeConnection(run: RunningRequest, grant: SlotGrant): Promise<Either<Refusal, StatementOutcome>> {
-		const {pool, admission, closedRefusal} = this._path;
+		const {pool, admission, closedRefusal} = this._pipeline;
 		const acquired = await pool.acquire(this._timeLeftMs(run));
 		if (acquired.isLeft()) {
 			return acquired;
@@ -99,7 +99,7 @@
 	}
 
 	private async _runOn(run: RunningRequest, connection: EndpointConnection, grant: SlotGrant): Promise<StatementOutcome> {
-		const {endpoint, tracker, admission, transactions, runner} = this._path;
+		const {endpoint, tracker, admission, transactions, runner} = this._pipeline;
 		const {invariants, configuration} = this._context;
 		const {epoch} = tracker;
 		run.isOnPrimary = admission.isPrimary;
@@ -107,9 +107,9 @@
 		invariants.check('leavingEndpoint', !configuration.endpointPolicy(endpoint).isDraining, () => endpoint);
 		const outcome = await runner.run(run, connection);
 		if (outcome.overdue) {
-			this._keepOverdue(connection, grant, outcome.overdue);
+			this._trackOverdue(connection, grant, outcome.overdue);
 		} else {
-			this._settle(run, connection, outcome);
+			this._settleConnection(run, connection, outcome);
 			this._learnPosition(outcome, epoch);
 			grant.dispose();
 		}
@@ -117,8 +117,8 @@
 		return outcome;
 	}
 
-	private _settle(run: RunningRequest, connection: EndpointConnection, outcome: StatementOutcome): void {
-		const {pool, transactions} = this._path;
+	private _settleConnection(run: RunningRequest, connection: EndpointConnection, outcome: StatementOutcome): void {
+		const {pool, transactions} = this._pipeline;
 		const end = outcome.result.toMaybe().extract();
 		if (!end) {
 			pool.discard(connection);
@@ -136,7 +136,7 @@
 
 	/** A cycle of an open transaction, on the connection that it holds. */
 	private async _continueTransaction(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
-		const {transactions, tracker, admission, runner} = this._path;
+		const {transactions, tracker, admission, runner} = this._pipeline;
 		const found = await this._findTransaction(run);
 		if (found.isLeft()) {
 			return found;
@@ -144,9 +144,9 @@
 
 		const held = found.unsafeCoerce();
 		transactions.begin(held);
-		const slot = await this._enter(run, 'transaction');
+		const slot = await this._acquireSlot(run, 'transaction');
 		if (slot.isLeft()) {
-			this._settleHeld(run, held);
+			this._settleTransaction(run, held);
 			return slot;
 		}
 
@@ -157,9 +157,9 @@
 		const outcome = await runner.run(run, held.connection);
 		if (outcome.overdue) {
 			transactions.end(held);
-			this._keepOverdue(held.connection, grant, outcome.overdue);
+			this._trackOverdue(held.connection, grant, outcome.overdue);
 		} else {
-			this._settleHeld(run, held, outcome);
+			this._settleTransaction(run, held, outcome);
 			this._learnPosition(outcome, epoch);
 			grant.dispose();
 		}
@@ -169,7 +169,7 @@
 
 	/** The session's transaction, once no earlier statement of it is in progress. */
 	private async _findTransaction(run: RunningRequest): Promise<Either<Refusal, HeldTransaction>> {
-		const {transactions, admission, endpoint} = this._path;
+		const {transactions, admission, endpoint} = this._pipeline;
 		const {sessionId} = run.request;
 		const isFree = await waitUntil(this._context.clock, {
 			condition: () => transactions.get(sessionId)?.isBusy !== true,
@@ -187,8 +187,8 @@
 			: Left(new Refusal(transactions.takeEndReason(sessionId), endpoint, {correction: admission.correction()}));
 	}
 
-	private _settleHeld(run: RunningRequest, held: HeldTransaction, outcome?: StatementOutcome): void {
-		const {pool, transactions} = this._path;
+	private _settleTransaction(run: RunningRequest, held: HeldTransaction, outcome?: StatementOutcome): void {
+		const {pool, transactions} = this._pipeline;
 		const {connection} = held;
 		const isStillHeld = transactions.get(held.sessionId) === held;
 		const end = outcome?.result.toMaybe().extract();
@@ -207,7 +207,7 @@
 	}
 
 	private async _finish(run: RunningRequest, outcome: StatementOutcome): Promise<Either<Refusal, HomeEnd>> {
-		const {finish, transactions} = this._path;
+		const {finish, transactions} = this._pipeline;
 		const result = await finish.finish(run, outcome);
 		// An asker that gets a refusal believes that nothing is held for it.
 		result.ifLeft(() => {
@@ -216,9 +216,9 @@
 		return result;
 	}
 
-	private async _enter(run: RunningRequest, lane: SlotLane): Promise<Either<Refusal, SlotGrant>> {
+	private async _acquireSlot(run: RunningRequest, lane: SlotLane): Promise<Either<Refusal, SlotGrant>> {
 		const {caller, priority} = run.request;
-		const slot = await this._path.queue.acquire({
+		const slot = await this._pipeline.queue.acquire({
 			caller, priority, lane, timeLeftMs: this._timeLeftMs(run),
 		}, run.signal);
 		run.queuedMs = slot.map(grant => grant.queuedMs).orDefault(0);
@@ -226,28 +226,28 @@
 	}
 
 	private _rollBack(connection: EndpointConnection): void {
-		const {queue, pool} = this._path;
+		const {queue, pool} = this._pipeline;
 		void rollBack(this._context, queue, pool, connection);
 	}
 
-	private _keepOverdue(connection: EndpointConnection, grant: SlotGrant, exchange: Promise<unknown>): void {
-		const {pool} = this._path;
+	private _trackOverdue(connection: EndpointConnection, grant: SlotGrant, exchange: Promise<unknown>): void {
+		const {pool} = this._pipeline;
 		void awaitOverdue(this._context, {pool, connection, grant}, exchange);
 	}
 
 	private _learnPosition(outcome: StatementOutcome, epoch: number): void {
 		outcome.result.ifRight(end => {
 			if (end.transactionStatus === 'idle') {
-				this._path.tracker.observeExchange(end.position, epoch);
+				this._pipeline.tracker.observeExchange(end.position, epoch);
 			}
 		});
 	}
 
-	private _noteRefusal(run: RunningRequest, refusal: Refusal): void {
+	private _recordRefusal(run: RunningRequest, refusal: Refusal): void {
 		const {invariants, metrics} = this._context;
-		const isTrue = refusal.answer.outcome !== 'notRun' || !run.isSent || run.isWithoutEffect;
-		invariants.check('refusalTruth', isTrue, () => `${refusal.kind} after the request was sent`);
-		metrics.count('homeRefusalsTotal', {endpoint: this._path.endpoint, kind: refusal.kind});
+		const isTruthful = refusal.answer.outcome !== 'notRun' || !run.isSent || run.isWithoutEffect;
+		invariants.check('refusalTruth', isTruthful, () => `${refusal.kind} after the request was sent`);
+		metrics.count('homeRefusalsTotal', {endpoint: this._pipeline.endpoint, kind: refusal.kind});
 	}
 
 	private _timeLeftMs(run: RunningRequest): number {
--- a/src/common/homes/slot-queue.ts
+++ b/src/common/homes/slot-queue.ts
@@ -41,7 +41,7 @@
 	private readonly _context: QueueContext;
 	private readonly _endpoint: string;
 	private readonly _mayBegin: (beginsRunning: number) => boolean;
-	private readonly _line: StatementQueue<QueuedStatement>;
+	private readonly _queue: StatementQueue<QueuedStatement>;
 	private readonly _serviceMs: Record<SlotLane, number> = {
 		transaction: 0, begin: 0, read: 0, write: 0,
 	};
@@ -60,7 +60,7 @@
 		this._endpoint = endpoint;
 		this._slots = slots;
 		this._mayBegin = mayBegin;
-		this._line = new StatementQueue(context.options);
+		this._queue = new StatementQueue(context.options);
 	}
 
 	/** A slot has become free. */
@@ -91,7 +91,7 @@
 
 	/** Statements that wait. */
 	get length(): number {
-		return this._line.length;
+		return this._queue.length;
 	}
 
 	/** Follows a change of the endpoint's definition. */
@@ -112,14 +112,14 @@
 
 	/** Refuses everything that waits and belongs to no open transaction. */
 	refuseNewWork(makeRefusal: () => Refusal): void {
-		for (const item of this._line.newWork()) {
+		for (const item of this._queue.newWork()) {
 			this._refuse(item, makeRefusal());
 		}
 	}
 
 	/** Refuses the writes that wait and belong to no open transaction. */
 	refuseWrites(makeRefusal: () => Refusal): void {
-		for (const item of this._line.newWork().filter(({lane}) => lane !== 'read')) {
+		for (const item of this._queue.newWork().filter(({lane}) => lane !== 'read')) {
 			this._refuse(item, makeRefusal());
 		}
 	}
@@ -127,7 +127,7 @@
 	/** Serves what may go; called when something has changed. */
 	serve(): void {
 		while (this._running < this._slots) {
-			const item = this._line.take(
+			const item = this._queue.take(
 				this._context.clock.nowMs(),
 				lane => lane !== 'begin' || this._mayBegin(this._beginsRunning),
 				lane => this._serviceMs[lane],
@@ -150,7 +150,7 @@
 		}
 
 		const expectedMs = (lane: SlotLane): number => this._serviceMs[lane];
-		const aheadMs = this._line.workAheadMs({...item, enteredAtMs: 0}, expectedMs);
+		const aheadMs = this._queue.workAheadMs({...item, enteredAtMs: 0}, expectedMs);
 		// What runs is on average half done.
 		const runningMs = this._running * this._serviceMs[item.lane] / 2;
 		return (aheadMs + runningMs) / Math.max(1, this._slots);
@@ -158,7 +158,7 @@
 
 	/** With a slot free nobody waits but new transactions, so that there is nobody to overtake. */
 	private _mayStartNow(lane: SlotLane): boolean {
-		return this._running < this._slots && (lane !== 'begin' || (this._line.length === 0 && this._mayBegin(this._beginsRunning)));
+		return this._running < this._slots && (lane !== 'begin' || (this._queue.length === 0 && this._mayBegin(this._beginsRunning)));
 	}
 
 	/** Spares the timer, the listener and the promise of a wait. */
@@ -196,7 +196,7 @@
 					signal?.removeEventListener('abort', onAbort);
 				}),
 			);
-			this._line.add(item);
+			this._queue.add(item);
 			this.serve();
 		});
 		for (const watch of stopWatching) {
@@ -225,12 +225,12 @@
 			return this._refusal('overloaded', request);
 		}
 
-		return this._line.length < this._context.options.queueLength ? undefined : this._makeRoom(request);
+		return this._queue.length < this._context.options.queueLength ? undefined : this._evictFor(request);
 	}
 
 	/** A full queue refuses the caller that takes most of it, which need not be the newcomer. */
-	private _makeRoom(request: SlotRequest): Refusal | undefined {
-		const victim = this._line.evictionCandidate({...request, enteredAtMs: 0});
+	private _evictFor(request: SlotRequest): Refusal | undefined {
+		const victim = this._queue.evictionCandidate({...request, enteredAtMs: 0});
 		if (!victim) {
 			return this._refusal('overloaded', request);
 		}
@@ -246,7 +246,7 @@
 	}
 
 	private _refuse(item: QueuedStatement, refusal: Refusal): void {
-		if (this._line.remove(item)) {
+		if (this._queue.remove(item)) {
 			item.answer(Left(refusal));
 			this._reportGauges();
 		}
@@ -271,7 +271,7 @@
 			this._grants.delete(grantNumber);
 			this._beginsRunning -= beginCount;
 			this._learnServiceTime(item.lane, serviceMs);
-			this._line.correctCharge(item, serviceMs - chargedMs);
+			this._queue.correctCharge(item, serviceMs - chargedMs);
 			this.serve();
 			this._onFreed.fire();
 		});
@@ -301,6 +301,6 @@
 	private _reportGauges(): void {
 		const {metrics} = this._context;
 		metrics.gauge('homeSlotsInUse', this._running, {endpoint: this._endpoint});
-		metrics.gauge('homeQueueLength', this._line.length, {endpoint: this._endpoint});
+		metrics.gauge('homeQueueLength', this._queue.length, {endpoint: this._endpoint});
 	}
 }
--- a/src/common/homes/statement-queue.ts
+++ b/src/common/homes/statement-queue.ts
@@ -61,7 +61,7 @@
 			return;
 		}
 
-		const group = this._class(item.priority);
+		const group = this._priorityClass(item.priority);
 		const lane = laneOf(group, item.lane);
 		const ofCaller = lane.byCaller.get(item.caller);
 		if (ofCaller) {
@@ -86,7 +86,7 @@
 			return false;
 		}
 
-		const group = this._class(item.priority);
+		const group = this._priorityClass(item.priority);
 		const lane = laneOf(group, item.lane);
 		const ofCaller = lane.byCaller.get(item.caller) ?? [];
 		removeFrom(ofCaller, item);
@@ -102,12 +102,12 @@
 
 	/** Takes out the statement that is served next, among lanes that are open. */
 	take(nowMs: number, isLaneOpen: (lane: SlotLane) => boolean, expectedMs: (lane: SlotLane) => number): T | undefined {
-		const item = this._transactions.at(0) ?? this._takeOverdue(nowMs, isLaneOpen) ?? this._takeFair(isLaneOpen);
+		const item = this._transactions.at(0) ?? this._takeAged(nowMs, isLaneOpen) ?? this._takeFair(isLaneOpen);
 		if (!item) {
 			return undefined;
 		}
 
-		this._noteServed(item, Math.max(expectedMs(item.lane), this._options.minimumChargeMs));
+		this._chargeServed(item, Math.max(expectedMs(item.lane), this._options.minimumChargeMs));
 		this.remove(item);
 		return item;
 	}
@@ -128,9 +128,9 @@
 
 		for (const [priority, group] of this._classes) {
 			if (priority < item.priority) {
-				workMs += workOf(group, expectedMs);
+				workMs += classWorkMs(group, expectedMs);
 			} else if (priority === item.priority) {
-				workMs += workAheadWithin(group, item, expectedMs);
+				workMs += workAheadInClassMs(group, item, expectedMs);
 			}
 		}
 
@@ -158,7 +158,7 @@
 		return worst && this._newestOf(worst);
 	}
 
-	private _takeOverdue(nowMs: number, isLaneOpen: (lane: SlotLane) => boolean): T | undefined {
+	private _takeAged(nowMs: number, isLaneOpen: (lane: SlotLane) => boolean): T | undefined {
 		if ((this._served + 1) % this._options.ageingInterval !== 0) {
 			return undefined;
 		}
@@ -179,7 +179,7 @@
 	private _takeFair(isLaneOpen: (lane: SlotLane) => boolean): T | undefined {
 		const priorities = [...this._classes.keys()].toSorted((a, b) => a - b);
 		for (const priority of priorities) {
-			const group = this._class(priority);
+			const group = this._priorityClass(priority);
 			const laneName = group.share.next(isLaneOpen);
 			const lane = laneName && group.lanes.get(laneName);
 			const caller = lane?.share.next();
@@ -191,13 +191,13 @@
 		return undefined;
 	}
 
-	private _noteServed(item: T, expectedMs: number): void {
+	private _chargeServed(item: T, expectedMs: number): void {
 		if (item.lane === 'transaction') {
 			return;
 		}
 
 		this._served += 1;
-		const group = this._class(item.priority);
+		const group = this._priorityClass(item.priority);
 		group.share.serve(item.lane, expectedMs);
 		laneOf(group, item.lane).share.serve(item.caller, expectedMs);
 		laneOf(group, item.lane).share.prune();
@@ -211,7 +211,7 @@
 		return this._classes.get(item.priority)?.lanes.get(item.lane)?.byCaller.get(item.caller)?.at(-1);
 	}
 
-	private _class(priority: number): PriorityClass<T> {
+	private _priorityClass(priority: number): PriorityClass<T> {
 		const existing = this._classes.get(priority);
 		if (existing) {
 			return existing;
@@ -234,7 +234,7 @@
 	return created;
 }
 
-function workOf<T>(group: PriorityClass<T>, expectedMs: (lane: SlotLane) => number): number {
+function classWorkMs<T>(group: PriorityClass<T>, expectedMs: (lane: SlotLane) => number): number {
 	let workMs = 0;
 	for (const [name, lane] of group.lanes) {
 		workMs += lane.count * expectedMs(name);
@@ -244,7 +244,7 @@
 }
 
 /** Under even sharing, other callers and lanes get at most as much as the new statement's own. */
-function workAheadWithin<T>(group: PriorityClass<T>, item: WaitingStatement, expectedMs: (lane: SlotLane) => number): number {
+function workAheadInClassMs<T>(group: PriorityClass<T>, item: WaitingStatement, expectedMs: (lane: SlotLane) => number): number {
 	const own = group.lanes.get(item.lane);
 	const ownCount = own?.byCaller.get(item.caller)?.length ?? 0;
 	let ahead = 0;
--- a/src/common/homes/statement-runner.ts
+++ b/src/common/homes/statement-runner.ts
@@ -22,9 +22,9 @@
 export class StatementRunner {
 	private readonly _context: HomeContext;
 	private readonly _acknowledgement: Acknowledgement;
-	private readonly _held: BufferedBytes = {totalBytes: 0};
+	private readonly _buffered: BufferedBytes = {totalBytes: 0};
 	/** Ends the wait for what runs on the primary, by request. */
-	private readonly _giveUps = new Map<RunningRequest, () => void>();
+	private readonly _abandonCallbacks = new Map<RunningRequest, () => void>();
 
 	constructor(context: HomeContext, acknowledgement: Acknowledgement) {
 		this._context = context;
@@ -33,7 +33,7 @@
 
 	/** Bytes of answers that wait for confirmation. */
 	get bufferedBytes(): number {
-		return this._held.totalBytes;
+		return this._buffered.totalBytes;
 	}
 
 	/**
@@ -41,13 +41,13 @@
 	 * confirmed any more, so that waiting for its answer would only delay the caller's.
 	 */
 	onReplaced(): void {
-		for (const giveUp of this._giveUps.values()) {
+		for (const giveUp of this._abandonCallbacks.values()) {
 			giveUp();
 		}
 	}
 
 	async run(run: RunningRequest, connection: EndpointConnection): Promise<StatementOutcome> {
-		const answer = this._answerFor(run, connection);
+		const answer = this._createBuffer(run, connection);
 		const cancel = (): void => {
 			connection.cancel();
 		};
@@ -56,7 +56,7 @@
 		run.isRunning = true;
 		run.signal.addEventListener('abort', cancel, {once: true});
 		const exchange = connection.exchange(run.request.frames, answer);
-		const result = await this._endOf(exchange, run, connection);
+		const result = await this._awaitResult(exchange, run, connection);
 		run.signal.removeEventListener('abort', cancel);
 		run.isRunning = false;
 		if (result) {
@@ -69,14 +69,14 @@
 	}
 
 	/** Past the deadline, the endpoint is asked to cancel and given a moment to say so. */
-	private async _endOf(
+	private async _awaitResult(
 		exchange: Promise<Either<EndpointFault, ExchangeEnd>>,
 		run: RunningRequest,
 		connection: EndpointConnection,
 	): Promise<Either<EndpointFault, ExchangeEnd> | undefined> {
 		const {clock, options} = this._context;
 		const answered = withTimeout(clock, exchange, run.deadlineMs - clock.nowMs());
-		const result = await (run.isOnPrimary ? this._orReplaced(run, answered) : answered);
+		const result = await (run.isOnPrimary ? this._raceReplacement(run, answered) : answered);
 		if (result) {
 			return result;
 		}
@@ -86,22 +86,22 @@
 	}
 
 	/** The result, or undefined as soon as the primary has been replaced. */
-	private async _orReplaced<T>(run: RunningRequest, answered: Promise<T | undefined>): Promise<T | undefined> {
+	private async _raceReplacement<T>(run: RunningRequest, answered: Promise<T | undefined>): Promise<T | undefined> {
 		const replaced = new Promise<undefined>(resolve => {
-			this._giveUps.set(run, () => {
+			this._abandonCallbacks.set(run, () => {
 				resolve(undefined);
 			});
 		});
 		const result = await Promise.race([answered, replaced]);
-		this._giveUps.delete(run);
+		this._abandonCallbacks.delete(run);
 		return result;
 	}
 
-	private _answerFor(run: RunningRequest, connection: EndpointConnection): AnswerBuffer {
+	private _createBuffer(run: RunningRequest, connection: EndpointConnection): AnswerBuffer {
 		const {request, sink} = run;
 		return new AnswerBuffer({
 			sink,
-			held: this._held,
+			held: this._buffered,
 			options: this._context.options,
 			gate: run.isOnPrimary ? async () => this._gate(run) : undefined,
 			isGatedFromStart: !request.isInTransaction,
--- a/src/common/homes/wait-until.ts
+++ b/src/common/homes/wait-until.ts
@@ -22,30 +22,30 @@
 		return condition();
 	}
 
-	const watches: Disposable[] = [];
+	const subscriptions: Disposable[] = [];
 	const stop = await new Promise<() => void>(resolve => {
 		const finish = () => {
 			resolve(finish);
 		};
 
-		const look = () => {
+		const check = () => {
 			if (condition()) {
 				finish();
 			}
 		};
 
 		for (const event of events) {
-			watches.push(event(look));
+			subscriptions.push(event(check));
 		}
 
 		if (timeoutMs !== undefined) {
-			watches.push(clock.setTimer(Math.max(0, timeoutMs), finish));
+			subscriptions.push(clock.setTimer(Math.max(0, timeoutMs), finish));
 		}
 
 		signal?.addEventListener('abort', finish, {once: true});
 	});
 	signal?.removeEventListener('abort', stop);
-	for (const watch of watches) {
+	for (const watch of subscriptions) {
 		watch.dispose();
 	}
 
