--- a/src/common/homes/acknowledgement.ts
+++ b/src/common/homes/acknowledgement.ts
@@ -1,6 +1,6 @@
 /**
- * When an answer may be passed on: its position is held by a majority of the group's
- * instances in its own term, and the freshness that was asked for is proved.
+ * Decides when an answer may be forwarded: a majority of the group's instances must hold its
+ * position in that position's own term, and the requested freshness must be proved.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -11,16 +11,16 @@
 import type {Admission} from './admission.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
-/** Instances of a group in which two are a majority. */
+/** Largest number of instances of which two are a majority. */
 const largestGroupWithImpliedMajority = 3;
 
-/** Decides over the answers of one endpoint. */
+/** Confirms the answers of one endpoint. */
 export class Acknowledgement {
 	private readonly _context: HomeContext;
 	private readonly _endpoint: string;
 	private readonly _monitor: GroupMonitor;
 	private readonly _admission: Admission;
-	/** Everything up to here is held by a majority for good. */
+	/** Position up to which a majority permanently holds all entries. */
 	private _confirmedPosition: LogPosition = zeroPosition;
 
 	constructor(context: HomeContext, endpoint: string, monitor: GroupMonitor, admission: Admission) {
@@ -31,20 +31,20 @@
 	}
 
 	/**
-	 * Whether everything that a replica shows is held by a majority: itself and the primary
-	 * that it came from. Larger groups need the confirmation of more instances.
+	 * Whether everything that a replica returns is necessarily held by a majority: by the replica
+	 * itself and by the primary that sent it. Larger groups need the confirmation of more instances.
 	 */
 	get isImpliedOnReplicas(): boolean {
 		return this._monitor.view().instances.length <= largestGroupWithImpliedMajority;
 	}
 
-	/** The reason why what an unfinished answer holds so far must not be passed on. */
+	/** Returns why the part of an unfinished answer received so far must not be forwarded; undefined if it may be. */
 	async confirmPartial(run: RunningRequest): Promise<Refusal | undefined> {
 		const result = await this.confirmCurrent(run);
 		return result.isLeft() ? result.extract() : undefined;
 	}
 
-	/** Confirms everything that the endpoint has logged by now, and returns that position. */
+	/** Confirms the position that the endpoint's log has reached by now, and returns it, or the refusal if that fails. */
 	async confirmCurrent(run: RunningRequest): Promise<Either<Refusal, LogPosition>> {
 		const state = await this._monitor.control(this._endpoint)?.readState();
 		if (!state || state.isLeft()) {
@@ -55,7 +55,7 @@
 		return this.confirm(run, position);
 	}
 
-	/** Confirms a position for an answer of the primary. */
+	/** Waits until a majority holds the position of an answer of the primary; returns it, or the refusal if that fails in time. */
 	async confirm(run: RunningRequest, position: LogPosition): Promise<Either<Refusal, LogPosition>> {
 		const {clock, metrics, options} = this._context;
 		if (this._needsNoConfirmation(run, position)) {
@@ -74,7 +74,7 @@
 		return Right(position);
 	}
 
-	/** Waits for the proof that was asked for on arrival, if there is one. */
+	/** Waits for the freshness proof requested on arrival, if any; returns a refusal if it fails or the endpoint is no longer the primary in the proved term. */
 	async awaitProof(run: RunningRequest): Promise<Refusal | undefined> {
 		const result = await run.proof;
 		if (!result) {
@@ -91,7 +91,7 @@
 		return isStillPrimary ? undefined : new Refusal('notPrimary', this._endpoint, {correction: this._admission.correction()});
 	}
 
-	/** A read that saw nothing new shows only what was confirmed before. */
+	/** Whether no confirmation is needed: a read at a position that is already confirmed returns only confirmed data. */
 	private _needsNoConfirmation(run: RunningRequest, position: LogPosition): boolean {
 		if (this._context.options.acknowledgement === 'commit') {
 			return true;
--- a/src/common/homes/admission.ts
+++ b/src/common/homes/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether an endpoint may serve a request: attached, not leaving, right role, new enough.
+ * Decides whether an endpoint may serve a request: it must be attached, not draining, in the right role and fresh enough.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {ViewCorrection} from '../errors/error-kinds.js';
@@ -11,7 +11,7 @@
 import type {HomeContext, RunningRequest} from './types.js';
 import {waitUntil} from './wait-until.js';
 
-/** Where an admission knows from. */
+/** Sources of the state that an admission checks. */
 export type AdmissionSources = {
 	readonly endpoint: string;
 	readonly monitor: GroupMonitor;
@@ -40,13 +40,13 @@
 		return this._monitor.view().primary === this._endpoint || this._tracker.state?.role === 'primary';
 	}
 
-	/** What the asker should know about the group. */
+	/** Term and primary of the group, sent to the requester with a refusal or an answer; undefined if none is known. */
 	correction(): ViewCorrection | undefined {
 		const {term, primary} = this._monitor.view();
 		return term === 0 ? undefined : {term, primary};
 	}
 
-	/** Checks on arrival; waits a little where that may help. */
+	/** Checks a request on arrival; waits briefly for an attach, a position or a proof where that may help. */
 	async admit(run: RunningRequest): Promise<Refusal | undefined> {
 		return this._leavingRefusal()
 			?? await this._awaitAttach(run)
@@ -56,7 +56,7 @@
 			?? this._awaitAge(run);
 	}
 
-	/** Checks again once the request has a slot, since it may have waited long. */
+	/** Checks a request again once it has a slot, since the state may have changed while it waited. */
 	async recheck(run: RunningRequest): Promise<Refusal | undefined> {
 		return this._leavingRefusal()
 			?? this._detachedRefusal()
@@ -65,7 +65,7 @@
 			?? this._awaitAge(run);
 	}
 
-	/** How far each instance was when it last reported. */
+	/** Applied position of each instance, as last reported. */
 	private _appliedPositions(): Array<{readonly endpoint: string; readonly position: LogPosition}> {
 		return this._monitor.view().instances.flatMap(({endpoint, state}) => state ? [{endpoint, position: state.applied}] : []);
 	}
@@ -110,8 +110,8 @@
 	}
 
 	/**
-	 * A replica serves a read that must be fresh once it has applied the position that the
-	 * primary was proved to have after the request arrived.
+	 * For a read on a replica that must be fresh: obtains the position that the primary is proved to
+	 * have after the request arrived, and requires the replica to have applied it.
 	 */
 	private async _provePosition(run: RunningRequest): Promise<Refusal | undefined> {
 		const isProvedElsewhere = run.request.access === 'write' || this.isPrimary;
@@ -147,7 +147,7 @@
 			: new Refusal('behindToken', this._endpoint, {correction: {...this.correction(), applied: this._appliedPositions()}});
 	}
 
-	/** Data that may be too old is proved newer, or refused with the age it could have had. */
+	/** Tries to prove that data which may be too old is fresh enough; otherwise refuses with its possible age. */
 	private async _awaitAge(run: RunningRequest): Promise<Refusal | undefined> {
 		const {maximumAgeMs} = run.request;
 		if (maximumAgeMs === undefined || this._isFreshEnough(run, maximumAgeMs)) {
--- a/src/common/homes/answer-buffer.ts
+++ b/src/common/homes/answer-buffer.ts
@@ -1,17 +1,17 @@
 /**
- * One answer on its way from an endpoint to the asker.
+ * Buffers one answer between the endpoint and the requester.
  *
- * Short answers are gathered and passed on in one piece; long ones in pieces, each of which
- * passes the gate first where the answer may show or acknowledge something unconfirmed.
+ * A short answer is forwarded in one piece, a long one in chunks. Where an answer may reveal or
+ * acknowledge something unconfirmed, each chunk must pass the gate before it is forwarded.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {AnswerSink} from '../services/services.js';
 import type {HomeOptions} from './constants.js';
 
-/** Resolves with the reason why what was received so far must not be passed on. */
+/** Resolves with the reason why the bytes received so far must not be forwarded; undefined if they may be. */
 export type AnswerGate = () => Promise<Refusal | undefined>;
 
-/** Bytes held back for all answers of one endpoint. */
+/** Number of bytes buffered for all answers of one endpoint. */
 export type BufferedBytes = {
 	totalBytes: number;
 };
@@ -20,13 +20,13 @@
 
 type AnswerBufferSettings = {
 	readonly sink: AnswerSink;
-	readonly held: BufferedBytes;
+	readonly buffered: BufferedBytes;
 	readonly options: AnswerBufferOptions;
-	/** Undefined where nothing needs confirmation. */
+	/** Undefined if the answer needs no confirmation. */
 	readonly gate: AnswerGate | undefined;
 	/** Whether the gate applies from the first byte, or only once a commit was seen. */
 	readonly isGatedFromStart: boolean;
-	/** Called when a piece did not pass the gate. */
+	/** Called when a chunk did not pass the gate or could not be forwarded. */
 	readonly onStopped: () => void;
 };
 
@@ -34,10 +34,10 @@
 const errorType = 0x45; // E
 const commandCompleteType = 0x43; // C
 const commitTag = 'COMMIT';
-/** Messages that come before anything has run: 1 2 3 t n T S N. */
+/** Types of messages that may come before anything has run: 1 2 3 t n T S N. */
 const preludeTypes = new Set([0x31, 0x32, 0x33, 0x74, 0x6E, 0x54, 0x53, 0x4E]);
 
-/** Holds an answer back until it may be passed on. */
+/** Buffers an answer until it may be forwarded. */
 export class AnswerBuffer implements AnswerSink {
 	private readonly _settings: AnswerBufferSettings;
 	private _chunks: Uint8Array[] = [];
@@ -53,7 +53,7 @@
 		this._settings = settings;
 	}
 
-	/** Whether a part has been passed on. */
+	/** Whether a part of the answer has been forwarded. */
 	get hasForwarded(): boolean {
 		return this._hasForwarded;
 	}
@@ -63,12 +63,12 @@
 		return this._hasCommitted;
 	}
 
-	/** Whether an error came before anything ran. */
+	/** Whether the endpoint reported an error before anything ran. */
 	get startsWithError(): boolean {
 		return this._firstType === errorType;
 	}
 
-	/** Why a piece did not pass the gate. */
+	/** Why forwarding stopped: a chunk did not pass the gate or the sink failed; undefined otherwise. */
 	get stopReason(): Refusal | undefined {
 		return this._stopReason;
 	}
@@ -81,8 +81,8 @@
 		this._scan(frames);
 		this._chunks.push(frames);
 		this._bufferedBytes += frames.length;
-		this._settings.held.totalBytes += frames.length;
-		// An answer whose first message is not known may still turn out not to have run.
+		this._settings.buffered.totalBytes += frames.length;
+		// Until the first message after the prelude is known, the request may still turn out not to have run.
 		const isReady = this._firstType !== undefined && this._forwarding === undefined;
 		if (!isReady || !this._isFull()) {
 			return;
@@ -92,14 +92,14 @@
 		return this._forwarding;
 	}
 
-	/** Passes on what is left; the caller has seen to the gate. */
+	/** Forwards what is still buffered, without the gate: the caller must have confirmed the answer. */
 	async flush(): Promise<void> {
 		await this._forwarding;
 		await this._forward(this._takeBuffered());
 		this._isClosed = true;
 	}
 
-	/** Drops what is held and whatever still comes. */
+	/** Drops the buffered bytes and everything that arrives later. */
 	close(): void {
 		this._isClosed = true;
 		this._takeBuffered();
@@ -110,7 +110,7 @@
 	}
 
 	private _isFull(): boolean {
-		const {held, options} = this._settings;
+		const {buffered: held, options} = this._settings;
 		if (!this._isGated) {
 			return this._bufferedBytes >= options.answerChunkBytes;
 		}
@@ -119,7 +119,7 @@
 		return isOverTotal || this._bufferedBytes >= options.heldAnswerBytes;
 	}
 
-	/** What comes while the gate is asked waits for the next turn. */
+	/** Bytes that arrive while the gate is pending stay buffered for the next chunk. */
 	private async _forwardThroughGate(): Promise<void> {
 		const bytes = this._takeBuffered();
 		const reason = this._isGated ? await this._settings.gate?.() : undefined;
@@ -153,13 +153,13 @@
 
 	private _takeBuffered(): Uint8Array {
 		const bytes = concatenate(this._chunks, this._bufferedBytes);
-		this._settings.held.totalBytes -= this._bufferedBytes;
+		this._settings.buffered.totalBytes -= this._bufferedBytes;
 		this._chunks = [];
 		this._bufferedBytes = 0;
 		return bytes;
 	}
 
-	/** Looks at message headers only, never at rows. */
+	/** Scans message headers and command tags only, never rows. */
 	private _scan(frames: Uint8Array): void {
 		let offset = 0;
 		while (offset + headerBytes <= frames.length) {
@@ -191,16 +191,16 @@
 	return true;
 }
 
-function concatenate(pieces: readonly Uint8Array[], size: number): Uint8Array {
-	if (pieces.length === 1) {
-		return pieces[0];
+function concatenate(chunks: readonly Uint8Array[], size: number): Uint8Array {
+	if (chunks.length === 1) {
+		return chunks[0];
 	}
 
 	const joined = new Uint8Array(size);
 	let offset = 0;
-	for (const piece of pieces) {
-		joined.set(piece, offset);
-		offset += piece.length;
+	for (const chunk of chunks) {
+		joined.set(chunk, offset);
+		offset += chunk.length;
 	}
 
 	return joined;
--- a/src/common/homes/attachment.ts
+++ b/src/common/homes/attachment.ts
@@ -1,10 +1,11 @@
 /**
- * The attach of this node's home to one endpoint.
+ * Keeps this node's home attached to one endpoint.
  *
- * The endpoint is the arbiter of who may open work connections. The attach lasts as long as
- * the control connection it came on, so it is made again on each new one. Another holder is
- * asked to let go first; it is replaced by force only when it cannot be reached, has been
- * restarted, or does not let go in time.
+ * The endpoint decides which home may open work connections. An attach lasts as long as the
+ * control connection on which it was made, so it is repeated on each new one. Another holder is
+ * first asked to hand the endpoint over; the attach is forced only if that holder cannot be
+ * reached, has been restarted, does not hand over in time, or has been unknown to membership
+ * for longer than the grace time.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {DisposableStore} from '../lifecycle/disposable.js';
@@ -16,17 +17,20 @@
 import type {HomeContext} from './types.js';
 import {waitUntil} from './wait-until.js';
 
-/** What is attached to what. */
+/** The home and the endpoint of an attachment. */
 export type AttachmentTarget = {
 	readonly endpoint: string;
 	/** `<node>/<incarnation>` of this node. */
 	readonly homeId: string;
 	readonly monitor: GroupMonitor;
-	/** Told of the states that the control connection reports. */
+	/** Receives the states that the control connection reports. */
 	readonly tracker: PositionTracker;
 };
 
-/** What became of the holder that stands in the way: an earlier run of a node is gone. */
+/**
+ * What became of another holder: it handed over, did not answer or hand over in time, no longer
+ * exists because its node was restarted, or is unknown to membership.
+ */
 type HolderStatus = 'letGo' | 'silent' | 'gone' | 'unknown';
 
 /** Keeps this node attached to one endpoint. */
@@ -43,7 +47,7 @@
 	private _isStopped = false;
 	private _isAttached = false;
 	private _holder = '';
-	/** Last holder that membership did not know, and since when it was seen. */
+	/** Last holder that membership did not know, and when it was first seen. */
 	private _unknownHolder = {homeId: '', sinceMs: 0};
 	private readonly _onChange = this._owned.register(new Emitter<boolean>());
 
@@ -58,7 +62,7 @@
 		this._forceRetry = new Backoff(clock, random, options.forceRetryMinimumMs, options.forceRetryMaximumMs);
 	}
 
-	/** Fires with whether this node is attached now. */
+	/** Fires when the home becomes attached or detached, with whether it is attached now. */
 	get onChange(): Event<boolean> {
 		return this._onChange.event;
 	}
@@ -72,23 +76,23 @@
 		return this._monitor.control(this._endpoint) !== undefined;
 	}
 
-	/** Node of another home that is attached, as far as known. */
+	/** Node whose home is attached instead of this one, if known. */
 	get holderNode(): string | undefined {
 		return this._holder === '' || this._holder === this._homeId ? undefined : nodeOf(this._holder);
 	}
 
-	/** Begins to attach, and to attach again whenever that is lost. */
+	/** Starts attaching; attaches again whenever the attach is lost. */
 	start(): void {
 		void this._run();
 	}
 
-	/** The endpoint said on a work connection that another home is attached. */
+	/** Records that the endpoint refused a work connection because this home is not attached. */
 	reportNotAttached(): void {
 		this._setAttached(false);
 		this._onWake.fire();
 	}
 
-	/** Gives the endpoint up for good. */
+	/** Stops attaching for good and detaches from the endpoint. */
 	async detach(): Promise<void> {
 		this._isStopped = true;
 		const wasAttached = this._isAttached;
@@ -108,7 +112,7 @@
 		this._owned.dispose();
 	}
 
-	/** Follows one control connection after the other until stopped. */
+	/** Attaches on each control connection in turn until stopped. */
 	private async _run(): Promise<void> {
 		while (!this._isStopped) {
 			const control = this._monitor.control(this._endpoint);
@@ -122,7 +126,7 @@
 		}
 	}
 
-	/** Attaches on one control connection and stays until it or the attach is lost. */
+	/** Attaches on one control connection and returns when the connection or the attach is lost. */
 	private async _attachOn(control: InstanceControl): Promise<void> {
 		const subscriptions = new DisposableStore();
 		let isOpen = true;
@@ -153,7 +157,7 @@
 		this._tracker.reset();
 	}
 
-	/** Waits for a new control connection or for the next try on the same one. */
+	/** Waits for a new control connection or until the next attempt on the same one is due. */
 	private async _waitForRetry(previous: InstanceControl | undefined): Promise<void> {
 		const {clock, options} = this._context;
 		await waitUntil(clock, {
@@ -164,29 +168,30 @@
 	}
 
 	private async _attach(control: InstanceControl): Promise<boolean> {
-		const answer = await this._requestAttach(control, false);
-		if (answer !== 'refused') {
-			return answer === 'attached';
+		const outcome = await this._requestAttach(control, false);
+		if (outcome !== 'refused') {
+			return outcome === 'attached';
 		}
 
 		const {log} = this._context;
 		log.event('endpointHeldByAnother', {endpoint: this._endpoint, holder: this._holder});
-		const finding = await this._requestHandOver();
-		if (finding === 'letGo' && !this._isStopped) {
-			const secondAnswer = await this._requestAttach(control, false);
-			if (secondAnswer !== 'refused') {
-				return secondAnswer === 'attached';
+		const holderStatus = await this._requestHandOver();
+		if (holderStatus === 'letGo' && !this._isStopped) {
+			const secondOutcome = await this._requestAttach(control, false);
+			if (secondOutcome !== 'refused') {
+				return secondOutcome === 'attached';
 			}
 		}
 
-		const isForceJustified = finding !== 'unknown' || this._isUnknownHolderExpired();
+		const isForceJustified = holderStatus !== 'unknown' || this._isUnknownHolderExpired();
 		return isForceJustified ? this._forceAttach(control) : false;
 	}
 
 	/**
-	 * A holder that this node does not know may have started a moment ago: the host list lags.
-	 * Taking from it at once would let nodes that start together take endpoints from each
-	 * other in turn. One that is gone lost its control connection, which detached it already.
+	 * A holder that this node does not know may have just started, since updates of the host list
+	 * take time. If it were replaced at once, nodes that start together would take endpoints from
+	 * each other in turn. Waiting costs little: a holder whose process has ended lost its control
+	 * connection and is therefore detached already.
 	 */
 	private _isUnknownHolderExpired(): boolean {
 		const {clock, options} = this._context;
@@ -197,7 +202,7 @@
 		return clock.nowMs() - this._unknownHolder.sinceMs >= options.unknownHolderGraceMs;
 	}
 
-	/** Replaces the holder by force; rarely, because that cuts its running work short. */
+	/** Replaces the holder by force, limited by a backoff because it interrupts the holder's running work. */
 	private async _forceAttach(control: InstanceControl): Promise<boolean> {
 		if (this._isStopped || this._forceRetry.remainingMs > 0) {
 			return false;
@@ -221,7 +226,7 @@
 		return outcome;
 	}
 
-	/** Asks the holder's node to let go, and finds out whether the holder is still there. */
+	/** Checks whether the holder still exists and, if so, asks its node to hand the endpoint over. */
 	private async _requestHandOver(): Promise<HolderStatus> {
 		const {membership, peers, options} = this._context;
 		const host = membership.host(nodeOf(this._holder));
@@ -234,14 +239,14 @@
 		}
 
 		const probe = await peers.probe(host, options.holderProbeMs);
-		const answering = probe.toMaybe().extract()?.host;
-		if (!answering || this._isStopped) {
+		const currentHost = probe.toMaybe().extract()?.host;
+		if (!currentHost || this._isStopped) {
 			return 'silent';
 		}
 
-		// The view may be older than the holder: the node itself knows which run it is.
-		membership.learn(answering);
-		if (this._holder !== `${answering.name}/${answering.incarnation}`) {
+		// The host list may be older than the holder; the node itself reports its current incarnation.
+		membership.learn(currentHost);
+		if (this._holder !== `${currentHost.name}/${currentHost.incarnation}`) {
 			return 'gone';
 		}
 
@@ -249,7 +254,7 @@
 		return result.isRight() ? 'letGo' : 'silent';
 	}
 
-	/** The state as of now: spontaneous reports only come when something changes. */
+	/** Reads the current state, since the control connection reports states only when they change. */
 	private async _readState(control: InstanceControl): Promise<boolean> {
 		const result = await control.readState();
 		result.ifRight(state => {
--- a/src/common/homes/backoff.ts
+++ b/src/common/homes/backoff.ts
@@ -3,7 +3,7 @@
  */
 import type {Clock, Random} from '../services/services.js';
 
-/** Spaces tries that keep failing. */
+/** Spaces out attempts that keep failing. */
 export class Backoff {
 	private readonly _clock: Clock;
 	private readonly _random: Random;
@@ -19,17 +19,17 @@
 		this._maximumMs = maximumMs;
 	}
 
-	/** Time in milliseconds until the next try is due. */
+	/** Time in milliseconds until the next attempt is due; 0 if it is due now. */
 	get remainingMs(): number {
 		return Math.max(0, this._nextTryAtMs - this._clock.nowMs());
 	}
 
-	/** Whether the last try failed. */
+	/** Whether the last attempt failed. */
 	get isFailing(): boolean {
 		return this._failures > 0;
 	}
 
-	/** Notes a failure; failures while the next try is not due yet count as one. */
+	/** Records a failure; failures before the next attempt is due are not counted again. */
 	fail(): void {
 		if (this.remainingMs > 0) {
 			return;
@@ -40,7 +40,7 @@
 		this._nextTryAtMs = this._clock.nowMs() + (ceilingMs * (0.5 + (this._random.next() / 2)));
 	}
 
-	/** Notes a success: the next try is due at once. */
+	/** Records a success: the next attempt is due at once. */
 	reset(): void {
 		this._failures = 0;
 		this._nextTryAtMs = Number.NEGATIVE_INFINITY;
--- a/src/common/homes/connection-pool.ts
+++ b/src/common/homes/connection-pool.ts
@@ -1,8 +1,8 @@
 /**
- * The work connections of one endpoint: opened ahead of need, kept warm, replaced when broken.
+ * The work connections of one endpoint: opened in advance, kept open, replaced when broken.
  *
- * Connections that are idle, in use, being opened or just closed all count within the limit,
- * so that the endpoint's own limit is kept by construction.
+ * Connections that are idle, in use, being opened or just closed all count towards the limit,
+ * so that the endpoint's own connection limit is never exceeded.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -19,7 +19,7 @@
 	readonly answer: (connection: EndpointConnection | undefined) => void;
 };
 
-/** SQLSTATE with which an endpoint refuses work of a home that is not attached. */
+/** SQLSTATE with which an endpoint refuses a work connection of a home that is not attached. */
 const notAttachedSqlState = '55006';
 
 /** Work connections of one endpoint. */
@@ -30,9 +30,9 @@
 	private readonly _owned = new DisposableStore();
 	private readonly _idle: EndpointConnection[] = [];
 	private readonly _open = new Set<EndpointConnection>();
-	/** Connections of an earlier attach; closed when given back. */
+	/** Connections of an earlier attach; closed when released. */
 	private readonly _stale = new Set<EndpointConnection>();
-	/** Connections in use whose exchange nobody waits for any more. */
+	/** Connections in use whose exchange has been abandoned. */
 	private readonly _abandoned = new Set<EndpointConnection>();
 	private readonly _waiters: Waiter[] = [];
 	private readonly _backoff: Backoff;
@@ -56,27 +56,27 @@
 		this._backoff = new Backoff(clock, random, options.connectRetryMinimumMs, options.connectRetryMaximumMs);
 	}
 
-	/** A connection was closed by the other side. */
+	/** Fires with a connection that the endpoint closed. */
 	get onLost(): Event<EndpointConnection> {
 		return this._onLost.event;
 	}
 
-	/** The endpoint said that this home is not the attached one. */
+	/** Fires when the endpoint refuses a connection because this home is not attached. */
 	get onNotAttached(): Event<void> {
 		return this._onNotAttached.event;
 	}
 
-	/** Connections that count within the limit. */
+	/** Number of connections that count towards the limit. */
 	get count(): number {
 		return this._open.size + this._opening + this._closing;
 	}
 
-	/** Most connections that this pool may have. */
+	/** Maximum number of connections of this pool. */
 	get limit(): number {
 		return this._limit;
 	}
 
-	/** Begins to open connections, after an attach. */
+	/** Starts opening connections, after an attach. */
 	start(): void {
 		this._isStarted = true;
 		this._attachGeneration += 1;
@@ -84,7 +84,7 @@
 		this._fill();
 	}
 
-	/** Opens none from now on and closes idle ones; those in use are closed when given back. */
+	/** Stops opening connections and closes idle and abandoned ones; those in use are closed when released. */
 	stop(): void {
 		this._isStarted = false;
 		for (const connection of [...this._idle.splice(0), ...this._abandoned]) {
@@ -106,13 +106,13 @@
 		}
 	}
 
-	/** Sets how many connections are worth having. */
+	/** Sets how many connections the pool tries to keep open, within the limit. */
 	setTargetSize(count: number): void {
 		this._targetSize = count;
 		this._fill();
 	}
 
-	/** Follows a change of the endpoint's definition. */
+	/** Sets the limit after the endpoint's definition changed; closes idle connections above it. */
 	setLimit(limit: number): void {
 		this._limit = limit;
 		while (this.count > limit && this._idle.length > 0) {
@@ -122,7 +122,7 @@
 		this._fill();
 	}
 
-	/** A connection that nobody else uses, in a clean state. */
+	/** Returns a connection for exclusive use, outside a transaction; a refusal if none is available within `timeoutMs` or `acquireTimeoutMs`, whichever is shorter. */
 	async acquire(timeoutMs: number): Promise<Either<Refusal, EndpointConnection>> {
 		const idle = this._isStarted ? this._idle.pop() : undefined;
 		if (idle) {
@@ -137,7 +137,7 @@
 		return connection ? Right(connection) : Left(this._unavailableRefusal());
 	}
 
-	/** Takes back a connection whose last exchange ended outside of a transaction. */
+	/** Puts a connection whose last exchange ended outside a transaction back into the pool. */
 	release(connection: EndpointConnection): void {
 		if (!this._open.has(connection)) {
 			return;
@@ -156,14 +156,14 @@
 		}
 	}
 
-	/** Notes that a connection in use will not be used again; it is closed when the attach ends, or discarded before. */
+	/** Marks a connection in use as not to be used again; it is closed when the attach ends, unless it is discarded before. */
 	abandon(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
 			this._abandoned.add(connection);
 		}
 	}
 
-	/** Closes a connection whose state is in doubt. */
+	/** Closes a connection whose state is not known and opens another if needed. */
 	discard(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
 			this._close(connection);
@@ -176,7 +176,7 @@
 		this._owned.dispose();
 	}
 
-	/** Nothing is open or on its way, and the last try failed: waiting would not help. */
+	/** Whether no connection is open or being opened and the last attempt failed, so that waiting is futile. */
 	private _isWaitFutile(): boolean {
 		return this._backoff.isFailing && this._opening === 0 && this._open.size === 0;
 	}
@@ -237,7 +237,7 @@
 
 	private async _openOne(): Promise<void> {
 		const {connector, invariants} = this._context;
-		const attachNumber = this._attachGeneration;
+		const attachGeneration = this._attachGeneration;
 		this._opening += 1;
 		invariants.check('connectionLimit', this.count <= this._limit, () => `${this.count} connections to ${this._endpoint.name}`);
 		const result = await connector.connectWork(this._endpoint, this._homeId);
@@ -245,16 +245,16 @@
 		result.ifLeft(fault => {
 			this._onConnectFailed(fault);
 		}).ifRight(connection => {
-			this._onConnected(connection, attachNumber);
+			this._onConnected(connection, attachGeneration);
 		});
 	}
 
-	private _onConnected(connection: EndpointConnection, attachNumber: number): void {
+	private _onConnected(connection: EndpointConnection, attachGeneration: number): void {
 		this._open.add(connection);
 		connection.onClose(() => {
 			this._onClosed(connection);
 		});
-		if (!this._isStarted || attachNumber !== this._attachGeneration) {
+		if (!this._isStarted || attachGeneration !== this._attachGeneration) {
 			this.discard(connection);
 			return;
 		}
@@ -282,7 +282,7 @@
 		this._fill();
 	}
 
-	/** The other side closed it. */
+	/** Removes a connection that the endpoint closed. */
 	private _onClosed(connection: EndpointConnection): void {
 		if (!this._open.has(connection)) {
 			return;
@@ -304,7 +304,7 @@
 		this._abandoned.delete(connection);
 	}
 
-	/** This side closes it; it counts until the endpoint has had time to notice. */
+	/** Closes a connection; it counts towards the limit for `closingGraceMs`, until the endpoint has noticed. */
 	private _close(connection: EndpointConnection): void {
 		this._remove(connection);
 		this._closing += 1;
--- a/src/common/homes/constants.ts
+++ b/src/common/homes/constants.ts
@@ -2,92 +2,93 @@
  * Options of homes and their defaults, in one table.
  */
 
-/** What a home may be told; times in milliseconds, sizes in bytes. */
+/** Options of a home; times are in milliseconds, sizes in bytes. */
 export type HomeOptions = {
 	/**
 	 * When a write is acknowledged: `confirmed` waits for a majority of instances, `commit`
-	 * only for the primary's own commit. The latter loses writes; it exists to measure the cost.
+	 * only for the primary's own commit. The latter can lose acknowledged writes; it exists to measure
+	 * the cost of the confirmation.
 	 */
 	readonly acknowledgement: 'confirmed' | 'commit';
-	/** Connections left free beside one control connection per instance of the group. */
+	/** Connections of the endpoint that are left unused, in addition to one control connection per instance of the group. */
 	readonly spareConnections: number;
 
-	/** Longest wait of a request for the attach to its endpoint. */
+	/** Maximum time that a request waits for the home to attach to its endpoint. */
 	readonly attachWaitMs: number;
-	/** First and longest delay between two tries to attach. */
+	/** Initial and maximum delay between two attempts to attach. */
 	readonly attachRetryMinimumMs: number;
 	readonly attachRetryMaximumMs: number;
-	/** First and longest delay between two forced attaches; they cut running work short. */
+	/** Initial and maximum delay between two forced attaches, which interrupt the running work of the previous holder. */
 	readonly forceRetryMinimumMs: number;
 	readonly forceRetryMaximumMs: number;
-	/** Time within which another holder's node must answer, or it is replaced by force. */
+	/** Time within which the node of another holder must answer a probe; otherwise the attach is forced. */
 	readonly holderProbeMs: number;
-	/** Time after which a holder that membership does not know is forced; above the host list's lag. */
+	/** Time after which a holder that membership does not know is replaced by force; longer than the delay of host list updates. */
 	readonly unknownHolderGraceMs: number;
-	/** Time that a holder that answers is given to let go; it goes on serving meanwhile. */
+	/** Time that a reachable holder has to hand the endpoint over; it goes on serving meanwhile. */
 	readonly handOverTimeoutMs: number;
-	/** Time that this node takes at most to let go when asked; below the former. */
+	/** Maximum time that this node takes to drain an endpoint on request; shorter than `handOverTimeoutMs`. */
 	readonly handOverBoundMs: number;
-	/** Time that open transactions are given when this node is asked to let go. */
+	/** Time that open transactions have to finish when another node requests the endpoint. */
 	readonly handOverTransactionMs: number;
-	/** Share of the bound that open transactions are given when this node shuts down. */
+	/** Share of the drain time that open transactions have to finish when this node shuts down. */
 	readonly drainTransactionShare: number;
-	/** Time after letting go in which this node does not try to attach again. */
+	/** Cooldown after a hand-over in which this node does not try to attach again. */
 	readonly handedOverPauseMs: number;
-	/** Time that an endpoint is still served after its home moved, unless asked to let go. */
+	/** Time that an endpoint is still served after its home moved to another node, unless that node requests it earlier. */
 	readonly movedGraceMs: number;
 
-	/** First and longest delay between two tries to open a work connection. */
+	/** Initial and maximum delay between two attempts to open a work connection. */
 	readonly connectRetryMinimumMs: number;
 	readonly connectRetryMaximumMs: number;
-	/** Longest wait of a statement for a work connection. */
+	/** Maximum time that a statement waits for a work connection. */
 	readonly acquireTimeoutMs: number;
-	/** Time that a closed connection still counts, until the endpoint has noticed. */
+	/** Time that a closed connection still counts towards the limit, until the endpoint has noticed the close. */
 	readonly closingGraceMs: number;
 
-	/** Statements that may wait at one endpoint. */
+	/** Maximum number of statements that wait at one endpoint. */
 	readonly queueLength: number;
-	/** Longest estimated wait that a statement is admitted with. */
+	/** Maximum estimated wait with which a statement is admitted. */
 	readonly maximumQueueWaitMs: number;
-	/** Share of the average service time that a statement must have left when its turn comes. */
+	/** Minimum time to the deadline when a statement gets its slot, as a share of the average service time. */
 	readonly leastServiceShare: number;
-	/** Service time in milliseconds that every statement is charged at least, when shares are compared. */
+	/** Minimum service time in milliseconds that a statement is charged with in fair sharing. */
 	readonly minimumChargeMs: number;
 	/** Weight of the newest sample in the average service time. */
 	readonly serviceTimeWeight: number;
-	/** Wait after which a statement may be served out of turn. */
+	/** Waiting time after which a statement may be served ahead of its turn. */
 	readonly ageingMs: number;
-	/** One in so many statements is served out of turn, when one has waited long enough. */
+	/** Interval, in served statements, at which the one that has waited longest is served ahead of its turn if it has waited for `ageingMs`. */
 	readonly ageingInterval: number;
-	/** Smallest and largest time to come back after a refusal of the queue. */
+	/** Minimum and maximum retry delay that a refusal of the queue suggests. */
 	readonly retryAfterMinimumMs: number;
 	readonly retryAfterMaximumMs: number;
 
-	/** Longest wait for a replica to apply a position. */
+	/** Maximum time to wait for a replica to apply a position. */
 	readonly positionWaitMs: number;
-	/** Largest number of missing entries that is worth the wait. */
+	/** Maximum number of missing log entries for which a request waits instead of being refused at once. */
 	readonly positionWaitEntries: number;
-	/** Longest wait for a proof of the data's age. */
+	/** Maximum time to wait for a proof of the age of the data. */
 	readonly ageProofTimeoutMs: number;
-	/** Least time given to a confirmation, also when the deadline is near. */
+	/** Minimum time that a confirmation gets, even if the deadline is nearer. */
 	readonly confirmMinimumMs: number;
 
-	/** Time that an endpoint has to answer a cancellation after the deadline. */
+	/** Time that an endpoint has to answer the cancellation that is sent at the deadline. */
 	readonly cancelGraceMs: number;
-	/** Time in which a replaced primary may itself answer what it was sent. */
+	/** Time in which a replaced primary may still answer the requests that were sent to it. */
 	readonly replacedGraceMs: number;
-	/** Longest time that an exchange without an answer keeps its slot after it was given up. */
+	/** Maximum time that an abandoned exchange without an answer keeps its slot. */
 	readonly overdueExchangeMs: number;
-	/** Longest wait for the rollback of an abandoned transaction. */
+	/** Maximum time to wait for the rollback of an abandoned transaction. */
 	readonly rollbackTimeoutMs: number;
-	/** Ended transactions that are remembered, so that their sessions learn why. */
+	/** Maximum number of ended transactions whose reason is kept, so that their sessions can be told. */
 	readonly endedTransactions: number;
 
-	/** Bytes of an answer gathered before it is passed on in pieces. */
+	/** Size at which the buffered part of an answer is forwarded as a chunk. */
 	readonly answerChunkBytes: number;
-	/** Bytes of one unconfirmed answer that are held back. */
+	/** Size at which the buffered part of one unconfirmed answer is confirmed and forwarded early. */
 	readonly heldAnswerBytes: number;
-	/** Bytes of all unconfirmed answers of one endpoint that are held back. */
+	/** Total size of the buffered answers of one endpoint at which unconfirmed chunks are confirmed and forwarded early. */
 	readonly heldTotalBytes: number;
 };
 
@@ -141,5 +142,5 @@
 	heldTotalBytes: 33_554_432,
 };
 
-/** Bounds on the number of held transactions that keep some connections for other work. */
+/** Minimum of the bound on held transactions; otherwise that bound leaves as many connections as slots for other work. */
 export const minimumHeldTransactions = 1;
--- a/src/common/homes/endpoint-home.ts
+++ b/src/common/homes/endpoint-home.ts
@@ -24,20 +24,20 @@
 import type {HomeContext, RunningRequest} from './types.js';
 import {waitUntil} from './wait-until.js';
 
-/** How far a home has gone in letting its endpoint go. */
+/** Stage of draining: no new transactions begin while finishing, no new work at all while stopping. */
 type Stage = 'serving' | 'finishing' | 'stopping';
 
-/** What a home needs to know of its endpoint's group. */
+/** Definition of the endpoint and size of its group, as assigned to a home. */
 export type EndpointAssignment = {
 	readonly definition: EndpointDefinition;
-	/** Instances of the group. */
+	/** Number of instances of the group. */
 	readonly groupSize: number;
 };
 
-/** How long letting go may take. */
+/** Time limits of draining, in milliseconds. */
 export type DrainBounds = {
 	readonly boundMs: number;
-	/** Time for open transactions, within the bound. */
+	/** Time for open transactions to finish, within `boundMs`. */
 	readonly transactionMs: number;
 };
 
@@ -85,7 +85,7 @@
 			pool: this._pool,
 			transactions: this._transactions,
 			runner: this._runner,
-			finish: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
+			completion: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
 			closedRefusal: () => this._stage === 'stopping' ? this._notHomeRefusal() : undefined,
 		});
 		this._isPrimary = monitor.view().primary === endpoint;
@@ -97,18 +97,18 @@
 		return this._attachment.isAttached;
 	}
 
-	/** The endpoint as this home knows it. */
+	/** Definition of the endpoint that this home currently uses. */
 	get definition(): EndpointDefinition {
 		return this._assignment.definition;
 	}
 
-	/** Begins to attach. */
+	/** Starts attaching to the endpoint. */
 	start(): void {
 		this._pool.setTargetSize(this._targetConnections());
 		this._attachment.start();
 	}
 
-	/** Follows a change of the endpoint's slots or connections. */
+	/** Applies a change of the endpoint's slots, its connections or the size of its group. */
 	update(assignment: EndpointAssignment): void {
 		this._assignment = assignment;
 		this._queue.setSlots(assignment.definition.slots);
@@ -116,7 +116,7 @@
 		this._pool.setTargetSize(this._targetConnections());
 	}
 
-	/** Runs one request cycle. */
+	/** Runs one request cycle; resolves with its end or the refusal. */
 	async execute(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
 		const run = this._createRun(request, sink, signal);
 		this._inProgress.add(run);
@@ -128,7 +128,7 @@
 		}
 	}
 
-	/** Ends what a session holds. */
+	/** Abandons the open transaction of a session, also one that a request in progress leaves open. */
 	release(sessionId: string): void {
 		this._transactions.abandon(sessionId);
 		for (const run of this._inProgress) {
@@ -136,7 +136,7 @@
 		}
 	}
 
-	/** Ends what the sessions of one entry node hold. */
+	/** Abandons the open transactions of all sessions whose ids begin with a prefix, such as those of one entry node. */
 	releaseAll(prefix: string): void {
 		for (const sessionId of this._transactions.sessionsOf(prefix)) {
 			this._transactions.abandon(sessionId);
@@ -147,12 +147,12 @@
 		}
 	}
 
-	/** Requests that are with the endpoint now. */
+	/** Number of requests that the endpoint is processing now. */
 	get runningCount(): number {
 		return [...this._inProgress].filter(run => run.isRunning).length;
 	}
 
-	/** Finishes what is in progress, within bounds, and detaches. The first call sets the bounds. */
+	/** Drains the endpoint within the bounds and detaches from it; later calls join the drain of the first call, with its bounds. */
 	async letGo(bounds: DrainBounds): Promise<void> {
 		this._draining ??= this._drainWithin(bounds);
 		return this._draining;
@@ -191,8 +191,9 @@
 	}
 
 	/**
-	 * Once another endpoint is primary, what waits to write here cannot succeed, nor what runs:
-	 * an endpoint that lives says so itself within the grace time, in words that tell more.
+	 * Once another endpoint is primary, neither waiting writes nor running requests can succeed
+	 * here. Waiting writes are refused at once. Running requests are abandoned only after a grace
+	 * time: an endpoint that is still alive answers within it, with a more specific error.
 	 */
 	private _onPrimaryChanged(primary: string): void {
 		const {clock, options} = this._context;
@@ -231,9 +232,9 @@
 	}
 
 	/**
-	 * Work goes on as long as possible: at first only new transactions wait, and then only
-	 * statements that were running already are waited for. New work stops for no longer than
-	 * the last statements take.
+	 * Serves as long as possible. First, only new transactions have to wait, until the open ones
+	 * have ended or their time is over. Then the statements that already run are waited for, while
+	 * others are still served. New work is refused only for the time that the last statements take.
 	 */
 	private async _drainWithin(bounds: DrainBounds): Promise<void> {
 		const endMs = this._context.clock.nowMs() + bounds.boundMs;
@@ -247,7 +248,7 @@
 		await this._wait(this._remainingMs(endMs), () => this._queue.running === 0);
 		this._pool.closeAll();
 		await this._attachment.detach();
-		// Answers that wait for confirmation need neither slot nor connection.
+		// Answers that wait for confirmation need neither a slot nor a connection.
 		await this._wait(this._remainingMs(endMs), () => this._inProgress.size === 0);
 	}
 
@@ -264,10 +265,10 @@
 		const {membership} = this._context;
 		const home = membership.homeOf(this.definition)?.name;
 		const homeNode = home === membership.self.name ? undefined : home;
-		return new Refusal('notHome', `${this.definition.name} is being let go`, {correction: {...this._admission.correction(), homeNode}});
+		return new Refusal('notHome', `${this.definition.name} is being drained by this node`, {correction: {...this._admission.correction(), homeNode}});
 	}
 
-	/** Some connections stay free of transactions, so that other work can go on. */
+	/** Limits the open transactions so that as many connections as slots stay available for other work. */
 	private _mayBegin(beginsRunning: number): boolean {
 		const bound = Math.max(minimumHeldTransactions, this._pool.limit - this.definition.slots);
 		return this._stage === 'serving' && this._transactions.count + beginsRunning < bound;
--- a/src/common/homes/fair-share.ts
+++ b/src/common/homes/fair-share.ts
@@ -1,8 +1,8 @@
 /**
- * Shares service time evenly among keys: the key that has attained least is next.
+ * Shares service time evenly among keys: the waiting key with the least attained service is next.
  *
- * Start-time fair queueing: a key that comes back after a pause starts at the current
- * virtual time, so that nobody saves up service by staying away.
+ * Start-time fair queueing: a key that returns after an idle period starts at the current
+ * virtual time, so that no key accumulates credit while it is idle.
  */
 
 type Account = {
@@ -16,7 +16,7 @@
 	private readonly _accounts = new Map<Key, Account>();
 	private _virtualTimeMs = 0;
 
-	/** Notes that one more piece of work waits under a key. */
+	/** Records that one more piece of work waits under a key. */
 	add(key: Key): void {
 		const account = this._accounts.get(key);
 		if (!account) {
@@ -31,7 +31,7 @@
 		account.waiting += 1;
 	}
 
-	/** Notes that one piece of work no longer waits under a key. */
+	/** Records that one piece of work no longer waits under a key. */
 	remove(key: Key): void {
 		const account = this._accounts.get(key);
 		if (account) {
@@ -40,12 +40,12 @@
 		}
 	}
 
-	/** The key that waits and has attained least, among those that may go. */
-	next(mayGo: (key: Key) => boolean = () => true): Key | undefined {
+	/** Returns the waiting key with the least attained service for which `isEligible` is true. */
+	next(isEligible: (key: Key) => boolean = () => true): Key | undefined {
 		let best: Key | undefined;
 		let bestMs = Number.POSITIVE_INFINITY;
 		for (const [key, account] of this._accounts) {
-			if (account.waiting > 0 && account.attainedMs < bestMs && mayGo(key)) {
+			if (account.waiting > 0 && account.attainedMs < bestMs && isEligible(key)) {
 				best = key;
 				bestMs = account.attainedMs;
 			}
@@ -54,7 +54,7 @@
 		return best;
 	}
 
-	/** Charges a key for service; negative gives back what was charged too much. */
+	/** Charges a key for service, in milliseconds; a negative amount refunds an overcharge. */
 	charge(key: Key, serviceMs: number): void {
 		const account = this._accounts.get(key);
 		if (!account) {
@@ -65,7 +65,7 @@
 		this._dropIfSettled(key, account);
 	}
 
-	/** Moves virtual time to the start of the key that is served now. */
+	/** Advances virtual time to the attained service of the key that is served now, and charges it the expected service time. */
 	serve(key: Key, expectedMs: number): void {
 		const account = this._accounts.get(key);
 		if (account) {
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** Drops the accounts of keys that virtual time has caught up with. */
+	/** Drops the accounts of idle keys whose attained service virtual time has reached. */
 	prune(): void {
 		for (const [key, account] of this._accounts) {
 			this._dropIfSettled(key, account);
--- a/src/common/homes/fault-kinds.test.ts
+++ b/src/common/homes/fault-kinds.test.ts
@@ -3,7 +3,7 @@
 import type {BreakPoint} from './testing/fake-endpoint.js';
 import {HomeHarness, RecordedAnswer} from './testing/home-harness.js';
 
-const cutPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
+const breakPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
 const longRowBytes = 2_000_000;
 
 type Case = {
@@ -12,7 +12,7 @@
 	readonly before?: string[];
 	readonly role?: 'replica';
 	readonly rowBytes?: number;
-	/** Expected kinds, in the order of the cut points; then when no confirmation comes. */
+	/** Expected kinds, one for each break point in order, and last the one without a confirmation. */
 	readonly kinds: readonly string[];
 };
 
@@ -58,49 +58,49 @@
 	},
 ];
 
-async function benchFor(testCase: Case): Promise<HomeHarness> {
-	const bench = await new HomeHarness({}, testCase.role).ready();
+async function prepareHarness(testCase: Case): Promise<HomeHarness> {
+	const harness = await new HomeHarness({}, testCase.role).ready();
 	for (const [index, sql] of (testCase.before ?? []).entries()) {
-		expect(await bench.runNow(sql, {isInTransaction: index > 0})).toEqual('ok');
+		expect(await harness.runNow(sql, {isInTransaction: index > 0})).toEqual('ok');
 	}
 
-	bench.endpoint.rowBytes = testCase.rowBytes ?? bench.endpoint.rowBytes;
-	return bench;
+	harness.endpoint.rowBytes = testCase.rowBytes ?? harness.endpoint.rowBytes;
+	return harness;
 }
 
-describe('kind of refusal when a request is cut', () => {
+describe('kind of refusal when an exchange breaks', () => {
 	for (const testCase of cases) {
 		const isInTransaction = testCase.before !== undefined;
-		for (const [index, cutAt] of cutPoints.entries()) {
-			it(`${testCase.name}, ${cutAt}`, async () => {
-				const bench = await benchFor(testCase);
-				bench.endpoint.breakAt = cutAt;
-				expect(await bench.runNow(testCase.sql, {isInTransaction})).toEqual(testCase.kinds[index]);
-				bench.endpoint.breakAt = undefined;
-				await bench.clock.advance(100);
-				// The connection has been replaced, one for each slot and one for the transaction that was open.
-				expect(await bench.runNow('SELECT 1')).toEqual('ok');
-				expect(bench.endpoint.connections.size).toEqual(isInTransaction ? 4 : 3);
+		for (const [index, breakAt] of breakPoints.entries()) {
+			it(`${testCase.name}, ${breakAt}`, async () => {
+				const harness = await prepareHarness(testCase);
+				harness.endpoint.breakAt = breakAt;
+				expect(await harness.runNow(testCase.sql, {isInTransaction})).toEqual(testCase.kinds[index]);
+				harness.endpoint.breakAt = undefined;
+				await harness.clock.advance(100);
+				// The broken connection has been replaced: there is one for each slot and one for the transaction that was open.
+				expect(await harness.runNow('SELECT 1')).toEqual('ok');
+				expect(harness.endpoint.connections.size).toEqual(isInTransaction ? 4 : 3);
 			});
 		}
 
 		it(`${testCase.name}, no confirmation`, async () => {
-			const bench = await benchFor(testCase);
-			bench.group.isConfirming = false;
+			const harness = await prepareHarness(testCase);
+			harness.group.isConfirming = false;
 			const sink = new RecordedAnswer();
-			const result = await bench.clock.advanceUntil(bench.execute(testCase.sql, {isInTransaction}, sink));
+			const result = await harness.clock.advanceUntil(harness.execute(testCase.sql, {isInTransaction}, sink));
 			expect(result.isLeft() ? result.extract().kind : 'ok').toEqual(testCase.kinds[4]);
-			expect(sink.pieces.length > 0).toEqual(testCase.kinds[4] === 'ok');
+			expect(sink.chunks.length > 0).toEqual(testCase.kinds[4] === 'ok');
 		});
 	}
 
-	it('gives up on an endpoint that does not answer, shortly after the deadline', async () => {
+	it('abandons an exchange without an answer shortly after the deadline', async () => {
 		for (const [sql, kind] of [['SELECT 1', 'deadlineExceeded'], ['INSERT 1', 'outcomeUnknown']]) {
-			const bench = await new HomeHarness().ready();
-			bench.endpoint.serviceMs = 60_000;
-			const startMs = bench.clock.nowMs();
-			expect(await bench.runNow(sql, {timeLeftMs: 100})).toEqual(kind);
-			expect(bench.clock.nowMs() - startMs).toEqual(300);
+			const harness = await new HomeHarness().ready();
+			harness.endpoint.serviceMs = 60_000;
+			const startMs = harness.clock.nowMs();
+			expect(await harness.runNow(sql, {timeLeftMs: 100})).toEqual(kind);
+			expect(harness.clock.nowMs() - startMs).toEqual(300);
 		}
 	});
 });
--- a/src/common/homes/fault-kinds.ts
+++ b/src/common/homes/fault-kinds.ts
@@ -1,12 +1,12 @@
 /**
- * What a broken exchange means for the request, by the moment and the kind of work.
+ * Classifies a broken exchange by the moment at which it broke and by the kind of work, to choose the refusal.
  */
 import type {ErrorKind} from '../errors/error-kinds.js';
 import type {EndpointFault} from '../services/services.js';
 import {isSingleQuery} from './single-query.js';
 import type {RunningRequest} from './types.js';
 
-/** The situations that are told apart. */
+/** The situations that are distinguished. */
 type FaultSituation
 	= | 'notReached'
 		| 'notReachedInTransaction'
@@ -21,13 +21,13 @@
 
 type FaultClassification = {
 	readonly kind: ErrorKind;
-	/** Whether it is certain that nothing took effect. */
+	/** Whether it is certain that the request had no effect. */
 	readonly isWithoutEffect: boolean;
 };
 
 const classifications: Record<FaultSituation, FaultClassification> = {
 	notReached: {kind: 'endpointUnavailable', isWithoutEffect: true},
-	// The transaction ends with its connection, and what would have committed it was not sent.
+	// The transaction ends with its connection, and the statement that could have committed it was not sent.
 	notReachedInTransaction: {kind: 'transactionLost', isWithoutEffect: true},
 	readWithoutAnswer: {kind: 'endpointUnavailable', isWithoutEffect: true},
 	readOutOfTime: {kind: 'deadlineExceeded', isWithoutEffect: true},
@@ -39,19 +39,19 @@
 	write: {kind: 'outcomeUnknown', isWithoutEffect: false},
 };
 
-/** What is known when an exchange broke. */
+/** What is known about an exchange that broke. */
 export type BrokenExchange = {
 	readonly run: Pick<RunningRequest, 'request'>;
 	readonly fault: EndpointFault;
-	/** Whether the exchange was given up because its deadline passed. */
+	/** Whether the exchange was abandoned because its deadline passed. */
 	readonly isOutOfTime: boolean;
-	/** Whether a part of the answer went to the asker. */
+	/** Whether a part of the answer was forwarded to the requester. */
 	readonly hasForwarded: boolean;
 	/** Whether the endpoint reported a COMMIT before the connection broke. */
 	readonly hasCommitted: boolean;
 };
 
-/** The kind of refusal for a broken exchange. */
+/** Returns the kind of refusal for a broken exchange, and whether the request certainly had no effect. */
 export function classifyBrokenExchange(broken: BrokenExchange): FaultClassification {
 	return classifications[situationOf(broken)];
 }
@@ -66,13 +66,13 @@
 		return 'commit';
 	}
 
-	const isBare = isSingleQuery(request.frames);
-	if (request.step === 'begin' && isBare && !broken.hasForwarded) {
+	const isSingle = isSingleQuery(request.frames);
+	if (request.step === 'begin' && isSingle && !broken.hasForwarded) {
 		return 'bareBegin';
 	}
 
-	// What follows a ROLLBACK in the same cycle runs outside of the transaction.
-	const mayOutlast = request.step === 'rollback' && !isBare;
+	// Statements after a ROLLBACK in the same cycle run outside the transaction and may take effect.
+	const mayOutlast = request.step === 'rollback' && !isSingle;
 	if (request.isInTransaction && !mayOutlast) {
 		return broken.hasForwarded ? 'transactionStatementCutShort' : 'transactionStatement';
 	}
--- a/src/common/homes/held-transactions.ts
+++ b/src/common/homes/held-transactions.ts
@@ -1,5 +1,5 @@
 /**
- * Open transactions: each is pinned to its connection, and its session alone may use that.
+ * Open transactions: each is pinned to its connection, which only the transaction's own session may use.
  */
 import type {ErrorKind} from '../errors/error-kinds.js';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -12,7 +12,7 @@
 export type HeldTransaction = {
 	readonly sessionId: string;
 	readonly connection: EndpointConnection;
-	/** Whether the endpoint was the group's primary when it began. */
+	/** Whether the endpoint was the group's primary when the transaction began. */
 	readonly isOnPrimary: boolean;
 	idleMs: number;
 	/** Whether one of its statements is in progress. */
@@ -28,7 +28,7 @@
 	private readonly _endpoint: string;
 	private readonly _held = new Map<string, HeldTransaction>();
 	private readonly _connections = new Set<EndpointConnection>();
-	/** Why the transactions of sessions ended that have not been told yet. */
+	/** Why transactions ended, by session, until the session has been told. */
 	private readonly _endReasons = new Map<string, ErrorKind>();
 	private readonly _onAbandoned = new Emitter<EndpointConnection>();
 	private readonly _onChange = new Emitter<void>();
@@ -38,17 +38,17 @@
 		this._endpoint = endpoint;
 	}
 
-	/** A connection was freed with its transaction still open. */
+	/** Fires with a connection that was freed while its transaction is still open at the endpoint. */
 	get onAbandoned(): Event<EndpointConnection> {
 		return this._onAbandoned.event;
 	}
 
-	/** A transaction began or ended, or one of its statements did. */
+	/** Fires when a transaction begins or ends, or when one of its statements ends. */
 	get onChange(): Event<void> {
 		return this._onChange.event;
 	}
 
-	/** Open transactions. */
+	/** Number of open transactions. */
 	get count(): number {
 		return this._held.size;
 	}
@@ -62,14 +62,14 @@
 		return [...this._held.keys()].filter(sessionId => sessionId.startsWith(prefix));
 	}
 
-	/** Why a session has no transaction here any more; told once. */
+	/** Returns why the session's transaction ended and forgets the reason; `transactionLost` if none is known. */
 	takeEndReason(sessionId: string): ErrorKind {
 		const reason = this._endReasons.get(sessionId) ?? 'transactionLost';
 		this._endReasons.delete(sessionId);
 		return reason;
 	}
 
-	/** Whether a connection is pinned to some session. */
+	/** Whether a connection is pinned to a session. */
 	isPinned(connection: EndpointConnection): boolean {
 		return this._connections.has(connection);
 	}
@@ -84,13 +84,13 @@
 		this._notifyChanged();
 	}
 
-	/** A statement of the transaction begins. */
+	/** Marks the transaction as busy with a statement and stops its idle timer. */
 	begin(held: HeldTransaction): void {
 		held.isBusy = true;
 		held.idleTimer?.dispose();
 	}
 
-	/** A statement of the transaction ended and left it open. */
+	/** Marks the end of a statement that left the transaction open, and starts the idle timer. */
 	pause(held: HeldTransaction, idleMs: number): void {
 		held.isBusy = false;
 		held.idleMs = idleMs;
@@ -101,7 +101,7 @@
 		this._onChange.fire();
 	}
 
-	/** The transaction is over; its connection is free, or broken. */
+	/** Removes a transaction that has ended and unpins its connection, which is free or broken. */
 	end(held: HeldTransaction): void {
 		held.isBusy = false;
 		held.idleTimer?.dispose();
@@ -114,7 +114,7 @@
 		this._notifyChanged();
 	}
 
-	/** Ends a session's transaction from outside; its connection is announced as abandoned. */
+	/** Ends a session's open transaction, if any, and keeps the reason for the session; `onAbandoned` fires with its connection unless a statement of it runs. */
 	abandon(sessionId: string, reason?: ErrorKind): void {
 		const held = this._held.get(sessionId);
 		if (!held) {
@@ -125,23 +125,23 @@
 		const {isBusy} = held;
 		this.end(held);
 		this._context.log.event('transactionAbandoned', {endpoint: this._endpoint, sessionId, reason: reason ?? 'released'});
-		// The statement in progress sees that its transaction is gone and frees the connection.
+		// A statement in progress finds its transaction removed when it ends, and frees the connection itself.
 		if (!isBusy) {
 			this._onAbandoned.fire(held.connection);
 		}
 	}
 
-	/** Ends every transaction. */
+	/** Abandons every transaction for the given reason. */
 	abandonAll(reason: ErrorKind): void {
 		for (const sessionId of this._held.keys()) {
 			this.abandon(sessionId, reason);
 		}
 	}
 
-	/** A connection is gone, and with it the transaction that it held. */
+	/** Removes the transaction, if any, whose connection was lost. */
 	onConnectionLost(connection: EndpointConnection): void {
 		const held = [...this._held.values()].find(other => other.connection === connection);
-		// A statement in progress finds out by itself.
+		// A statement in progress detects the loss through its own exchange.
 		if (held && !held.isBusy) {
 			this._recordEndReason(held.sessionId, 'transactionLost');
 			this.end(held);
--- a/src/common/homes/home-service.ts
+++ b/src/common/homes/home-service.ts
@@ -14,24 +14,24 @@
 import {EndpointHome} from './endpoint-home.js';
 import type {HomeContext} from './types.js';
 
-/** What the service works with. */
+/** The services that the home service uses. */
 export type HomeServiceServices = HomeContext & {
 	readonly groups: Groups;
 };
 
 type ServedEndpoint = {
 	readonly home: EndpointHome;
-	/** Runs while the endpoint's home is another node that has not asked for it yet. */
+	/** Timer that runs while the endpoint's home is another node that has not requested the endpoint yet. */
 	moveTimer: Disposable | undefined;
 };
 
-/** Keeps the homes of this node in step with membership and configuration. */
+/** Keeps the homes of this node consistent with membership and configuration. */
 export class HomeService implements Homes {
 	private readonly _services: HomeServiceServices;
 	private readonly _homeId: string;
 	private readonly _owned = new DisposableStore();
 	private readonly _served = new Map<string, ServedEndpoint>();
-	/** Endpoints of this node that another one asked for a moment ago; they are left alone for a while. */
+	/** Cooldown timers of endpoints assigned to this node that another node has just requested; no home is started for them meanwhile. */
 	private readonly _cooldowns = new Map<string, Disposable>();
 	private _isDraining = false;
 
@@ -88,11 +88,11 @@
 		const transactionMs = boundMs * options.drainTransactionShare;
 		const homes = [...this._served.values()].map(({home}) => home);
 		this._isDraining = true;
-		const letGo = [...this._served.keys()].map(async endpoint => this._drainHome(endpoint, {boundMs, transactionMs}));
-		// An endpoint that another node asked for before has bounds of its own.
-		await withTimeout(clock, Promise.all(letGo), boundMs);
-		const cut = homes.reduce((count, home) => count + home.runningCount, 0);
-		invariants.check('gracefulShutdown', cut === 0, () => `${cut} requests still ran after ${boundMs} ms`);
+		const drains = [...this._served.keys()].map(async endpoint => this._drainHome(endpoint, {boundMs, transactionMs}));
+		// A hand-over that is already in progress has its own bounds, which may be longer.
+		await withTimeout(clock, Promise.all(drains), boundMs);
+		const interruptedCount = homes.reduce((count, home) => count + home.runningCount, 0);
+		invariants.check('gracefulShutdown', interruptedCount === 0, () => `${interruptedCount} requests still ran after ${boundMs} ms`);
 	}
 
 	dispose(): void {
@@ -104,7 +104,7 @@
 		this._served.clear();
 	}
 
-	/** Takes up what is this node's, and gives up what is not any more. */
+	/** Starts homes for newly assigned endpoints, and updates or drains the existing ones. */
 	private _reconcile(): void {
 		const assignments = this._ownAssignments();
 		for (const [endpoint, served] of this._served) {
@@ -141,8 +141,8 @@
 	}
 
 	/**
-	 * The new home asks for the endpoint once it is ready to take it; until then it is served
-	 * here. If nobody asks, it is let go after a while all the same.
+	 * The new home requests the endpoint once it is ready to serve it; until then this node serves
+	 * it. If no request comes, this node drains the endpoint after `movedGraceMs`.
 	 */
 	private _scheduleDrain(endpoint: string, served: ServedEndpoint): void {
 		const {clock, options} = this._services;
@@ -204,8 +204,9 @@
 	}
 
 	/**
-	 * Two nodes that both believe to be home must not take an endpoint from each other in turn.
-	 * Where this one knows that the other is home, there is no such danger.
+	 * Starts a cooldown after a hand-over of an endpoint that this node considers its own. Without
+	 * it, two nodes that each consider themselves home would take the endpoint from each other in
+	 * turn. An endpoint that this node knows to be assigned elsewhere needs no cooldown.
 	 */
 	private _startCooldown(endpoint: string): void {
 		const {clock, options} = this._services;
@@ -218,7 +219,7 @@
 		this._cooldowns.set(endpoint, timer);
 	}
 
-	/** The pause keeps two views apart that contradict each other; a home that has moved since is a new view. */
+	/** Ends a cooldown. It is no longer needed once the home has moved, since the conflicting view that caused it is outdated. */
 	private _endCooldown(endpoint: string): void {
 		const timer = this._cooldowns.get(endpoint);
 		if (timer) {
--- a/src/common/homes/overdue.ts
+++ b/src/common/homes/overdue.ts
@@ -1,5 +1,5 @@
 /**
- * Exchanges that were given up while the endpoint may still run them.
+ * Exchanges that were abandoned although the endpoint may still be running them.
  */
 import type {EndpointConnection} from '../services/services.js';
 import {withTimeout} from '../lifecycle/timing.js';
@@ -7,7 +7,7 @@
 import type {SlotGrant} from './slot-queue.js';
 import type {HomeContext} from './types.js';
 
-/** What an overdue exchange keeps. */
+/** Resources that an overdue exchange keeps occupied. */
 export type OverdueExchange = {
 	readonly pool: ConnectionPool;
 	readonly connection: EndpointConnection;
@@ -15,8 +15,9 @@
 };
 
 /**
- * Keeps the slot until the exchange has ended, within a bound: closing the connection does
- * not stop the statement at the endpoint, so a slot that was freed at once might be one too many.
+ * Keeps the slot until the exchange has ended, for at most `overdueExchangeMs`. Closing the
+ * connection does not stop the statement at the endpoint; if the slot were freed at once, the
+ * endpoint could run more statements than it has slots.
  */
 export async function awaitOverdue(context: HomeContext, {pool, connection, grant}: OverdueExchange, exchange: Promise<unknown>): Promise<void> {
 	pool.abandon(connection);
--- a/src/common/homes/position-tracker.ts
+++ b/src/common/homes/position-tracker.ts
@@ -1,8 +1,9 @@
 /**
- * What is known about the position that an endpoint's reads see.
+ * Tracks the position up to which an endpoint has applied the log, which its reads see.
  *
- * Knowledge lasts as long as the control connection and the promised term: a replica that
- * follows a new primary may drop the end of its log, so older reports prove nothing then.
+ * A known position is valid only while the control connection and the promised term last. A
+ * replica that follows a new primary may truncate the end of its log, so reports from before
+ * then prove nothing.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Event} from '../lifecycle/emitter.js';
@@ -11,24 +12,24 @@
 import {comparePositions, hasReached, laterPosition} from '../positions/log-position.js';
 import type {InstanceState} from '../services/services.js';
 
-/** Follows the applied position of one endpoint. */
+/** Tracks the applied position of one endpoint. */
 export class PositionTracker implements Disposable {
 	private _knownPosition: LogPosition | undefined;
 	private _state: InstanceState | undefined;
 	private _epoch = 0;
 	private readonly _onChange = new Emitter<void>();
 
-	/** The known position or state has changed. */
+	/** Fires when a state or position has been reported, or the knowledge was reset. */
 	get onChange(): Event<void> {
 		return this._onChange.event;
 	}
 
-	/** The instance's last state, on the control connection that lasts. */
+	/** Last state that the instance reported on the current control connection. */
 	get state(): InstanceState | undefined {
 		return this._state;
 	}
 
-	/** Changes when older reports stop to count. */
+	/** Number of the current epoch; it changes whenever older reports become invalid. */
 	get epoch(): number {
 		return this._epoch;
 	}
@@ -42,7 +43,7 @@
 		return this._knownPosition !== undefined && hasReached(this._knownPosition, position);
 	}
 
-	/** Whether a position that is missing may well arrive within a short wait. */
+	/** Whether a missing position is at most `maximumEntries` entries away on a streaming replica, so that a short wait may suffice. */
 	isClose(position: LogPosition, maximumEntries: number): boolean {
 		if (!this._knownPosition || !this._state?.isStreaming) {
 			return false;
@@ -51,7 +52,7 @@
 		return position.offset - this._knownPosition.offset <= maximumEntries;
 	}
 
-	/** Takes in a report of the control connection; those come in order. */
+	/** Applies a state report of the control connection; reports must be passed in order. */
 	observeState(state: InstanceState): void {
 		const previous = this._state;
 		const isSameRole = previous?.promisedTerm === state.promisedTerm && previous.role === state.role;
@@ -66,7 +67,7 @@
 		this._onChange.fire();
 	}
 
-	/** Takes in what a work connection reported, if it was sent within the current epoch. */
+	/** Applies a position that a work connection reported, if its request was sent in the current epoch. */
 	observeExchange(position: LogPosition, epoch: number): void {
 		if (epoch !== this._epoch || !this._knownPosition) {
 			return;
@@ -76,7 +77,7 @@
 		this._onChange.fire();
 	}
 
-	/** The control connection is gone: nothing is known. */
+	/** Discards all knowledge after the control connection was lost. */
 	reset(): void {
 		this._epoch += 1;
 		this._knownPosition = undefined;
--- a/src/common/homes/random-run.test.ts
+++ b/src/common/homes/random-run.test.ts
@@ -9,11 +9,11 @@
 const runMs = 6000;
 const seeds = [1, 2, 3, 4];
 const notRunKinds = new Set(Object.entries(errorAnswers).filter(([, answer]) => answer.outcome === 'notRun').map(([kind]) => kind));
-const cutPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
+const breakPoints: BreakPoint[] = ['beforeSend', 'afterSend', 'midAnswer', 'afterAnswer'];
 
-/** Sessions that write, and faults, on one endpoint, from one seed. */
+/** Runs writing sessions and faults on one endpoint, all derived from one seed. */
 class RandomRun {
-	readonly bench: HomeHarness;
+	readonly harness: HomeHarness;
 	readonly endpoint: FakeEndpoint;
 	readonly outcomes = new Map<string, number>();
 	private readonly _random: SeededRandom;
@@ -21,26 +21,26 @@
 
 	constructor(seed: number) {
 		this._random = new SeededRandom(seed);
-		this.bench = new HomeHarness({handedOverPauseMs: 200});
-		this.endpoint = this.bench.endpoint;
-		this.bench.isLettingGo = true;
+		this.harness = new HomeHarness({handedOverPauseMs: 200});
+		this.endpoint = this.harness.endpoint;
+		this.harness.isOtherHandingOver = true;
 	}
 
 	async run(): Promise<void> {
-		const {clock} = this.bench;
+		const {clock} = this.harness;
 		this._endMs = clock.nowMs() + runMs;
 		const tasks = Array.from({length: 12}, async (_, number) => this._session(`node-${number % 3}/run/${number}`));
 		await clock.advanceUntil(Promise.all([...tasks, this._faults()]), runMs * 2);
 	}
 
 	private async _session(sessionId: string): Promise<void> {
-		for (let count = 0; this.bench.clock.nowMs() < this._endMs; count++) {
-			await pauseFor(this.bench.clock, this._random.next() * 20);
+		for (let count = 0; this.harness.clock.nowMs() < this._endMs; count++) {
+			await pauseFor(this.harness.clock, this._random.next() * 20);
 			await this._pick([
 				async () => this._write(sessionId, count),
 				async () => this._transaction(sessionId, count),
 				async () => {
-					this._note(await this._send('SELECT 1', sessionId, false));
+					this._countOutcome(await this._send('SELECT 1', sessionId, false));
 				},
 			])();
 		}
@@ -58,54 +58,54 @@
 		while (kind === 'ok' && this._random.next() < 0.7) {
 			const sql = `INSERT ${sessionId} ${count}.${writes.length}`;
 			writes.push(sql);
-			await pauseFor(this.bench.clock, this._random.next() * 10);
+			await pauseFor(this.harness.clock, this._random.next() * 10);
 			kind = await this._send(sql, sessionId, true);
 		}
 
 		kind = kind === 'ok' ? await this._send('COMMIT', sessionId, true) : kind;
-		// Whatever failed before the COMMIT, the router ends the transaction.
-		this.bench.homes.release('stock', 'stock-1', sessionId);
+		// If a statement before the COMMIT failed, the router ends the transaction.
+		this.harness.homes.release('stock', 'stock-1', sessionId);
 		this._check(writes, kind);
 	}
 
 	private async _send(sql: string, sessionId: string, isInTransaction: boolean): Promise<string> {
 		const timeLeftMs = this._random.next() < 0.1 ? 3 : 500;
-		return this.bench.run(sql, {
+		return this.harness.run(sql, {
 			sessionId, isInTransaction, timeLeftMs, caller: sessionId, transactionIdleMs: 50,
 		});
 	}
 
-	/** What the asker was told must be what happened. */
+	/** Checks that the reported result agrees with the writes that took effect. */
 	private _check(writes: readonly string[], kind: string): void {
 		const committed = writes.filter(write => this.endpoint.committed.has(write)).length;
 		const isKnownNotRun = notRunKinds.has(kind);
 		expect(committed).toEqual(kind === 'ok' ? writes.length : (isKnownNotRun ? 0 : committed));
-		this._note(kind);
+		this._countOutcome(kind);
 	}
 
-	private _note(kind: string): void {
+	private _countOutcome(kind: string): void {
 		this.outcomes.set(kind, (this.outcomes.get(kind) ?? 0) + 1);
 	}
 
 	private async _faults(): Promise<void> {
-		const {clock, group, homes} = this.bench;
+		const {clock, group, homes} = this.harness;
 		while (clock.nowMs() < this._endMs) {
 			await pauseFor(clock, this._random.next() * 300);
 			await this._pick<() => void | Promise<void>>([
 				() => [...this.endpoint.connections].at(0)?.breakNow(),
-				async () => this._briefly(5, isOn => {
-					this.endpoint.breakAt = isOn ? this._pick(cutPoints) : undefined;
+				async () => this._applyFor(5, isOn => {
+					this.endpoint.breakAt = isOn ? this._pick(breakPoints) : undefined;
 				}),
-				async () => this._briefly(100, isOn => {
+				async () => this._applyFor(100, isOn => {
 					group.isConfirming = !isOn;
 				}),
-				async () => this._briefly(100, isOn => {
-					this.bench.isDraining = isOn;
+				async () => this._applyFor(100, isOn => {
+					this.harness.isDraining = isOn;
 				}),
-				async () => this._briefly(700, isOn => {
+				async () => this._applyFor(700, isOn => {
 					this.endpoint.serviceMs = isOn ? 250 : 1;
 				}),
-				async () => this._briefly(20, isOn => {
+				async () => this._applyFor(20, isOn => {
 					if (isOn) {
 						this.endpoint.control?.dispose();
 					} else {
@@ -126,10 +126,10 @@
 		}
 	}
 
-	private async _briefly(durationMs: number, turn: (isOn: boolean) => void): Promise<void> {
-		turn(true);
-		await pauseFor(this.bench.clock, durationMs);
-		turn(false);
+	private async _applyFor(durationMs: number, setActive: (isOn: boolean) => void): Promise<void> {
+		setActive(true);
+		await pauseFor(this.harness.clock, durationMs);
+		setActive(false);
 	}
 
 	private _pick<T>(choices: readonly T[]): T {
@@ -139,20 +139,20 @@
 
 describe('random runs of a home', () => {
 	for (const seed of seeds) {
-		it(`say what happened, with faults of seed ${seed}`, async () => {
+		it(`report what took effect, with faults of seed ${seed}`, async () => {
 			const run = new RandomRun(seed);
 			await run.run();
-			const {bench, endpoint} = run;
+			const {harness, endpoint} = run;
 			expect(endpoint.maximumRunning).toEqual(3);
 			expect(new Set(endpoint.statements.filter(sql => sql.startsWith('INSERT'))).size)
 				.toEqual(endpoint.statements.filter(sql => sql.startsWith('INSERT')).length);
-			await bench.clock.advance(2000);
+			await harness.clock.advance(2000);
 			expect([...endpoint.connections].filter(connection => connection.transactionStatus !== 'idle').length).toEqual(0);
-			expect(await bench.runNow('SELECT 1')).toEqual('ok');
+			expect(await harness.runNow('SELECT 1')).toEqual('ok');
 			expect(run.outcomes.get('ok') ?? 0).toBeGreaterThan(300);
-			bench.homes.dispose();
-			await bench.clock.advance(5000);
-			expect(bench.clock.pendingTimers).toEqual(0);
+			harness.homes.dispose();
+			await harness.clock.advance(5000);
+			expect(harness.clock.pendingTimers).toEqual(0);
 		});
 	}
 });
--- a/src/common/homes/replaced-primary.test.ts
+++ b/src/common/homes/replaced-primary.test.ts
@@ -3,7 +3,7 @@
 import {defaultHomeOptions} from './constants.js';
 import {HomeHarness} from './testing/home-harness.js';
 
-/** Collects what requests were answered, as they are. */
+/** Collects the results of requests in the order in which they resolve. */
 function collect(results: Array<Promise<string>>): string[] {
 	const answers: string[] = [];
 	for (const result of results) {
@@ -14,32 +14,32 @@
 }
 
 describe('a primary that is replaced while it does not answer', () => {
-	it('refuses what waits at once, and gives up what runs after a grace time', async () => {
-		const bench = await new HomeHarness().ready();
-		bench.endpoint.serviceMs = 60_000;
+	it('refuses waiting writes at once, and abandons running statements after a grace time', async () => {
+		const harness = await new HomeHarness().ready();
+		harness.endpoint.serviceMs = 60_000;
 		const answers = collect([
-			bench.run('INSERT 1'), bench.run('INSERT 2'), bench.run('SELECT 3'), bench.run('INSERT 4'),
+			harness.run('INSERT 1'), harness.run('INSERT 2'), harness.run('SELECT 3'), harness.run('INSERT 4'),
 		]);
-		await bench.clock.advance(100);
+		await harness.clock.advance(100);
 		expect(answers).toEqual([]);
-		bench.group.primary = 'stock-2';
-		bench.group.term = 2;
-		bench.group.announce();
-		await bench.clock.advance(1);
+		harness.group.primary = 'stock-2';
+		harness.group.term = 2;
+		harness.group.announce();
+		await harness.clock.advance(1);
 		expect(answers).toEqual(['notPrimary']);
-		await bench.clock.advance(defaultHomeOptions.replacedGraceMs);
+		await harness.clock.advance(defaultHomeOptions.replacedGraceMs);
 		expect(answers.toSorted()).toEqual(['endpointUnavailable', 'notPrimary', 'outcomeUnknown', 'outcomeUnknown']);
 	});
 
-	it('leaves reads of a replica alone', async () => {
-		const bench = await new HomeHarness({}, 'replica').ready();
-		bench.endpoint.serviceMs = 50;
-		const answers = collect([bench.run('SELECT 1')]);
-		await bench.clock.advance(10);
-		bench.group.primary = 'stock-3';
-		bench.group.term = 2;
-		bench.group.announce();
-		await bench.clock.advance(100);
+	it('does not interrupt reads of a replica', async () => {
+		const harness = await new HomeHarness({}, 'replica').ready();
+		harness.endpoint.serviceMs = 50;
+		const answers = collect([harness.run('SELECT 1')]);
+		await harness.clock.advance(10);
+		harness.group.primary = 'stock-3';
+		harness.group.term = 2;
+		harness.group.announce();
+		await harness.clock.advance(100);
 		expect(answers).toEqual(['ok']);
 	});
 });
--- a/src/common/homes/request-completion.ts
+++ b/src/common/homes/request-completion.ts
@@ -1,5 +1,5 @@
 /**
- * From the end of an exchange to the answer or the refusal.
+ * Completes a request after its exchange has ended: forwards the answer or builds the refusal.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -14,10 +14,10 @@
 import type {StatementOutcome} from './statement-runner.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
-/** SQLSTATE with which an endpoint refuses a write that it must not take. */
+/** SQLSTATE with which a read-only endpoint refuses a write. */
 const readOnlySqlState = '25006';
 
-/** Finishes requests of one endpoint. */
+/** Completes the requests of one endpoint. */
 export class RequestCompletion {
 	private readonly _context: HomeContext;
 	private readonly _endpoint: string;
@@ -31,7 +31,7 @@
 		this._acknowledgement = acknowledgement;
 	}
 
-	/** Passes the answer on once it may be, or says why not. */
+	/** Forwards the answer once it is confirmed, or returns the refusal that tells why it is not. */
 	async finish(run: RunningRequest, outcome: StatementOutcome): Promise<Either<Refusal, HomeEnd>> {
 		const {answer, result} = outcome;
 		const finished = result.isLeft()
@@ -42,11 +42,11 @@
 	}
 
 	private async _completeExchange(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, HomeEnd>> {
-		const early = this._readOnlyRefusal(run, answer, end)
+		const refusal = this._readOnlyRefusal(run, answer, end)
 			?? this._behindTokenRefusal(run, answer, end)
 			?? await this._acknowledgement.awaitProof(run);
-		if (early) {
-			return Left(this._adjustForPartialAnswer(run, answer, early));
+		if (refusal) {
+			return Left(this._adjustForPartialAnswer(run, answer, refusal));
 		}
 
 		const confirmed = await this._confirm(run, answer, end);
@@ -62,7 +62,7 @@
 		return Right(this._homeEnd(run, end, confirmed.orDefault(end.position)));
 	}
 
-	/** The position that the answer stands for. */
+	/** Confirms the answer; returns the position up to which it is confirmed. */
 	private async _confirm(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Promise<Either<Refusal, LogPosition>> {
 		if (answer.stopReason) {
 			return Left(answer.stopReason);
@@ -75,8 +75,8 @@
 			return Right(end.position);
 		}
 
-		// While a transaction is open the endpoint reports no position; a commit that another
-		// transaction follows at once is covered by the position that it has now.
+		// While a transaction is open the endpoint reports no position. If the cycle committed one
+		// transaction and began another, the endpoint's current position covers the commit.
 		const result = isOver
 			? await this._acknowledgement.confirm(run, end.position)
 			: await this._acknowledgement.confirmCurrent(run);
@@ -90,8 +90,8 @@
 	private _homeEnd(run: RunningRequest, end: ExchangeEnd, position: LogPosition): HomeEnd {
 		const {request} = run;
 		const isOver = end.transactionStatus === 'idle';
-		const isEnough = !isOver || request.access === 'write' || hasReached(position, run.minimumPosition);
-		this._context.invariants.check('readYourWrites', isEnough, () => `${this._endpoint} at ${formatPosition(position)}`);
+		const hasReachedMinimum = !isOver || request.access === 'write' || hasReached(position, run.minimumPosition);
+		this._context.invariants.check('readYourWrites', hasReachedMinimum, () => `${this._endpoint} at ${formatPosition(position)}`);
 		return {
 			transactionStatus: end.transactionStatus,
 			position,
@@ -112,14 +112,14 @@
 		const fault = outcome.result.swap().unsafeCoerce();
 		const {hasForwarded, hasCommitted} = answer;
 		const isOutOfTime = overdue !== undefined && this._context.clock.nowMs() >= run.deadlineMs;
-		const meaning = classifyBrokenExchange({
+		const classification = classifyBrokenExchange({
 			run, fault, isOutOfTime, hasForwarded, hasCommitted,
 		});
-		run.isWithoutEffect = meaning.isWithoutEffect;
-		return new Refusal(meaning.kind, fault.detail, {correction: this._admission.correction()});
+		run.isWithoutEffect = classification.isWithoutEffect;
+		return new Refusal(classification.kind, fault.detail, {correction: this._admission.correction()});
 	}
 
-	/** The endpoint refused to write before anything ran: another endpoint may take it. */
+	/** The refusal if the endpoint rejected a write as read-only before anything ran, so that another endpoint may execute it. */
 	private _readOnlyRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
 		const isRefused = end.errorSqlState === readOnlySqlState && answer.startsWithError && !answer.hasForwarded;
 		if (!isRefused || end.transactionStatus !== 'idle') {
@@ -136,7 +136,7 @@
 		return new Refusal(request.access === 'write' ? 'notPrimary' : 'readOnlyEndpoint', this._endpoint, {correction});
 	}
 
-	/** The endpoint's own report shows that the read came too early. */
+	/** The refusal if the position that the endpoint reported shows that the read ran before the required position was applied. */
 	private _behindTokenRefusal(run: RunningRequest, answer: AnswerBuffer, end: ExchangeEnd): Refusal | undefined {
 		const {request} = run;
 		const isRead = request.access === 'read' && end.transactionStatus === 'idle';
@@ -148,7 +148,7 @@
 		return new Refusal('behindToken', this._endpoint, {correction: this._admission.correction()});
 	}
 
-	/** Once a part of the answer has been passed on, the asker may not conclude that nothing ran. */
+	/** Adjusts a refusal if a part of the answer has been forwarded: the requester must not conclude that nothing ran. */
 	private _adjustForPartialAnswer(run: RunningRequest, answer: AnswerBuffer, refusal: Refusal): Refusal {
 		if (!answer.hasForwarded || refusal.answer.outcome === 'unknown') {
 			return refusal;
--- a/src/common/homes/request-runner.ts
+++ b/src/common/homes/request-runner.ts
@@ -1,5 +1,5 @@
 /**
- * The way of one request cycle through a home: admission, slot, connection, exchange, answer.
+ * Runs one request cycle through a home: admission, slot, connection, exchange, answer.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -17,7 +17,7 @@
 import type {HomeContext, RunningRequest, SlotLane} from './types.js';
 import {waitUntil} from './wait-until.js';
 
-/** What requests to one endpoint go through. */
+/** Components that process the requests to one endpoint. */
 export type RequestPipeline = {
 	readonly endpoint: string;
 	readonly monitor: GroupMonitor;
@@ -27,8 +27,8 @@
 	readonly pool: ConnectionPool;
 	readonly transactions: HeldTransactions;
 	readonly runner: StatementRunner;
-	readonly finish: RequestCompletion;
-	/** Why no new work is taken; undefined while it is. */
+	readonly completion: RequestCompletion;
+	/** Returns the refusal for new work once the home is stopping; undefined before. */
 	readonly closedRefusal: () => Refusal | undefined;
 };
 
@@ -42,7 +42,7 @@
 		this._pipeline = pipeline;
 	}
 
-	/** Runs one request cycle to its answer or refusal. */
+	/** Runs one request cycle; resolves with its end once the answer was forwarded, or with the refusal. */
 	async run(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
 		const result = run.request.isInTransaction ? await this._continueTransaction(run) : await this._runNew(run);
 		result.ifLeft(refusal => {
@@ -51,10 +51,10 @@
 		return result;
 	}
 
-	/** A cycle outside of a transaction, or the first one of it. */
+	/** Runs a cycle outside a transaction, or the first one of a transaction. */
 	private async _runNew(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
 		const {admission, transactions, monitor, closedRefusal} = this._pipeline;
-		// The entry node knows of no transaction: what is left of one is of no use to anybody.
+		// The entry node knows of no open transaction, so one that is still held for the session is abandoned.
 		transactions.abandon(run.request.sessionId);
 		const refusal = closedRefusal() ?? await admission.admit(run);
 		if (refusal) {
@@ -88,7 +88,7 @@
 		}
 
 		const connection = acquired.unsafeCoerce();
-		// The last look, since the request may have waited long for its slot.
+		// Last check before sending, since the request may have waited long for its slot and connection.
 		const refusal = closedRefusal() ?? await admission.recheck(run) ?? cancelRefusal(run);
 		if (refusal) {
 			pool.release(connection);
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** A cycle of an open transaction, on the connection that it holds. */
+	/** Runs a cycle of an open transaction, on the connection that the transaction holds. */
 	private async _continueTransaction(run: RunningRequest): Promise<Either<Refusal, HomeEnd>> {
 		const {transactions, tracker, admission, runner} = this._pipeline;
 		const found = await this._findTransaction(run);
@@ -167,7 +167,7 @@
 		return this._finish(run, outcome);
 	}
 
-	/** The session's transaction, once no earlier statement of it is in progress. */
+	/** Waits until no earlier statement of the session's transaction is in progress, and returns the transaction. */
 	private async _findTransaction(run: RunningRequest): Promise<Either<Refusal, HeldTransaction>> {
 		const {transactions, admission, endpoint} = this._pipeline;
 		const {sessionId} = run.request;
@@ -207,9 +207,9 @@
 	}
 
 	private async _finish(run: RunningRequest, outcome: StatementOutcome): Promise<Either<Refusal, HomeEnd>> {
-		const {finish, transactions} = this._pipeline;
+		const {completion: finish, transactions} = this._pipeline;
 		const result = await finish.finish(run, outcome);
-		// An asker that gets a refusal believes that nothing is held for it.
+		// A requester that gets a refusal assumes that no transaction is held for it.
 		result.ifLeft(() => {
 			transactions.abandon(run.request.sessionId);
 		});
--- a/src/common/homes/rollback.ts
+++ b/src/common/homes/rollback.ts
@@ -13,11 +13,11 @@
 
 const ignoredAnswer: AnswerSink = {
 	push() {
-		// Nobody waits for it.
+		// Nobody reads the answer to the rollback.
 	},
 };
 
-/** Rolls back in a slot like any statement; closes the connection where that does not work. */
+/** Rolls back in a slot like any statement and releases the connection; closes it if the rollback fails or no slot is granted. */
 export async function rollBack(context: HomeContext, queue: SlotQueue, pool: ConnectionPool, connection: EndpointConnection): Promise<void> {
 	const {clock, options} = context;
 	const timeLeftMs = options.rollbackTimeoutMs;
--- a/src/common/homes/single-query.ts
+++ b/src/common/homes/single-query.ts
@@ -1,5 +1,5 @@
 /**
- * Tells a cycle of one simple statement from one that may hold several.
+ * Distinguishes a request cycle of one simple statement from one that may contain several.
  */
 
 const queryType = 0x51; // Q
@@ -8,8 +8,8 @@
 const blanks = new Set([0x20, 0x09, 0x0A, 0x0D, 0]);
 
 /**
- * Whether a cycle is one simple query without a semicolon before its end. A semicolon in a
- * literal makes it false: that is the safe side.
+ * Whether a cycle is one simple query without a semicolon before its end. A semicolon within a
+ * literal also gives false, which is the safe result: the cycle is treated as several statements.
  */
 export function isSingleQuery(frames: Uint8Array): boolean {
 	if (frames[0] !== queryType || lengthOf(frames) !== frames.length - 1) {
--- a/src/common/homes/slot-queue.ts
+++ b/src/common/homes/slot-queue.ts
@@ -1,8 +1,9 @@
 /**
- * The slots of one endpoint and the queue before them.
+ * The slots of one endpoint and the queue of statements that wait for them.
  *
- * A statement that cannot be served before its deadline is refused when it comes, not when
- * its time is over: the estimate is the service time of what is ahead, divided by the slots.
+ * A statement that cannot be served before its deadline is refused on arrival, not when the
+ * deadline has passed. Its wait is estimated as the service time of the work ahead of it,
+ * divided by the number of slots.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -16,7 +17,7 @@
 import type {WaitingStatement} from './statement-queue.js';
 import {StatementQueue} from './statement-queue.js';
 
-/** What a statement asks the queue for. */
+/** Request of a statement for a slot. */
 export type SlotRequest = {
 	readonly caller: string;
 	readonly priority: number;
@@ -48,13 +49,13 @@
 
 	private _slots: number;
 	private _running = 0;
-	/** Numbers of the grants that are in use, oldest first. */
+	/** Sequence numbers of the grants that are in use, oldest first. */
 	private readonly _grants = new Set<number>();
 	private _grantCount = 0;
 	private _beginsRunning = 0;
 	private readonly _onFreed = new Emitter<void>();
 
-	/** `mayBegin` says whether one more transaction may be started. */
+	/** `mayBegin` tells whether one more transaction may begin, given how many statements that begin one are running. */
 	constructor(context: QueueContext, endpoint: string, slots: number, mayBegin: (beginsRunning: number) => boolean) {
 		this._context = context;
 		this._endpoint = endpoint;
@@ -63,44 +64,44 @@
 		this._queue = new StatementQueue(context.options);
 	}
 
-	/** A slot has become free. */
+	/** Fires when a slot has become free. */
 	get onFreed(): Event<void> {
 		return this._onFreed.event;
 	}
 
-	/** Statements that run. */
+	/** Number of statements that run. */
 	get running(): number {
 		return this._running;
 	}
 
-	/** Statements among them that begin a transaction. */
+	/** Number of running statements that begin a transaction. */
 	get beginsRunning(): number {
 		return this._beginsRunning;
 	}
 
-	/** Number of the newest grant. */
+	/** Sequence number of the newest grant. */
 	get newestGrant(): number {
 		return this._grantCount;
 	}
 
-	/** Whether a statement that got its slot up to a grant still runs. */
+	/** Whether any statement still runs whose grant has this sequence number or a lower one. */
 	isRunningUpTo(grant: number): boolean {
 		const [oldest] = this._grants;
 		return oldest !== undefined && oldest <= grant;
 	}
 
-	/** Statements that wait. */
+	/** Number of statements that wait. */
 	get length(): number {
 		return this._queue.length;
 	}
 
-	/** Follows a change of the endpoint's definition. */
+	/** Sets the number of slots after the endpoint's definition changed. */
 	setSlots(slots: number): void {
 		this._slots = slots;
 		this.serve();
 	}
 
-	/** Waits for a slot, unless the signal ends the wait; refuses at once what cannot be served in time. */
+	/** Waits for a slot until the deadline passes or the signal aborts; refuses at once a statement that cannot be served in time. */
 	async acquire(request: SlotRequest, signal?: AbortSignal): Promise<Either<Refusal, SlotGrant>> {
 		const refusal = signal?.aborted ? new Refusal('cancelled') : this._refusalOnEntry(request);
 		if (refusal) {
@@ -110,21 +111,21 @@
 		return this._mayStartNow(request.lane) ? Right(this._startNow(request)) : this._wait(request, signal);
 	}
 
-	/** Refuses everything that waits and belongs to no open transaction. */
+	/** Refuses all waiting statements that belong to no open transaction. */
 	refuseNewWork(makeRefusal: () => Refusal): void {
 		for (const item of this._queue.newWork()) {
 			this._refuse(item, makeRefusal());
 		}
 	}
 
-	/** Refuses the writes that wait and belong to no open transaction. */
+	/** Refuses all waiting statements that write or begin a transaction and belong to no open one. */
 	refuseWrites(makeRefusal: () => Refusal): void {
 		for (const item of this._queue.newWork().filter(({lane}) => lane !== 'read')) {
 			this._refuse(item, makeRefusal());
 		}
 	}
 
-	/** Serves what may go; called when something has changed. */
+	/** Grants free slots to the waiting statements that may run; called whenever slots or `mayBegin` may have changed. */
 	serve(): void {
 		while (this._running < this._slots) {
 			const item = this._queue.take(
@@ -144,24 +145,24 @@
 
 	/** Time in milliseconds until a statement that enters now would get a slot. */
 	estimateWaitMs(item: Pick<WaitingStatement, 'caller' | 'priority' | 'lane'>): number {
-		// With a slot free, only new transactions wait, and for something else.
+		// While a slot is free, only new transactions wait, for `mayBegin` rather than for a slot.
 		if (this._running < this._slots) {
 			return 0;
 		}
 
 		const expectedMs = (lane: SlotLane): number => this._serviceMs[lane];
 		const aheadMs = this._queue.workAheadMs({...item, enteredAtMs: 0}, expectedMs);
-		// What runs is on average half done.
+		// Running statements are on average half done.
 		const runningMs = this._running * this._serviceMs[item.lane] / 2;
 		return (aheadMs + runningMs) / Math.max(1, this._slots);
 	}
 
-	/** With a slot free nobody waits but new transactions, so that there is nobody to overtake. */
+	/** While a slot is free, only new transactions wait, so that a statement of another lane overtakes nobody. */
 	private _mayStartNow(lane: SlotLane): boolean {
 		return this._running < this._slots && (lane !== 'begin' || (this._queue.length === 0 && this._mayBegin(this._beginsRunning)));
 	}
 
-	/** Spares the timer, the listener and the promise of a wait. */
+	/** Grants a slot without the timer, the listener and the promise that waiting needs. */
 	private _startNow(request: SlotRequest): SlotGrant {
 		const {caller, priority, lane} = request;
 		const grant = this._grant({
@@ -173,7 +174,7 @@
 
 	private async _wait(request: SlotRequest, signal?: AbortSignal): Promise<Either<Refusal, SlotGrant>> {
 		const {clock} = this._context;
-		const stopWatching: Disposable[] = [];
+		const subscriptions: Disposable[] = [];
 		const result = await new Promise<Either<Refusal, SlotGrant>>(resolve => {
 			const item: QueuedStatement = {
 				caller: request.caller,
@@ -188,7 +189,7 @@
 			};
 
 			signal?.addEventListener('abort', onAbort, {once: true});
-			stopWatching.push(
+			subscriptions.push(
 				clock.setTimer(request.timeLeftMs, () => {
 					this._refuse(item, this._refusal('deadlineExceeded', item));
 				}),
@@ -199,8 +200,8 @@
 			this._queue.add(item);
 			this.serve();
 		});
-		for (const watch of stopWatching) {
-			watch.dispose();
+		for (const subscription of subscriptions) {
+			subscription.dispose();
 		}
 
 		return result;
@@ -211,7 +212,7 @@
 			return this._refusal('deadlineExceeded', request);
 		}
 
-		// An open transaction holds locks; its statements are bounded by the number of those.
+		// An open transaction holds locks, so its statements are always admitted; the number of open transactions bounds them.
 		if (request.lane === 'transaction') {
 			return undefined;
 		}
@@ -228,7 +229,7 @@
 		return this._queue.length < this._context.options.queueLength ? undefined : this._evictFor(request);
 	}
 
-	/** A full queue refuses the caller that takes most of it, which need not be the newcomer. */
+	/** A full queue evicts a statement of the caller that occupies most of it, which need not be the new statement's caller. */
 	private _evictFor(request: SlotRequest): Refusal | undefined {
 		const victim = this._queue.evictionCandidate({...request, enteredAtMs: 0});
 		if (!victim) {
@@ -239,7 +240,7 @@
 		return undefined;
 	}
 
-	/** Whether a statement has waited so long that it would hardly end in time. */
+	/** Whether a statement has waited so long that it would probably not end before its deadline. */
 	private _isTooLate(item: QueuedStatement): boolean {
 		const timeLeftMs = item.deadlineMs - this._context.clock.nowMs();
 		return timeLeftMs < this._serviceMs[item.lane] * this._context.options.leastServiceShare && item.lane !== 'transaction';
@@ -252,7 +253,7 @@
 		}
 	}
 
-	/** Takes a slot; `chargedMs` is what the caller's share was charged in advance. */
+	/** Occupies a slot; `chargedMs` is the service time that the caller's share was charged in advance. */
 	private _grant(item: WaitingStatement, chargedMs: number): SlotGrant {
 		const {clock, metrics, invariants} = this._context;
 		const startedAtMs = clock.nowMs();
@@ -289,7 +290,7 @@
 		this._serviceMs[lane] = averageMs === 0 ? serviceMs : (averageMs * (1 - weight)) + (serviceMs * weight);
 	}
 
-	/** Refuses with the time at which the work that is ahead now will be done, spread a little. */
+	/** Builds a refusal whose retry delay is the estimated wait, with jitter, within the configured bounds. */
 	private _refusal(kind: ErrorKind, item: Pick<WaitingStatement, 'caller' | 'priority' | 'lane'>): Refusal {
 		const {random, options} = this._context;
 		const waitMs = this.estimateWaitMs(item);
--- a/src/common/homes/statement-queue.ts
+++ b/src/common/homes/statement-queue.ts
@@ -1,19 +1,20 @@
 /**
- * The statements that wait for a slot, and the order in which they are served.
+ * The queue of statements that wait for a slot, and the order in which they are served.
  *
- * Statements of open transactions come first, in order of arrival: ending them frees locks.
- * Then priority classes in ascending order; within a class, service time is shared evenly
- * among lanes (reads, writes, new transactions), and within a lane among callers. One in
- * so many statements is the one that waited longest, so that no class is starved.
+ * Statements of open transactions come first, in order of arrival, since ending them frees locks.
+ * Priority classes follow in ascending order. Within a class, service time is shared evenly
+ * among lanes (reads, writes, new transactions), and within a lane among callers. Every
+ * `ageingInterval` statements, the one that has waited longest is served if it has waited for
+ * at least `ageingMs`, so that no class starves.
  */
 import type {HomeOptions} from './constants.js';
 import {FairShare} from './fair-share.js';
 import type {SlotLane} from './types.js';
 
-/** A statement in the line. */
+/** A statement in the queue. */
 export type WaitingStatement = {
 	readonly caller: string;
-	/** Lower is served first. */
+	/** Priority class; lower values are served first. */
 	readonly priority: number;
 	readonly lane: SlotLane;
 	readonly enteredAtMs: number;
@@ -37,7 +38,7 @@
 	private readonly _options: StatementQueueOptions;
 	private readonly _transactions: T[] = [];
 	private readonly _classes = new Map<number, PriorityClass<T>>();
-	/** New work in order of arrival. */
+	/** Statements that belong to no open transaction, in order of arrival. */
 	private readonly _arrivals = new Set<T>();
 	private _served = 0;
 
@@ -45,12 +46,12 @@
 		this._options = options;
 	}
 
-	/** Statements that wait. */
+	/** Number of statements that wait. */
 	get length(): number {
 		return this._transactions.length + this._arrivals.size;
 	}
 
-	/** Statements that wait and belong to no open transaction, oldest first. */
+	/** Returns the waiting statements that belong to no open transaction, oldest first. */
 	newWork(): T[] {
 		return [...this._arrivals];
 	}
@@ -76,7 +77,7 @@
 		this._arrivals.add(item);
 	}
 
-	/** Takes a statement out; false when it is not in the line. */
+	/** Removes a statement; returns false if it is not in the queue. */
 	remove(item: T): boolean {
 		if (item.lane === 'transaction') {
 			return removeFrom(this._transactions, item);
@@ -100,7 +101,7 @@
 		return true;
 	}
 
-	/** Takes out the statement that is served next, among lanes that are open. */
+	/** Removes and returns the statement to serve next among the open lanes, and charges its share; undefined if none may run. */
 	take(nowMs: number, isLaneOpen: (lane: SlotLane) => boolean, expectedMs: (lane: SlotLane) => number): T | undefined {
 		const item = this._transactions.at(0) ?? this._takeAged(nowMs, isLaneOpen) ?? this._takeFair(isLaneOpen);
 		if (!item) {
@@ -112,14 +113,14 @@
 		return item;
 	}
 
-	/** Corrects what a caller and its lane were charged, once the true service time is known. */
+	/** Corrects the charge of a caller and its lane by the difference to the actual service time, in milliseconds. */
 	correctCharge(item: WaitingStatement, differenceMs: number): void {
 		const group = this._classes.get(item.priority);
 		group?.share.charge(item.lane, differenceMs);
 		group?.lanes.get(item.lane)?.share.charge(item.caller, differenceMs);
 	}
 
-	/** Service time, in milliseconds, of what would be served before a new statement. */
+	/** Estimates the service time, in milliseconds, of the work that would be served before a new statement. */
 	workAheadMs(item: WaitingStatement, expectedMs: (lane: SlotLane) => number): number {
 		let workMs = this._transactions.length * expectedMs('transaction');
 		if (item.lane === 'transaction') {
@@ -138,8 +139,9 @@
 	}
 
 	/**
-	 * The statement to refuse in place of a new one when the line is full: the newest of the
-	 * least urgent class, of the caller with most waiting; undefined if the new one is that.
+	 * Returns the statement to refuse instead of a new one when the queue is full: the newest one of
+	 * the caller with the most waiting statements in the least urgent class; undefined if that is
+	 * the new statement itself.
 	 */
 	evictionCandidate(item: WaitingStatement): T | undefined {
 		let worst: T | undefined;
@@ -243,7 +245,7 @@
 	return workMs;
 }
 
-/** Under even sharing, other callers and lanes get at most as much as the new statement's own. */
+/** Under fair sharing, each other caller and lane is served at most as much before the statement as its own caller and lane. */
 function workAheadInClassMs<T>(group: PriorityClass<T>, item: WaitingStatement, expectedMs: (lane: SlotLane) => number): number {
 	const own = group.lanes.get(item.lane);
 	const ownCount = own?.byCaller.get(item.caller)?.length ?? 0;
--- a/src/common/homes/statement-runner.ts
+++ b/src/common/homes/statement-runner.ts
@@ -10,11 +10,11 @@
 import {AnswerBuffer} from './answer-buffer.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
-/** How a request cycle went; the answer, or its end, is still held. */
+/** Result of a request cycle; the answer, or the rest of it, is still buffered. */
 export type StatementOutcome = {
 	readonly result: Either<EndpointFault, ExchangeEnd>;
 	readonly answer: AnswerBuffer;
-	/** The exchange that was given up because its deadline passed, and still runs. */
+	/** The exchange, if it was abandoned while still running: its deadline passed or the primary was replaced. */
 	readonly overdue: Promise<unknown> | undefined;
 };
 
@@ -23,7 +23,7 @@
 	private readonly _context: HomeContext;
 	private readonly _acknowledgement: Acknowledgement;
 	private readonly _buffered: BufferedBytes = {totalBytes: 0};
-	/** Ends the wait for what runs on the primary, by request. */
+	/** Callbacks that end the wait for an exchange on the primary, by request. */
 	private readonly _abandonCallbacks = new Map<RunningRequest, () => void>();
 
 	constructor(context: HomeContext, acknowledgement: Acknowledgement) {
@@ -31,14 +31,14 @@
 		this._acknowledgement = acknowledgement;
 	}
 
-	/** Bytes of answers that wait for confirmation. */
+	/** Number of answer bytes that are buffered. */
 	get bufferedBytes(): number {
 		return this._buffered.totalBytes;
 	}
 
 	/**
-	 * Gives up on what was sent to a primary that has been replaced: nothing of it can be
-	 * confirmed any more, so that waiting for its answer would only delay the caller's.
+	 * Abandons the exchanges with a primary that has been replaced: their results can no longer
+	 * be confirmed, so that waiting for them would only delay the answers to the callers.
 	 */
 	onReplaced(): void {
 		for (const giveUp of this._abandonCallbacks.values()) {
@@ -68,7 +68,7 @@
 		return {result: Left(fault), answer, overdue: exchange};
 	}
 
-	/** Past the deadline, the endpoint is asked to cancel and given a moment to say so. */
+	/** Waits for the result; at the deadline, cancels the statement and waits `cancelGraceMs` longer. Undefined if no result came, or at once if the primary was replaced. */
 	private async _awaitResult(
 		exchange: Promise<Either<EndpointFault, ExchangeEnd>>,
 		run: RunningRequest,
@@ -85,7 +85,7 @@
 		return clock.nowMs() < run.deadlineMs ? undefined : withTimeout(clock, exchange, options.cancelGraceMs);
 	}
 
-	/** The result, or undefined as soon as the primary has been replaced. */
+	/** Returns the result, or undefined as soon as the primary has been replaced. */
 	private async _raceReplacement<T>(run: RunningRequest, answered: Promise<T | undefined>): Promise<T | undefined> {
 		const replaced = new Promise<undefined>(resolve => {
 			this._abandonCallbacks.set(run, () => {
@@ -101,7 +101,7 @@
 		const {request, sink} = run;
 		return new AnswerBuffer({
 			sink,
-			held: this._buffered,
+			buffered: this._buffered,
 			options: this._context.options,
 			gate: run.isOnPrimary ? async () => this._gate(run) : undefined,
 			isGatedFromStart: !request.isInTransaction,
--- a/src/common/homes/testing/fake-endpoint.ts
+++ b/src/common/homes/testing/fake-endpoint.ts
@@ -1,6 +1,6 @@
 /**
- * An endpoint for tests of homes: it answers simple queries, keeps transactions apart, and
- * breaks connections where a test says so.
+ * An endpoint for tests of homes: it answers simple queries, isolates transactions, and breaks
+ * connections where a test sets a break point.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -13,12 +13,12 @@
 import {pauseFor} from '../../lifecycle/timing.js';
 import {errorMessage, message, queryOf} from './frames.js';
 
-/** Where in an exchange the connection breaks. */
+/** Point of an exchange at which the connection breaks. */
 export type BreakPoint = 'beforeSend' | 'afterSend' | 'midAnswer' | 'afterAnswer';
 
 const fault = (mayHaveReached: boolean, sqlState?: string): EndpointFault => ({mayHaveReached, detail: 'cut by the test', sqlState});
 
-/** One endpoint: who is attached, which connections are open, where its log ends. */
+/** One endpoint with its attached home, its open connections and the end of its log. */
 export class FakeEndpoint implements EndpointConnector {
 	readonly connections = new Set<FakeConnection>();
 	/** Statements in the order in which they began. */
@@ -31,7 +31,7 @@
 	connectMs = 10;
 	isRefusingConnections = false;
 	breakAt: BreakPoint | undefined;
-	/** Row bytes of every answer. */
+	/** Size of the row of every answer, in bytes. */
 	rowBytes = 20;
 	running = 0;
 	maximumRunning = 0;
@@ -90,7 +90,7 @@
 		return Right(this.connectNow());
 	}
 
-	/** Ends an attach, as the loss of its control connection does. */
+	/** Ends the attach and breaks its work connections, as the loss of its control connection does. */
 	revoke(): void {
 		this.holder = '';
 		for (const connection of this.connections) {
@@ -143,7 +143,7 @@
 			return this._answer(sql, sink);
 		}
 
-		// The asker closed the connection; the statement runs on.
+		// The home closed the connection; the statement goes on at the endpoint.
 		void this._runOn(serving);
 		return Left(fault(true));
 	}
@@ -159,7 +159,7 @@
 		this._closed.fire();
 	}
 
-	/** The other side closes it, and what runs on it ends. */
+	/** Closes the connection on the endpoint's side and ends the statement that runs on it. */
 	breakNow(): void {
 		if (this.isOpen) {
 			this._isBroken = true;
--- a/src/common/homes/testing/fake-group.ts
+++ b/src/common/homes/testing/fake-group.ts
@@ -1,5 +1,5 @@
 /**
- * A group monitor for tests of homes, whose answers a test sets.
+ * A group monitor for tests of homes, whose results a test sets.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -12,7 +12,7 @@
 import {pauseFor} from '../../lifecycle/timing.js';
 import type {FakeEndpoint} from './fake-endpoint.js';
 
-/** Follows one fake endpoint as if it were a group. */
+/** Monitors one fake endpoint as if it were a group. */
 export class FakeGroup implements GroupMonitor {
 	readonly changes = new Emitter<GroupView>();
 	term = 1;
@@ -22,7 +22,7 @@
 	isConfirming = true;
 	isProving = true;
 	age: number | undefined = 5;
-	/** The age once a proof has been made. */
+	/** Age that is reported after a proof, in milliseconds. */
 	ageAfterProof: number | undefined = 5;
 	confirmations = 0;
 	private readonly _clock: Clock;
@@ -47,7 +47,7 @@
 		};
 	}
 
-	/** Announces that something changed, such as a new control connection. */
+	/** Fires a change of the group, such as a new primary or control connection. */
 	announce(): void {
 		this.changes.fire(this.view());
 	}
--- a/src/common/homes/testing/home-harness.ts
+++ b/src/common/homes/testing/home-harness.ts
@@ -1,5 +1,5 @@
 /**
- * Puts one endpoint's home together with fakes for tests.
+ * Connects the home of one endpoint with fakes for tests.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -21,16 +21,16 @@
 
 export const endpointName = 'stock-1';
 
-/** A sink that keeps what it was given. */
+/** A sink that records the frames pushed to it. */
 export class RecordedAnswer implements AnswerSink {
-	readonly pieces: Uint8Array[] = [];
+	readonly chunks: Uint8Array[] = [];
 
 	push(frames: Uint8Array): void {
-		this.pieces.push(frames);
+		this.chunks.push(frames);
 	}
 }
 
-/** A home with its surroundings. */
+/** A home with fakes of everything that it depends on. */
 export class HomeHarness {
 	readonly clock = new VirtualClock();
 	readonly endpoint: FakeEndpoint;
@@ -39,16 +39,16 @@
 	readonly configurationChanges = new Emitter<number>();
 	readonly self = hostNamed('node-1');
 	readonly other = hostNamed('node-2');
-	/** Node that membership says is home. */
+	/** Node that membership reports as the home. */
 	homeNode = 'node-1';
 	isDraining = false;
-	/** Metrics counted, by name and kind label. */
+	/** Values of counters, by metric name and `kind` label. */
 	readonly counts = new Map<string, number>();
 	readonly handOvers: string[] = [];
-	/** Whether the other node answers at all. */
-	isAnswering = true;
-	/** Whether the other node lets go when asked; it cannot be reached otherwise. */
-	isLettingGo = false;
+	/** Whether the other node answers probes. */
+	isOtherReachable = true;
+	/** Whether the other node hands over on request; otherwise the request fails as if it were unreachable. */
+	isOtherHandingOver = false;
 	readonly definition: EndpointDefinition = {
 		name: endpointName, group: 'stock', availabilityZone: 'a', host: '127.0.0.1', port: 5432,
 		labels: {}, slots: 3, connections: 20,
@@ -91,19 +91,19 @@
 		return this.homes.execute(this.request(sql, change), sink, new AbortController().signal);
 	}
 
-	/** Runs one statement that is refused. */
+	/** Runs one statement that must be refused; resolves with the refusal. */
 	async refusalOf(sql: string, change: Partial<HomeRequest> = {}): Promise<Refusal> {
 		const result = await this.clock.advanceUntil(this.execute(sql, change));
 		return result.swap().unsafeCoerce();
 	}
 
-	/** Runs one statement that is answered. */
+	/** Runs one statement that must succeed; resolves with its end. */
 	async endOf(sql: string, change: Partial<HomeRequest> = {}): Promise<HomeEnd> {
 		const result = await this.clock.advanceUntil(this.execute(sql, change));
 		return result.unsafeCoerce();
 	}
 
-	/** Runs one statement while time passes. */
+	/** Runs one statement and advances the clock until it ends; resolves with `ok` or the kind of refusal. */
 	async runNow(sql: string, change: Partial<HomeRequest> = {}): Promise<string> {
 		return this.clock.advanceUntil(this.run(sql, change));
 	}
@@ -183,7 +183,7 @@
 		return {
 			executorOf: unused,
 			groupView: unused,
-			probe: async host => this.isAnswering
+			probe: async host => this.isOtherReachable
 				? Right({host, configurationVersion: 1})
 				: Left(new Refusal('peerUnavailable')),
 			announcePrimary: unused,
@@ -193,7 +193,7 @@
 			dispose: unused,
 			handOver: async (host, endpoint) => {
 				this.handOvers.push(`${host.name} ${endpoint}`);
-				if (!this.isLettingGo) {
+				if (!this.isOtherHandingOver) {
 					return Left(new Refusal('peerUnavailable'));
 				}
 
--- a/src/common/homes/types.ts
+++ b/src/common/homes/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types shared by the parts of a home.
+ * Types shared by the components of a home.
  */
 import type {Either} from 'purify-ts';
 import type {Refusal} from '../errors/error-kinds.js';
@@ -10,7 +10,7 @@
 } from '../services/services.js';
 import type {HomeOptions} from './constants.js';
 
-/** The services and options that every part of a home may use. */
+/** The services and options that every component of a home may use. */
 export type HomeContext = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -24,29 +24,29 @@
 	readonly options: HomeOptions;
 };
 
-/** One request cycle on its way through a home. */
+/** State of one request cycle while a home processes it. */
 export type RunningRequest = {
 	readonly request: HomeRequest;
 	readonly sink: AnswerSink;
 	readonly signal: AbortSignal;
-	/** On the home's clock. */
+	/** Deadline on the home's clock, in milliseconds. */
 	readonly deadlineMs: number;
 	/** Whether the endpoint was the group's primary when the statement, or its transaction, began. */
 	isOnPrimary: boolean;
-	/** What the answer must include: the asked position, or a later one that a proof showed. */
+	/** Position that the answer must include: the requested one, or a later one that a freshness proof returned. */
 	minimumPosition: LogPosition;
-	/** Proof of freshness that was asked for on arrival. */
+	/** Freshness proof that was requested on arrival; undefined if none is needed. */
 	proof: Promise<Either<Refusal, LogPosition>> | undefined;
 	/** Whether the request was handed to a connection. */
 	isSent: boolean;
-	/** Whether it is with the endpoint now. */
+	/** Whether the endpoint is processing the request now. */
 	isRunning: boolean;
 	/** Whether it is certain that nothing of the sent request took effect. */
 	isWithoutEffect: boolean;
 	/** Whether the session was released while the request was in progress. */
 	isReleased: boolean;
 	queuedMs: number;
-	/** Bound on the age of the data, where one was asked for: asking makes the group prove ages for a while. */
+	/** Upper bound on the age of the endpoint's data; read only if the request states a maximum age, since reading it makes the group prove ages for a while. */
 	ageMs: number | undefined;
 };
 
--- a/src/common/homes/wait-until.ts
+++ b/src/common/homes/wait-until.ts
@@ -1,21 +1,21 @@
 /**
- * Waiting for events, on the injected clock.
+ * Waits for a condition that events may change, on the injected clock.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Event} from '../lifecycle/emitter.js';
 import type {Clock} from '../services/services.js';
 
-/** What `until` waits for. */
+/** What `waitUntil` waits for. */
 export type WaitOptions = {
 	readonly condition: () => boolean;
-	/** Events after which the condition is looked at again. */
+	/** Events after which the condition is checked again. */
 	readonly events: ReadonlyArray<Event<unknown>>;
-	/** Undefined waits without a bound. */
+	/** Maximum wait in milliseconds; undefined waits without a timeout. */
 	readonly timeoutMs?: number;
 	readonly signal?: AbortSignal;
 };
 
-/** Waits for a condition; resolves with whether it holds when the wait ends. */
+/** Waits until the condition holds, the timeout passes or the signal aborts; resolves with whether the condition holds then. */
 export async function waitUntil(clock: Clock, options: WaitOptions): Promise<boolean> {
 	const {condition, events, timeoutMs, signal} = options;
 	if (condition() || signal?.aborted === true) {
@@ -45,8 +45,8 @@
 		signal?.addEventListener('abort', finish, {once: true});
 	});
 	signal?.removeEventListener('abort', stop);
-	for (const watch of subscriptions) {
-		watch.dispose();
+	for (const subscription of subscriptions) {
+		subscription.dispose();
 	}
 
 	return condition();
