--- a/src/common/homes/connection-pool.ts
+++ b/src/common/homes/connection-pool.ts
@@ -1,8 +1,8 @@
 /**
- * The work connections of one endpoint: opened ahead of need, kept warm, replaced when broken.
+ * The work connections of one endpoint: opened in advance, kept open, replaced when broken.
  *
- * Connections that are idle, in use, being opened or just closed all count within the limit,
- * so that the endpoint's own limit is kept by construction.
+ * Connections that are idle, in use, being opened or just closed all count towards the limit,
+ * so that the endpoint's own connection limit is never exceeded.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -19,7 +19,7 @@
 	readonly answer: (connection: EndpointConnection | undefined) => void;
 };
 
-/** SQLSTATE with which an endpoint refuses work of a home that is not attached. */
+/** SQLSTATE with which an endpoint refuses a work connection of a home that is not attached. */
 const notAttachedSqlState = '55006';
 
 /** Work connections of one endpoint. */
@@ -30,18 +30,18 @@
 	private readonly _owned = new DisposableStore();
 	private readonly _idle: EndpointConnection[] = [];
 	private readonly _open = new Set<EndpointConnection>();
-	/** Connections of an earlier attach; closed when given back. */
-	private readonly _outdated = new Set<EndpointConnection>();
-	/** Connections in use whose exchange nobody waits for any more. */
-	private readonly _givenUp = new Set<EndpointConnection>();
+	/** Connections of an earlier attach; closed when released. */
+	private readonly _stale = new Set<EndpointConnection>();
+	/** Connections in use whose exchange has been abandoned. */
+	private readonly _abandoned = new Set<EndpointConnection>();
 	private readonly _waiters: Waiter[] = [];
 	private readonly _backoff: Backoff;
 	private _opening = 0;
 	private _closing = 0;
 	private _limit: number;
-	private _wanted: number;
+	private _targetSize: number;
 	private _isStarted = false;
-	private _attachNumber = 0;
+	private _attachGeneration = 0;
 	private _hasRetryTimer = false;
 	private readonly _onLost = this._owned.register(new Emitter<EndpointConnection>());
 	private readonly _onNotAttached = this._owned.register(new Emitter<void>());
@@ -51,51 +51,51 @@
 		this._endpoint = endpoint;
 		this._homeId = homeId;
 		this._limit = limit;
-		this._wanted = 0;
+		this._targetSize = 0;
 		const {clock, random, options} = context;
 		this._backoff = new Backoff(clock, random, options.connectRetryMinimumMs, options.connectRetryMaximumMs);
 	}
 
-	/** A connection was closed by the other side. */
+	/** Fires with a connection that the endpoint closed. */
 	get onLost(): Event<EndpointConnection> {
 		return this._onLost.event;
 	}
 
-	/** The endpoint said that this home is not the attached one. */
+	/** Fires when the endpoint refuses a connection because this home is not attached. */
 	get onNotAttached(): Event<void> {
 		return this._onNotAttached.event;
 	}
 
-	/** Connections that count within the limit. */
+	/** Number of connections that count towards the limit. */
 	get count(): number {
 		return this._open.size + this._opening + this._closing;
 	}
 
-	/** Most connections that this pool may have. */
+	/** Maximum number of connections of this pool. */
 	get limit(): number {
 		return this._limit;
 	}
 
-	/** Begins to open connections, after an attach. */
+	/** Starts opening connections, after an attach. */
 	start(): void {
 		this._isStarted = true;
-		this._attachNumber += 1;
+		this._attachGeneration += 1;
 		this._backoff.reset();
 		this._fill();
 	}
 
-	/** Opens none from now on and closes idle ones; those in use are closed when given back. */
+	/** Stops opening connections and closes idle and abandoned ones; those in use are closed when released. */
 	stop(): void {
 		this._isStarted = false;
-		for (const connection of [...this._idle.splice(0), ...this._givenUp]) {
+		for (const connection of [...this._idle.splice(0), ...this._abandoned]) {
 			this._close(connection);
 		}
 
 		for (const connection of this._open) {
-			this._outdated.add(connection);
+			this._stale.add(connection);
 		}
 
-		this._answerWaiters();
+		this._releaseWaiters();
 	}
 
 	/** Closes every connection, those in use included. */
@@ -106,13 +106,13 @@
 		}
 	}
 
-	/** Sets how many connections are worth having. */
+	/** Sets how many connections the pool tries to keep open, within the limit. */
 	setTargetSize(count: number): void {
-		this._wanted = count;
+		this._targetSize = count;
 		this._fill();
 	}
 
-	/** Follows a change of the endpoint's definition. */
+	/** Sets the limit after the endpoint's definition changed; closes idle connections above it. */
 	setLimit(limit: number): void {
 		this._limit = limit;
 		while (this.count > limit && this._idle.length > 0) {
@@ -122,28 +122,28 @@
 		this._fill();
 	}
 
-	/** A connection that nobody else uses, in a clean state. */
+	/** Returns a connection for exclusive use, outside a transaction; a refusal if none is available within `timeoutMs` or `acquireTimeoutMs`, whichever is shorter. */
 	async acquire(timeoutMs: number): Promise<Either<Refusal, EndpointConnection>> {
 		const idle = this._isStarted ? this._idle.pop() : undefined;
 		if (idle) {
 			return Right(idle);
 		}
 
-		if (!this._isStarted || this._isHopeless()) {
-			return Left(this._unavailable());
+		if (!this._isStarted || this._isWaitFutile()) {
+			return Left(this._unavailableRefusal());
 		}
 
 		const connection = await this._wait(Math.min(timeoutMs, this._context.options.acquireTimeoutMs));
-		return connection ? Right(connection) : Left(this._unavailable());
+		return connection ? Right(connection) : Left(this._unavailableRefusal());
 	}
 
-	/** Takes back a connection whose last exchange ended outside of a transaction. */
+	/** Puts a connection whose last exchange ended outside a transaction back into the pool. */
 	release(connection: EndpointConnection): void {
 		if (!this._open.has(connection)) {
 			return;
 		}
 
-		if (this._outdated.has(connection) || !this._isStarted || this.count > this._limit) {
+		if (this._stale.has(connection) || !this._isStarted || this.count > this._limit) {
 			this.discard(connection);
 			return;
 		}
@@ -156,14 +156,14 @@
 		}
 	}
 
-	/** Notes that a connection in use will not be used again; it is closed when the attach ends, or discarded before. */
+	/** Marks a connection in use as not to be used again; it is closed when the attach ends, unless it is discarded before. */
 	abandon(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
-			this._givenUp.add(connection);
+			this._abandoned.add(connection);
 		}
 	}
 
-	/** Closes a connection whose state is in doubt. */
+	/** Closes a connection whose state is not known and opens another if needed. */
 	discard(connection: EndpointConnection): void {
 		if (this._open.has(connection)) {
 			this._close(connection);
@@ -176,12 +176,12 @@
 		this._owned.dispose();
 	}
 
-	/** Nothing is open or on its way, and the last try failed: waiting would not help. */
-	private _isHopeless(): boolean {
+	/** Whether no connection is open or being opened and the last attempt failed, so that waiting is futile. */
+	private _isWaitFutile(): boolean {
 		return this._backoff.isFailing && this._opening === 0 && this._open.size === 0;
 	}
 
-	private _unavailable(): Refusal {
+	private _unavailableRefusal(): Refusal {
 		const retryAfterMs = Math.max(this._context.options.retryAfterMinimumMs, Math.ceil(this._backoff.remainingMs));
 		return new Refusal('endpointUnavailable', `no connection to ${this._endpoint.name}`, {retryAfterMs});
 	}
@@ -203,26 +203,26 @@
 		});
 	}
 
-	private _answerWaiters(): void {
+	private _releaseWaiters(): void {
 		for (const waiter of this._waiters.splice(0)) {
 			waiter.answer(undefined);
 		}
 	}
 
 	private _fill(): void {
-		const target = Math.min(this._wanted, this._limit);
+		const target = Math.min(this._targetSize, this._limit);
 		while (this._isStarted && this.count < target && this._backoff.remainingMs === 0) {
 			void this._openOne();
 		}
 
 		if (this._isStarted && this.count < target) {
-			this._fillLater();
+			this._scheduleFill();
 		}
 
 		this._context.metrics.gauge('homeConnections', this._open.size, {endpoint: this._endpoint.name});
 	}
 
-	private _fillLater(): void {
+	private _scheduleFill(): void {
 		if (this._hasRetryTimer) {
 			return;
 		}
@@ -237,7 +237,7 @@
 
 	private async _openOne(): Promise<void> {
 		const {connector, invariants} = this._context;
-		const attachNumber = this._attachNumber;
+		const attachGeneration = this._attachGeneration;
 		this._opening += 1;
 		invariants.check('connectionLimit', this.count <= this._limit, () => `${this.count} connections to ${this._endpoint.name}`);
 		const result = await connector.connectWork(this._endpoint, this._homeId);
@@ -245,16 +245,16 @@
 		result.ifLeft(fault => {
 			this._onConnectFailed(fault);
 		}).ifRight(connection => {
-			this._onConnected(connection, attachNumber);
+			this._onConnected(connection, attachGeneration);
 		});
 	}
 
-	private _onConnected(connection: EndpointConnection, attachNumber: number): void {
+	private _onConnected(connection: EndpointConnection, attachGeneration: number): void {
 		this._open.add(connection);
 		connection.onClose(() => {
 			this._onClosed(connection);
 		});
-		if (!this._isStarted || attachNumber !== this._attachNumber) {
+		if (!this._isStarted || attachGeneration !== this._attachGeneration) {
 			this.discard(connection);
 			return;
 		}
@@ -271,8 +271,8 @@
 
 		this._backoff.fail();
 		this._context.log.event('workConnectionFailed', {endpoint: this._endpoint.name, detail: fault.detail, sqlState: fault.sqlState});
-		if (this._isHopeless()) {
-			this._answerWaiters();
+		if (this._isWaitFutile()) {
+			this._releaseWaiters();
 		}
 
 		if (fault.sqlState === notAttachedSqlState) {
@@ -282,13 +282,13 @@
 		this._fill();
 	}
 
-	/** The other side closed it. */
+	/** Removes a connection that the endpoint closed. */
 	private _onClosed(connection: EndpointConnection): void {
 		if (!this._open.has(connection)) {
 			return;
 		}
 
-		this._forget(connection);
+		this._remove(connection);
 		const index = this._idle.indexOf(connection);
 		if (index !== -1) {
 			this._idle.splice(index, 1);
@@ -298,15 +298,15 @@
 		this._fill();
 	}
 
-	private _forget(connection: EndpointConnection): void {
+	private _remove(connection: EndpointConnection): void {
 		this._open.delete(connection);
-		this._outdated.delete(connection);
-		this._givenUp.delete(connection);
+		this._stale.delete(connection);
+		this._abandoned.delete(connection);
 	}
 
-	/** This side closes it; it counts until the endpoint has had time to notice. */
+	/** Closes a connection; it counts towards the limit for `closingGraceMs`, until the endpoint has noticed. */
 	private _close(connection: EndpointConnection): void {
-		this._forget(connection);
+		this._remove(connection);
 		this._closing += 1;
 		connection.dispose();
 		const timer = this._owned.register(this._context.clock.setTimer(this._context.options.closingGraceMs, () => {
--- a/src/common/homes/endpoint-home.ts
+++ b/src/common/homes/endpoint-home.ts
@@ -24,20 +24,20 @@
 import type {HomeContext, RunningRequest} from './types.js';
 import {waitUntil} from './wait-until.js';
 
-/** How far a home has gone in letting its endpoint go. */
+/** Stage of draining: no new transactions begin while finishing, no new work at all while stopping. */
 type Stage = 'serving' | 'finishing' | 'stopping';
 
-/** What a home needs to know of its endpoint's group. */
+/** Definition of the endpoint and size of its group, as assigned to a home. */
 export type EndpointAssignment = {
 	readonly definition: EndpointDefinition;
-	/** Instances of the group. */
+	/** Number of instances of the group. */
 	readonly groupSize: number;
 };
 
-/** How long letting go may take. */
+/** Time limits of draining, in milliseconds. */
 export type DrainBounds = {
 	readonly boundMs: number;
-	/** Time for open transactions, within the bound. */
+	/** Time for open transactions to finish, within `boundMs`. */
 	readonly transactionMs: number;
 };
 
@@ -54,16 +54,16 @@
 	private readonly _runner: StatementRunner;
 	private readonly _inProgress = new Set<RunningRequest>();
 	private readonly _onFinished = this._owned.register(new Emitter<void>());
-	private _place: EndpointAssignment;
+	private _assignment: EndpointAssignment;
 	private _isPrimary: boolean;
 	private _stage: Stage = 'serving';
-	private _letGo: Promise<void> | undefined;
+	private _draining: Promise<void> | undefined;
 
-	constructor(context: HomeContext, place: EndpointAssignment, homeId: string, monitor: GroupMonitor) {
-		const {definition} = place;
+	constructor(context: HomeContext, assignment: EndpointAssignment, homeId: string, monitor: GroupMonitor) {
+		const {definition} = assignment;
 		const {name: endpoint} = definition;
 		this._context = context;
-		this._place = place;
+		this._assignment = assignment;
 		const tracker = this._owned.register(new PositionTracker());
 		this._transactions = this._owned.register(new HeldTransactions(context, endpoint));
 		this._pool = this._owned.register(new ConnectionPool(context, definition, homeId, this._connectionLimit()));
@@ -85,11 +85,11 @@
 			pool: this._pool,
 			transactions: this._transactions,
 			runner: this._runner,
-			finish: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
-			closedRefusal: () => this._stage === 'stopping' ? this._notHome() : undefined,
+			completion: new RequestCompletion(context, endpoint, this._admission, acknowledgement),
+			closedRefusal: () => this._stage === 'stopping' ? this._notHomeRefusal() : undefined,
 		});
 		this._isPrimary = monitor.view().primary === endpoint;
-		this._connectParts(monitor);
+		this._subscribe(monitor);
 	}
 
 	/** Whether the endpoint has accepted this node as its home. */
@@ -97,28 +97,28 @@
 		return this._attachment.isAttached;
 	}
 
-	/** The endpoint as this home knows it. */
+	/** Definition of the endpoint that this home currently uses. */
 	get definition(): EndpointDefinition {
-		return this._place.definition;
+		return this._assignment.definition;
 	}
 
-	/** Begins to attach. */
+	/** Starts attaching to the endpoint. */
 	start(): void {
-		this._pool.setTargetSize(this._wantedConnections());
+		this._pool.setTargetSize(this._targetConnections());
 		this._attachment.start();
 	}
 
-	/** Follows a change of the endpoint's slots or connections. */
-	update(place: EndpointAssignment): void {
-		this._place = place;
-		this._queue.setSlots(place.definition.slots);
+	/** Applies a change of the endpoint's slots, its connections or the size of its group. */
+	update(assignment: EndpointAssignment): void {
+		this._assignment = assignment;
+		this._queue.setSlots(assignment.definition.slots);
 		this._pool.setLimit(this._connectionLimit());
-		this._pool.setTargetSize(this._wantedConnections());
+		this._pool.setTargetSize(this._targetConnections());
 	}
 
-	/** Runs one request cycle. */
+	/** Runs one request cycle; resolves with its end or the refusal. */
 	async execute(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
-		const run = this._newRun(request, sink, signal);
+		const run = this._createRun(request, sink, signal);
 		this._inProgress.add(run);
 		try {
 			return await this._requests.run(run);
@@ -128,7 +128,7 @@
 		}
 	}
 
-	/** Ends what a session holds. */
+	/** Abandons the open transaction of a session, also one that a request in progress leaves open. */
 	release(sessionId: string): void {
 		this._transactions.abandon(sessionId);
 		for (const run of this._inProgress) {
@@ -136,7 +136,7 @@
 		}
 	}
 
-	/** Ends what the sessions of one entry node hold. */
+	/** Abandons the open transactions of all sessions whose ids begin with a prefix, such as those of one entry node. */
 	releaseAll(prefix: string): void {
 		for (const sessionId of this._transactions.sessionsOf(prefix)) {
 			this._transactions.abandon(sessionId);
@@ -147,26 +147,26 @@
 		}
 	}
 
-	/** Requests that are with the endpoint now. */
+	/** Number of requests that the endpoint is processing now. */
 	get runningCount(): number {
 		return [...this._inProgress].filter(run => run.isRunning).length;
 	}
 
-	/** Finishes what is in progress, within bounds, and detaches. The first call sets the bounds. */
+	/** Drains the endpoint within the bounds and detaches from it; later calls join the drain of the first call, with its bounds. */
 	async letGo(bounds: DrainBounds): Promise<void> {
-		this._letGo ??= this._letGoWithin(bounds);
-		return this._letGo;
+		this._draining ??= this._drainWithin(bounds);
+		return this._draining;
 	}
 
 	dispose(): void {
 		this._stage = 'stopping';
-		this._queue.refuseNewWork(() => this._notHome());
+		this._queue.refuseNewWork(() => this._notHomeRefusal());
 		this._owned.dispose();
 	}
 
-	private _connectParts(monitor: GroupMonitor): void {
+	private _subscribe(monitor: GroupMonitor): void {
 		this._owned.register(monitor.onChange(({primary}) => {
-			this._onPrimary(primary);
+			this._onPrimaryChanged(primary);
 		}));
 		this._owned.register(this._attachment.onChange(isAttached => {
 			if (isAttached) {
@@ -182,7 +182,7 @@
 			this._transactions.onConnectionLost(connection);
 		}));
 		this._owned.register(this._transactions.onChange(() => {
-			this._pool.setTargetSize(this._wantedConnections());
+			this._pool.setTargetSize(this._targetConnections());
 			this._queue.serve();
 		}));
 		this._owned.register(this._transactions.onAbandoned(connection => {
@@ -191,10 +191,11 @@
 	}
 
 	/**
-	 * Once another endpoint is primary, what waits to write here cannot succeed, nor what runs:
-	 * an endpoint that lives says so itself within the grace time, in words that tell more.
+	 * Once another endpoint is primary, neither waiting writes nor running requests can succeed
+	 * here. Waiting writes are refused at once. Running requests are abandoned only after a grace
+	 * time: an endpoint that is still alive answers within it, with a more specific error.
 	 */
-	private _onPrimary(primary: string): void {
+	private _onPrimaryChanged(primary: string): void {
 		const {clock, options} = this._context;
 		const {name} = this.definition;
 		const wasPrimary = this._isPrimary;
@@ -212,7 +213,7 @@
 		}));
 	}
 
-	private _newRun(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): RunningRequest {
+	private _createRun(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): RunningRequest {
 		return {
 			request,
 			sink,
@@ -231,24 +232,24 @@
 	}
 
 	/**
-	 * Work goes on as long as possible: at first only new transactions wait, and then only
-	 * statements that were running already are waited for. New work stops for no longer than
-	 * the last statements take.
+	 * Serves as long as possible. First, only new transactions have to wait, until the open ones
+	 * have ended or their time is over. Then the statements that already run are waited for, while
+	 * others are still served. New work is refused only for the time that the last statements take.
 	 */
-	private async _letGoWithin(bounds: DrainBounds): Promise<void> {
+	private async _drainWithin(bounds: DrainBounds): Promise<void> {
 		const endMs = this._context.clock.nowMs() + bounds.boundMs;
 		this._stage = 'finishing';
 		await this._wait(bounds.transactionMs, () => this._transactions.count + this._queue.beginsRunning === 0);
 		this._transactions.abandonAll('transactionLost');
 		const newest = this._queue.newestGrant;
-		await this._wait(this._msUntil(endMs), () => !this._queue.isRunningUpTo(newest));
+		await this._wait(this._remainingMs(endMs), () => !this._queue.isRunningUpTo(newest));
 		this._stage = 'stopping';
-		this._queue.refuseNewWork(() => this._notHome());
-		await this._wait(this._msUntil(endMs), () => this._queue.running === 0);
+		this._queue.refuseNewWork(() => this._notHomeRefusal());
+		await this._wait(this._remainingMs(endMs), () => this._queue.running === 0);
 		this._pool.closeAll();
 		await this._attachment.detach();
-		// Answers that wait for confirmation need neither slot nor connection.
-		await this._wait(this._msUntil(endMs), () => this._inProgress.size === 0);
+		// Answers that wait for confirmation need neither a slot nor a connection.
+		await this._wait(this._remainingMs(endMs), () => this._inProgress.size === 0);
 	}
 
 	private async _wait(timeoutMs: number, condition: () => boolean): Promise<void> {
@@ -256,29 +257,29 @@
 		await waitUntil(this._context.clock, {condition, events, timeoutMs});
 	}
 
-	private _msUntil(timeMs: number): number {
+	private _remainingMs(timeMs: number): number {
 		return timeMs - this._context.clock.nowMs();
 	}
 
-	private _notHome(): Refusal {
+	private _notHomeRefusal(): Refusal {
 		const {membership} = this._context;
 		const home = membership.homeOf(this.definition)?.name;
 		const homeNode = home === membership.self.name ? undefined : home;
-		return new Refusal('notHome', `${this.definition.name} is being let go`, {correction: {...this._admission.correction(), homeNode}});
+		return new Refusal('notHome', `${this.definition.name} is being drained by this node`, {correction: {...this._admission.correction(), homeNode}});
 	}
 
-	/** Some connections stay free of transactions, so that other work can go on. */
+	/** Limits the open transactions so that as many connections as slots stay available for other work. */
 	private _mayBegin(beginsRunning: number): boolean {
 		const bound = Math.max(minimumHeldTransactions, this._pool.limit - this.definition.slots);
 		return this._stage === 'serving' && this._transactions.count + beginsRunning < bound;
 	}
 
 	private _connectionLimit(): number {
-		const {definition, groupSize} = this._place;
+		const {definition, groupSize} = this._assignment;
 		return Math.max(1, definition.connections - groupSize - this._context.options.spareConnections);
 	}
 
-	private _wantedConnections(): number {
+	private _targetConnections(): number {
 		return this.definition.slots + this._transactions.count;
 	}
 }
--- a/src/common/homes/statement-runner.ts
+++ b/src/common/homes/statement-runner.ts
@@ -10,11 +10,11 @@
 import {AnswerBuffer} from './answer-buffer.js';
 import type {HomeContext, RunningRequest} from './types.js';
 
-/** How a request cycle went; the answer, or its end, is still held. */
+/** Result of a request cycle; the answer, or the rest of it, is still buffered. */
 export type StatementOutcome = {
 	readonly result: Either<EndpointFault, ExchangeEnd>;
 	readonly answer: AnswerBuffer;
-	/** The exchange that was given up because its deadline passed, and still runs. */
+	/** The exchange, if it was abandoned while still running: its deadline passed or the primary was replaced. */
 	readonly overdue: Promise<unknown> | undefined;
 };
 
@@ -22,32 +22,32 @@
 export class StatementRunner {
 	private readonly _context: HomeContext;
 	private readonly _acknowledgement: Acknowledgement;
-	private readonly _held: BufferedBytes = {totalBytes: 0};
-	/** Ends the wait for what runs on the primary, by request. */
-	private readonly _giveUps = new Map<RunningRequest, () => void>();
+	private readonly _buffered: BufferedBytes = {totalBytes: 0};
+	/** Callbacks that end the wait for an exchange on the primary, by request. */
+	private readonly _abandonCallbacks = new Map<RunningRequest, () => void>();
 
 	constructor(context: HomeContext, acknowledgement: Acknowledgement) {
 		this._context = context;
 		this._acknowledgement = acknowledgement;
 	}
 
-	/** Bytes of answers that wait for confirmation. */
+	/** Number of answer bytes that are buffered. */
 	get bufferedBytes(): number {
-		return this._held.totalBytes;
+		return this._buffered.totalBytes;
 	}
 
 	/**
-	 * Gives up on what was sent to a primary that has been replaced: nothing of it can be
-	 * confirmed any more, so that waiting for its answer would only delay the caller's.
+	 * Abandons the exchanges with a primary that has been replaced: their results can no longer
+	 * be confirmed, so that waiting for them would only delay the answers to the callers.
 	 */
 	onReplaced(): void {
-		for (const giveUp of this._giveUps.values()) {
+		for (const giveUp of this._abandonCallbacks.values()) {
 			giveUp();
 		}
 	}
 
 	async run(run: RunningRequest, connection: EndpointConnection): Promise<StatementOutcome> {
-		const answer = this._answerFor(run, connection);
+		const answer = this._createBuffer(run, connection);
 		const cancel = (): void => {
 			connection.cancel();
 		};
@@ -56,7 +56,7 @@
 		run.isRunning = true;
 		run.signal.addEventListener('abort', cancel, {once: true});
 		const exchange = connection.exchange(run.request.frames, answer);
-		const result = await this._endOf(exchange, run, connection);
+		const result = await this._awaitResult(exchange, run, connection);
 		run.signal.removeEventListener('abort', cancel);
 		run.isRunning = false;
 		if (result) {
@@ -68,15 +68,15 @@
 		return {result: Left(fault), answer, overdue: exchange};
 	}
 
-	/** Past the deadline, the endpoint is asked to cancel and given a moment to say so. */
-	private async _endOf(
+	/** Waits for the result; at the deadline, cancels the statement and waits `cancelGraceMs` longer. Undefined if no result came, or at once if the primary was replaced. */
+	private async _awaitResult(
 		exchange: Promise<Either<EndpointFault, ExchangeEnd>>,
 		run: RunningRequest,
 		connection: EndpointConnection,
 	): Promise<Either<EndpointFault, ExchangeEnd> | undefined> {
 		const {clock, options} = this._context;
 		const answered = withTimeout(clock, exchange, run.deadlineMs - clock.nowMs());
-		const result = await (run.isOnPrimary ? this._orReplaced(run, answered) : answered);
+		const result = await (run.isOnPrimary ? this._raceReplacement(run, answered) : answered);
 		if (result) {
 			return result;
 		}
@@ -85,23 +85,23 @@
 		return clock.nowMs() < run.deadlineMs ? undefined : withTimeout(clock, exchange, options.cancelGraceMs);
 	}
 
-	/** The result, or undefined as soon as the primary has been replaced. */
-	private async _orReplaced<T>(run: RunningRequest, answered: Promise<T | undefined>): Promise<T | undefined> {
+	/** Returns the result, or undefined as soon as the primary has been replaced. */
+	private async _raceReplacement<T>(run: RunningRequest, answered: Promise<T | undefined>): Promise<T | undefined> {
 		const replaced = new Promise<undefined>(resolve => {
-			this._giveUps.set(run, () => {
+			this._abandonCallbacks.set(run, () => {
 				resolve(undefined);
 			});
 		});
 		const result = await Promise.race([answered, replaced]);
-		this._giveUps.delete(run);
+		this._abandonCallbacks.delete(run);
 		return result;
 	}
 
-	private _answerFor(run: RunningRequest, connection: EndpointConnection): AnswerBuffer {
+	private _createBuffer(run: RunningRequest, connection: EndpointConnection): AnswerBuffer {
 		const {request, sink} = run;
 		return new AnswerBuffer({
 			sink,
-			held: this._held,
+			buffered: this._buffered,
 			options: this._context.options,
 			gate: run.isOnPrimary ? async () => this._gate(run) : undefined,
 			isGatedFromStart: !request.isInTransaction,
