--- a/src/common/membership/fan-out.ts
+++ b/src/common/membership/fan-out.ts
@@ -22,8 +22,8 @@
 /** Hosts of its own zone that a node passes the version on to; at most eight. */
 export function childrenOf(hosts: readonly Host[], self: Host, version: number): readonly Host[] {
 	const order = fanOutOrder(hosts, self.availabilityZone, version);
-	const place = order.findIndex(host => host.name === self.name);
-	return place === -1 ? [] : order.slice((place * fanOutDegree) + 1, ((place + 1) * fanOutDegree) + 1);
+	const index = order.findIndex(host => host.name === self.name);
+	return index === -1 ? [] : order.slice((index * fanOutDegree) + 1, ((index + 1) * fanOutDegree) + 1);
 }
 
 /** The host of each zone that a version is told to first. */
--- a/src/common/membership/home-map.ts
+++ b/src/common/membership/home-map.ts
@@ -21,7 +21,7 @@
 		eligible: readonly Host[],
 		private readonly _regionOf: (availabilityZone: string) => string | undefined,
 		private readonly _maximumMemoised: number,
-		private readonly _confined?: string,
+		private readonly _zoneBoundHost?: string,
 	) {
 		this._candidates = eligible.map(host => ({name: host.name, hash: hashText(host.name), value: host}));
 	}
@@ -47,21 +47,21 @@
 	private _candidatesOf(availabilityZone: string): ReadonlyArray<Candidate<Host>> {
 		let candidates = this._candidatesByZone.get(availabilityZone);
 		if (!candidates) {
-			candidates = this._nearest(availabilityZone);
+			candidates = this._findCandidates(availabilityZone);
 			this._candidatesByZone.set(availabilityZone, candidates);
 		}
 
 		return candidates;
 	}
 
-	private _nearest(availabilityZone: string): ReadonlyArray<Candidate<Host>> {
+	private _findCandidates(availabilityZone: string): ReadonlyArray<Candidate<Host>> {
 		const inZone = this._candidates.filter(({value}) => value.availabilityZone === availabilityZone);
 		if (inZone.length > 0) {
 			return inZone;
 		}
 
 		const region = this._regionOf(availabilityZone);
-		const others = this._candidates.filter(({name}) => name !== this._confined);
+		const others = this._candidates.filter(({name}) => name !== this._zoneBoundHost);
 		const inRegion = others.filter(({value}) => value.region === region);
 		return inRegion.length > 0 ? inRegion : others;
 	}
--- a/src/common/membership/host-directory.ts
+++ b/src/common/membership/host-directory.ts
@@ -71,18 +71,18 @@
 	/** Counts this host as no home, in its own view only, until it knows enough of the others. */
 	beginStartUp(): void {
 		this._isStarting = true;
-		this._changed();
+		this._notifyChanged();
 	}
 
 	/** Counts this host as a home like others. */
 	endStartUp(): void {
 		this._isStarting = false;
-		this._changed();
+		this._notifyChanged();
 	}
 
 	/** Registers this host, reads the list once, and goes on doing so; resolves after the first read. */
 	async start(): Promise<void> {
-		await this._round();
+		await this._runRound();
 		this._scheduleRound();
 	}
 
@@ -112,9 +112,9 @@
 		}
 
 		if (isReachable) {
-			this._reached(known);
+			this._recordReachable(known);
 		} else {
-			this._missed(known);
+			this._recordUnreachable(known);
 		}
 	}
 
@@ -125,8 +125,8 @@
 
 		const nowMs = this._services.clock.nowMs();
 		const isNew = !this._known.has(host.name);
-		if (this._entry(host).learn(host, nowMs) || isNew) {
-			this._changed();
+		if (this._getOrAdd(host).learn(host, nowMs) || isNew) {
+			this._notifyChanged();
 		}
 	}
 
@@ -136,7 +136,7 @@
 		}
 
 		this._self = {...this._self, isLeaving: true};
-		this._changed();
+		this._notifyChanged();
 		void this._register();
 	}
 
@@ -150,19 +150,19 @@
 
 	private _mapHomes(): HomeMap {
 		const ready = this.hosts().filter(host => !host.isLeaving && !this.isSuspected(host.name));
-		const eligible = this._isToHoldBack(ready) ? ready.filter(host => host !== this._self) : ready;
+		const eligible = this._isWithheldAsHome(ready) ? ready.filter(host => host !== this._self) : ready;
 		// Who starts may not know yet who serves another zone.
 		const confined = this._isStarting ? this._self.name : undefined;
 		return new HomeMap(eligible, zone => this._regions.get(zone), this._options.maximumMemoisedHomes, confined);
 	}
 
 	/** Whether this host leaves its zone's endpoints to others as yet: not when it has met those and none is left. */
-	private _isToHoldBack(ready: readonly Host[]): boolean {
+	private _isWithheldAsHome(ready: readonly Host[]): boolean {
 		const isOfZone = (host: Host) => host !== this._self && host.availabilityZone === this._self.availabilityZone;
 		return this._isStarting && (ready.some(host => isOfZone(host)) || !this.hosts().some(host => isOfZone(host)));
 	}
 
-	private async _round(): Promise<void> {
+	private async _runRound(): Promise<void> {
 		const isRegistrationDue = this._registered !== this._self || this._rounds % this._options.readsPerRegistration === 0;
 		this._rounds++;
 		await Promise.all([this._read(), isRegistrationDue ? this._register() : undefined]);
@@ -194,12 +194,12 @@
 	}
 
 	private async _read(): Promise<void> {
-		const listed = await this._within(async () => this._services.hostList.read());
+		const listed = await this._withReadTimeout(async () => this._services.hostList.read());
 		if (this._isDisposed) {
 			return;
 		}
 
-		this._noteAvailability(listed);
+		this._recordAvailability(listed);
 		listed.ifRight(hosts => {
 			this._mergeList(hosts);
 		});
@@ -208,7 +208,7 @@
 	private async _register(): Promise<void> {
 		const host = this._self;
 		this._registeredIntervalMs = this._intervalMs();
-		const registered = await this._within(async () => this._services.hostList.register(host));
+		const registered = await this._withReadTimeout(async () => this._services.hostList.register(host));
 		registered.ifRight(() => {
 			this._registered = host;
 		}).ifLeft(fault => {
@@ -218,7 +218,7 @@
 	}
 
 	/** Bounds a call to the platform, which may hang. */
-	private async _within<T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> {
+	private async _withReadTimeout<T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> {
 		let timer: Disposable | undefined;
 		const timedOut = new Promise<Either<PlatformFault, T>>(resolve => {
 			timer = this._services.clock.setTimer(this._options.readTimeoutMs, () => {
@@ -234,7 +234,7 @@
 		}
 	}
 
-	private _noteAvailability(listed: Either<PlatformFault, readonly Host[]>): void {
+	private _recordAvailability(listed: Either<PlatformFault, readonly Host[]>): void {
 		const isAvailable = listed.isRight();
 		this._services.metrics.count('hostListReadsTotal', {outcome: isAvailable ? 'read' : 'failed'});
 		if (isAvailable !== this._isListAvailable) {
@@ -249,7 +249,7 @@
 		shown.delete(this._self.name);
 		const added = [...shown.values()].filter(host => !this._known.has(host.name));
 		for (const host of added) {
-			this._entry(host);
+			this._getOrAdd(host);
 		}
 
 		let isChanged = added.length > 0;
@@ -262,37 +262,37 @@
 		}
 
 		if (isChanged) {
-			this._changed();
+			this._notifyChanged();
 		}
 	}
 
 	/** The entry of a host, made when there is none. */
-	private _entry(host: Host): KnownHost {
+	private _getOrAdd(host: Host): KnownHost {
 		this._regions.set(host.availabilityZone, host.region);
 		const known = this._known.get(host.name) ?? new KnownHost(host, this._options);
 		this._known.set(host.name, known);
 		return known;
 	}
 
-	private _reached(known: KnownHost): void {
+	private _recordReachable(known: KnownHost): void {
 		known.heard(this._services.clock.nowMs());
 		if (known.clearSuspicion()) {
 			this._services.log.event('hostTrusted', {host: known.host.name});
-			this._changed();
+			this._notifyChanged();
 			this._scheduleRetry();
 		}
 	}
 
-	private _missed(known: KnownHost): void {
+	private _recordUnreachable(known: KnownHost): void {
 		if (known.failed(this._services.clock.nowMs())) {
 			this._services.log.event('hostSuspected', {host: known.host.name});
-			this._changed();
+			this._notifyChanged();
 		}
 
 		this._scheduleRetry();
 	}
 
-	private _changed(): void {
+	private _notifyChanged(): void {
 		this._homes = undefined;
 		this._hosts = undefined;
 		const suspected = [...this._known.values()].filter(known => known.isSuspected);
@@ -312,15 +312,15 @@
 
 		const delayMs = Math.max(0, Math.min(...due) - this._services.clock.nowMs());
 		this._retryTimer = this._services.clock.setTimer(delayMs, () => {
-			this._retry();
+			this._retryDueHosts();
 		});
 	}
 
-	private _retry(): void {
+	private _retryDueHosts(): void {
 		const nowMs = this._services.clock.nowMs();
 		for (const known of [...this._known.values()].filter(known => known.isSuspected && known.retryAtMs <= nowMs)) {
 			if (known.isSuspicionExpired(nowMs)) {
-				this._reached(known);
+				this._recordReachable(known);
 				continue;
 			}
 
--- a/src/common/membership/known-host.ts
+++ b/src/common/membership/known-host.ts
@@ -8,16 +8,16 @@
 export class KnownHost {
 	private _host: Host;
 	/** When the host itself was last heard; undefined when only the list showed it. */
-	private _heardAtMs: number | undefined;
+	private _lastContactAtMs: number | undefined;
 	/** The incarnation before this one, which a lagging list may go on showing. */
-	private _former: {readonly incarnation: string; readonly replacedAtMs: number} | undefined;
+	private _previous: {readonly incarnation: string; readonly replacedAtMs: number} | undefined;
 	/** Reads of the list in a row that did not show the host; undefined when none ever did. */
 	private _missedReads: number | undefined;
 	private _failures = 0;
 	private _suspectedAtMs: number | undefined;
 	private _retryAtMs = 0;
 	private _retryMs = 0;
-	private _isRetryAsked = false;
+	private _isRetryPending = false;
 
 	constructor(host: Host, private readonly _options: MembershipOptions) {
 		this._host = host;
@@ -39,14 +39,14 @@
 	}
 
 	/** Takes in what a peer said about itself; true when it changes anything. */
-	learn(said: Host, nowMs: number): boolean {
-		this._heardAtMs = nowMs;
-		return this._merge(said, nowMs);
+	learn(reported: Host, nowMs: number): boolean {
+		this._lastContactAtMs = nowMs;
+		return this._merge(reported, nowMs);
 	}
 
 	/** Notes that the host was heard. */
 	heard(nowMs: number): void {
-		this._heardAtMs = nowMs;
+		this._lastContactAtMs = nowMs;
 	}
 
 	/** Takes in what a read of the list showed; true when it changes anything. */
@@ -66,7 +66,7 @@
 	/** Whether there is still a reason to believe in the host: the list, or that it spoke not long ago. */
 	isRetained(nowMs: number): boolean {
 		const isListed = this._missedReads !== undefined && this._missedReads < this._options.missedReadsToDrop;
-		return isListed || this._isWithinLag(this._heardAtMs, nowMs);
+		return isListed || this._isWithinLag(this._lastContactAtMs, nowMs);
 	}
 
 	/** Notes that the host did not answer; true when it becomes suspected by that. */
@@ -81,9 +81,9 @@
 		if (!wasSuspected) {
 			this._retryMs = this._options.firstRetryMs;
 			this._retryAtMs = nowMs + this._retryMs;
-		} else if (this._isRetryAsked) {
+		} else if (this._isRetryPending) {
 			// One failed retry counts once, however many report it.
-			this._isRetryAsked = false;
+			this._isRetryPending = false;
 			this._retryMs = Math.min(this._retryMs * 2, this._options.maximumRetryMs);
 			this._retryAtMs = nowMs + this._retryMs;
 		}
@@ -93,7 +93,7 @@
 
 	/** Notes that the host is being asked again; without a report it is asked anew after a while. */
 	recordRetry(nowMs: number): void {
-		this._isRetryAsked = true;
+		this._isRetryPending = true;
 		this._retryAtMs = nowMs + this._retryMs;
 	}
 
@@ -110,15 +110,15 @@
 		return this._suspectedAtMs !== undefined && nowMs - this._suspectedAtMs >= this._options.maximumSuspicionMs;
 	}
 
-	private _merge(said: Host, nowMs: number): boolean {
-		const isAnew = said.incarnation !== this._host.incarnation;
-		if (isAnew) {
-			this._former = {incarnation: this._host.incarnation, replacedAtMs: nowMs};
+	private _merge(reported: Host, nowMs: number): boolean {
+		const isNewIncarnation = reported.incarnation !== this._host.incarnation;
+		if (isNewIncarnation) {
+			this._previous = {incarnation: this._host.incarnation, replacedAtMs: nowMs};
 			this.clearSuspicion();
 		}
 
 		// Who leaves does not come back but by a new start.
-		const merged = {...said, isLeaving: said.isLeaving || (!isAnew && this._host.isLeaving)};
+		const merged = {...reported, isLeaving: reported.isLeaving || (!isNewIncarnation && this._host.isLeaving)};
 		const isChanged = !isSameHost(merged, this._host);
 		this._host = merged;
 		return isChanged;
@@ -130,8 +130,8 @@
 			return false;
 		}
 
-		const isFormer = shown.incarnation === this._former?.incarnation;
-		return this._isWithinLag(this._heardAtMs, nowMs) || (isFormer && this._isWithinLag(this._former?.replacedAtMs, nowMs));
+		const isPrevious = shown.incarnation === this._previous?.incarnation;
+		return this._isWithinLag(this._lastContactAtMs, nowMs) || (isPrevious && this._isWithinLag(this._previous?.replacedAtMs, nowMs));
 	}
 
 	private _isWithinLag(atMs: number | undefined, nowMs: number): boolean {
--- a/src/common/membership/rendezvous.ts
+++ b/src/common/membership/rendezvous.ts
@@ -43,10 +43,10 @@
 	const best: Array<{readonly candidate: Candidate<T>; readonly weight: number}> = [];
 	for (const candidate of candidates) {
 		const entry = {candidate, weight: weight(endpointHash, candidate.hash)};
-		const place = best.findIndex(other => entry.weight > other.weight
+		const index = best.findIndex(other => entry.weight > other.weight
 			|| (entry.weight === other.weight && candidate.name < other.candidate.name));
-		if (place !== -1) {
-			best.splice(place, 0, entry);
+		if (index !== -1) {
+			best.splice(index, 0, entry);
 			best.length = Math.min(best.length, count);
 		} else if (best.length < count) {
 			best.push(entry);
--- a/src/common/peering/delegating-row-store.test.ts
+++ b/src/common/peering/delegating-row-store.test.ts
@@ -5,7 +5,7 @@
 import {storeVersion} from '../store/store-version.js';
 import {Fleet} from './fleet.js';
 import {notFollowedReason, DelegatingRowStore} from './delegating-row-store.js';
-import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
+import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
 /** A node that is not the asker of its zone, which has the most cores. */
 function shared(calls: PeerCalls, others = 29): {rows: DelegatingRowStore; peering: ReturnType<typeof fakePeering>} {
@@ -19,7 +19,7 @@
 }
 
 const answering: PeerCalls = {
-	...unreachable,
+	...unreachableCalls,
 	rows: async (peer, table, afterVersion) => Right({
 		rows: [{
 			table, key: 'a', value: `from ${peer.name}`, version: 7,
@@ -44,7 +44,7 @@
 	});
 
 	it('asks the store where the node does not answer, and passes that node over', async () => {
-		const {rows, peering} = shared(unreachable);
+		const {rows, peering} = shared(unreachableCalls);
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(false);
@@ -58,7 +58,7 @@
 	});
 
 	it('asks the store where the node lost it, and goes on asking that node for the rest', async () => {
-		const {rows, peering} = shared({...unreachable, rows: async () => Left(notFollowedReason)});
+		const {rows, peering} = shared({...unreachableCalls, rows: async () => Left(notFollowedReason)});
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(true);
--- a/src/common/peering/delegating-row-store.ts
+++ b/src/common/peering/delegating-row-store.ts
@@ -114,14 +114,14 @@
 		}
 
 		// Where the store turns the zone's asker away, one other node asks in its place, not all of them.
-		for (const asker of fleet.rowAskers(options.rowAskers)) {
-			if (asker.name === self.name) {
+		for (const coordinator of fleet.rowAskers(options.rowAskers)) {
+			if (coordinator.name === self.name) {
 				return undefined;
 			}
 
-			const key = keyOf(table, asker);
+			const key = keyOf(table, coordinator);
 			if (this._isStoreInBackoff(table) || clock.nowMs() >= (this._peerBackoffUntilMs.get(key) ?? 0)) {
-				const rows = await this._askPeer(asker, key, {table, afterVersion, waitMs});
+				const rows = await this._askPeer(coordinator, key, {table, afterVersion, waitMs});
 				if (rows) {
 					return rows;
 				}
@@ -131,12 +131,12 @@
 		return undefined;
 	}
 
-	private async _askPeer(asker: PeerNode, key: string, {table, afterVersion, waitMs}: RowQuery): Promise<StoredRows | undefined> {
+	private async _askPeer(coordinator: PeerNode, key: string, {table, afterVersion, waitMs}: RowQuery): Promise<StoredRows | undefined> {
 		const {calls, clock, directory, options, restores} = this._services;
-		const answer = await calls.rows(asker, table, afterVersion, waitMs);
+		const answer = await calls.rows(coordinator, table, afterVersion, waitMs);
 		return answer
 			.ifLeft(reason => {
-				directory.reportReachability(asker.name, reason === notFollowedReason);
+				directory.reportReachability(coordinator.name, reason === notFollowedReason);
 				this._peerBackoffUntilMs.set(key, clock.nowMs() + options.notFollowingMs);
 			})
 			.ifRight(({version}) => {
--- a/src/common/peering/endpoint-pool-selector.ts
+++ b/src/common/peering/endpoint-pool-selector.ts
@@ -41,16 +41,16 @@
 			return pools.pool(endpoint);
 		}
 
-		const ways = homes.map(home => this._remotePool(endpoint, home));
-		const usable = ways.filter(({isAvoided}) => !isAvoided);
+		const candidates = homes.map(home => this._remotePool(endpoint, home));
+		const usable = candidates.filter(({isAvoided}) => !isAvoided);
 		if (organisation !== undefined && usable.length > 0) {
-			return highestWeight(usable.map(way => ({name: way.via, hash: hashText(way.via), value: way})), `${organisation} ${endpoint.id}`)!;
+			return highestWeight(usable.map(pool => ({name: pool.via, hash: hashText(pool.via), value: pool})), `${organisation} ${endpoint.id}`)!;
 		}
 
-		const [first, ...others] = usable.length > 0 ? usable : ways;
+		const [first, ...others] = usable.length > 0 ? usable : candidates;
 		let best = first;
-		for (const way of others) {
-			best = way.load < best.load ? way : best;
+		for (const pool of others) {
+			best = pool.load < best.load ? pool : best;
 		}
 
 		return best;
--- a/src/common/peering/fleet.ts
+++ b/src/common/peering/fleet.ts
@@ -20,9 +20,9 @@
 const usageTask = 'usage';
 
 /** Time for which a choice is kept: nodes that did not answer come back by time alone. */
-const choiceKeptMs = 250;
+const choiceTtlMs = 250;
 
-type Choice = {
+type CachedChoice = {
 	readonly nodes: readonly PeerNode[];
 	readonly revision: number;
 	readonly madeAtMs: number;
@@ -32,8 +32,8 @@
 export class Fleet {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
-	private readonly _homes = new Map<string, Choice>();
-	private readonly _coordinators = new Map<string, Choice>();
+	private readonly _homes = new Map<string, CachedChoice>();
+	private readonly _coordinators = new Map<string, CachedChoice>();
 	private _ranking: {readonly nodes: NodeRanking; readonly membershipRevision: number} | undefined;
 
 	constructor(services: PeeringServices, directory: PeerDirectory) {
@@ -79,17 +79,17 @@
 	/** The node that asks endpoints for this one: large zones share within, so that no node answers for too many. */
 	coordinator(): PeerNode {
 		const {self, options} = this._services;
-		const [asker] = this._kept(this._coordinators, '', () => {
+		const [coordinator] = this._cached(this._coordinators, '', () => {
 			const all = this._reachableNodes();
 			const near = all.filter(({availabilityZone}) => availabilityZone === self.availabilityZone);
 			const isShared = near.length >= options.zoneSharingFrom;
 			if (this.isLarge) {
-				return this._firstReachable(isShared ? this._zoneOrder(self.availabilityZone) : this._ranked.everywhere(coordinatorTask));
+				return this._firstReachable(isShared ? this._zoneOrder(self.availabilityZone) : this._currentRanking.everywhere(coordinatorTask));
 			}
 
 			return highestWeights((isShared ? near : all).map(node => ({name: node.name, hash: hashText(node.name), value: node})), coordinatorTask, 1);
 		});
-		return asker ?? self;
+		return coordinator ?? self;
 	}
 
 	/** So many nodes that follow tables for this one, the first choice first: the asker, then who would be asker after it. */
@@ -97,7 +97,7 @@
 		const {self, options} = this._services;
 		const order = this._zoneOrder(self.availabilityZone);
 		const isShared = order.length >= options.zoneSharingFrom;
-		return (isShared ? order : this._ranked.everywhere(coordinatorTask)).filter(node => this._isReachable(node)).slice(0, count);
+		return (isShared ? order : this._currentRanking.everywhere(coordinatorTask)).filter(node => this._isReachable(node)).slice(0, count);
 	}
 
 	/** Nodes other than this one whose opinion on a primary counts: all, or the askers of all zones. */
@@ -116,13 +116,13 @@
 			return [];
 		}
 
-		return this._kept(this._homes, id, () => {
+		return this._cached(this._homes, id, () => {
 			const {options} = this._services;
-			const homes = this._ranked.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isReachable(node));
+			const homes = this._currentRanking.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isReachable(node));
 			// A zone in which none of these answers is cut off: its other nodes would be tried in vain, one after the other.
 			const chosen = homes.length > 0
 				? homes
-				: this._ranked.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isReachable(node));
+				: this._currentRanking.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isReachable(node));
 			return chosen.slice(0, options.homesPerEndpoint);
 		});
 	}
@@ -135,13 +135,13 @@
 	/** One node of each other zone that keeps an organisation's budget there and answers. */
 	usageHoldersInOtherZones(organisation: string): readonly PeerNode[] {
 		const {self} = this._services;
-		return this._ranked.zones
+		return this._currentRanking.zones
 			.filter(zone => zone !== self.availabilityZone)
 			.flatMap(zone => this._firstReachable(this._zoneOrder(zone, `${usageTask} ${organisation}`)));
 	}
 
 	/** Who is there, in order for any work; kept until a node comes or goes. */
-	private get _ranked(): NodeRanking {
+	private get _currentRanking(): NodeRanking {
 		const {self, options} = this._services;
 		const {membershipRevision} = this._directory;
 		if (this._ranking?.membershipRevision !== membershipRevision) {
@@ -152,11 +152,11 @@
 	}
 
 	private _zoneCoordinators(): readonly PeerNode[] {
-		return this._ranked.zones.flatMap(zone => this._firstReachable(this._zoneOrder(zone)));
+		return this._currentRanking.zones.flatMap(zone => this._firstReachable(this._zoneOrder(zone)));
 	}
 
 	private _zoneOrder(zone: string, work = coordinatorTask): readonly PeerNode[] {
-		return this._ranked.inZone(zone, work, Number.POSITIVE_INFINITY);
+		return this._currentRanking.inZone(zone, work, Number.POSITIVE_INFINITY);
 	}
 
 	private _firstReachable(nodes: readonly PeerNode[]): readonly PeerNode[] {
@@ -172,11 +172,11 @@
 		return [this._services.self, ...this._directory.reachablePeers()];
 	}
 
-	private _kept(choices: Map<string, Choice>, key: string, choose: () => readonly PeerNode[]): readonly PeerNode[] {
+	private _cached(choices: Map<string, CachedChoice>, key: string, choose: () => readonly PeerNode[]): readonly PeerNode[] {
 		const nowMs = this._services.clock.nowMs();
 		const {revision} = this._directory;
 		const known = choices.get(key);
-		if (known?.revision === revision && nowMs - known.madeAtMs < choiceKeptMs) {
+		if (known?.revision === revision && nowMs - known.madeAtMs < choiceTtlMs) {
 			return known.nodes;
 		}
 
--- a/src/common/peering/forwarded-statements.ts
+++ b/src/common/peering/forwarded-statements.ts
@@ -39,7 +39,7 @@
 	private readonly _services: ForwardingServices;
 	private readonly _entries = new Map<number, HeldEntry>();
 	private _lastId = 0;
-	private _running = 0;
+	private _inFlight = 0;
 
 	constructor(services: ForwardingServices) {
 		this._services = services;
@@ -47,7 +47,7 @@
 
 	/** Whether nothing of other nodes is in progress here. */
 	get isIdle(): boolean {
-		return this._running === 0 && this._entries.size === 0;
+		return this._inFlight === 0 && this._entries.size === 0;
 	}
 
 	/** Asks an endpoint for its state. */
@@ -59,7 +59,7 @@
 	async run(endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const endpoint = this._services.registry.endpoint(endpointId);
 		const result = endpoint
-			? await this._counted(async () => this._services.pools.pool(endpoint).run(statement))
+			? await this._countInFlight(async () => this._services.pools.pool(endpoint).run(statement))
 			: Left(notRun('the endpoint is not registered here'));
 		return result.ifLeft(fault => {
 			this._logFault(endpointId, statement, fault);
@@ -72,11 +72,11 @@
 			return Left(notRun('the endpoint is not registered here'));
 		}
 
-		const begun = await this._counted(async () => this._services.pools.pool(endpoint).begin(statement, isReadOnly));
+		const begun = await this._countInFlight(async () => this._services.pools.pool(endpoint).begin(statement, isReadOnly));
 		begun.ifLeft(fault => {
 			this._logFault(endpointId, statement, fault);
 		});
-		return begun.map(result => 'held' in result ? {heldId: this._keep(endpointId, result.held)} : {answer: result.answer});
+		return begun.map(result => 'held' in result ? {heldId: this._addHeld(endpointId, result.held)} : {answer: result.answer});
 	}
 
 	async runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
@@ -89,7 +89,7 @@
 		entry.isRunning = true;
 		const result = await entry.held.run(statement);
 		entry.isRunning = false;
-		entry.timer = this._expireLater(heldId);
+		entry.timer = this._startIdleTimer(heldId);
 		return result.ifLeft(fault => {
 			this._logFault(entry.endpointId, statement, fault);
 		});
@@ -125,12 +125,12 @@
 		this._entries.clear();
 	}
 
-	private async _counted<T>(work: () => Promise<T>): Promise<T> {
-		this._running += 1;
+	private async _countInFlight<T>(work: () => Promise<T>): Promise<T> {
+		this._inFlight += 1;
 		try {
 			return await work();
 		} finally {
-			this._running -= 1;
+			this._inFlight -= 1;
 		}
 	}
 
@@ -142,15 +142,15 @@
 		});
 	}
 
-	private _keep(endpointId: string, held: HeldTransaction): number {
+	private _addHeld(endpointId: string, held: HeldTransaction): number {
 		this._lastId += 1;
 		this._entries.set(this._lastId, {
-			held, endpointId, timer: this._expireLater(this._lastId), isRunning: false,
+			held, endpointId, timer: this._startIdleTimer(this._lastId), isRunning: false,
 		});
 		return this._lastId;
 	}
 
-	private _expireLater(heldId: number): Disposable {
+	private _startIdleTimer(heldId: number): Disposable {
 		const {clock, log, heldForMs} = this._services;
 		return clock.setTimer(heldForMs(), () => {
 			log.event('transactionAbandoned', {heldId, reason: 'its node sent nothing more'});
--- a/src/common/peering/node-ranking.ts
+++ b/src/common/peering/node-ranking.ts
@@ -31,21 +31,21 @@
 
 	/** So many of a zone's nodes, those first that take the work on first. */
 	inZone(availabilityZone: string, work: string, count: number): readonly PeerNode[] {
-		return this._kept(`in ${availabilityZone} ${work} ${count}`, () => this._ranked(this._byZone.get(availabilityZone) ?? [], work, count));
+		return this._cached(`in ${availabilityZone} ${work} ${count}`, () => this._rank(this._byZone.get(availabilityZone) ?? [], work, count));
 	}
 
 	/** All nodes in their order. */
 	everywhere(work: string): readonly PeerNode[] {
-		return this._kept(`everywhere ${work}`, () => this._ranked(this._all, work, this._all.length));
+		return this._cached(`everywhere ${work}`, () => this._rank(this._all, work, this._all.length));
 	}
 
-	private _ranked(candidates: ReadonlyArray<Candidate<PeerNode>>, work: string, count: number): readonly PeerNode[] {
+	private _rank(candidates: ReadonlyArray<Candidate<PeerNode>>, work: string, count: number): readonly PeerNode[] {
 		const mostCores = Math.max(...candidates.map(({value}) => value.cores));
 		const bySize = groupBy(candidates, ({value}) => value.cores >= mostCores * this._largeHostShare);
 		return [true, false].flatMap(isLarge => highestWeights(bySize.get(isLarge) ?? [], work, count)).slice(0, count);
 	}
 
-	private _kept(key: string, rank: () => readonly PeerNode[]): readonly PeerNode[] {
+	private _cached(key: string, rank: () => readonly PeerNode[]): readonly PeerNode[] {
 		const known = this._orders.get(key);
 		if (known) {
 			return known;
--- a/src/common/peering/overview-poller.ts
+++ b/src/common/peering/overview-poller.ts
@@ -55,12 +55,12 @@
 
 	/** Asks the asking node now, unless that is this node; all who wait share the question. */
 	async refresh(): Promise<void> {
-		const asker = this._fleet.coordinator();
-		if (asker.name === this._services.self.name) {
+		const coordinator = this._fleet.coordinator();
+		if (coordinator.name === this._services.self.name) {
 			return;
 		}
 
-		this._pendingPoll ??= this._poll(asker).finally(() => {
+		this._pendingPoll ??= this._poll(coordinator).finally(() => {
 			this._pendingPoll = undefined;
 		});
 		await this._pendingPoll;
@@ -90,16 +90,16 @@
 		}
 	}
 
-	private async _poll(asker: PeerNode): Promise<void> {
+	private async _poll(coordinator: PeerNode): Promise<void> {
 		const {clock, calls, options} = this._services;
 		const sentAtMs = clock.nowMs();
-		const answer = await calls.overview(asker, '', options.overviewTimeoutMs);
-		this._directory.reportReachability(asker.name, answer.isRight());
+		const answer = await calls.overview(coordinator, '', options.overviewTimeoutMs);
+		this._directory.reportReachability(coordinator.name, answer.isRight());
 		this._updateRole();
 		answer.ifRight(overviews => {
 			this._lastContactAtMs = Math.max(this._lastContactAtMs, sentAtMs);
 			for (const overview of overviews) {
-				this._primacies.existing(overview.service)?.noteOverview(overview, sentAtMs, asker.name);
+				this._primacies.existing(overview.service)?.noteOverview(overview, sentAtMs, coordinator.name);
 			}
 		});
 	}
--- a/src/common/peering/peer-directory.test.ts
+++ b/src/common/peering/peer-directory.test.ts
@@ -3,7 +3,7 @@
 import {Right} from 'purify-ts';
 import type {PeerCalls, PeerNode, PeerNotice} from '../services/services.js';
 import {nodeTable, peeringDefaults} from './constants.js';
-import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
+import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
 type Told = {readonly peer: string; readonly notice: PeerNotice['kind']};
 
@@ -11,7 +11,7 @@
 function reaching(): ReturnType<typeof fakePeering> & {readonly told: Told[]; register: (node: PeerNode) => void} {
 	const told: Told[] = [];
 	const calls: PeerCalls = {
-		...unreachable,
+		...unreachableCalls,
 		async tell(peer, {kind}) {
 			told.push({peer: peer.name, notice: kind});
 			return Right(peer);
--- a/src/common/peering/primacy-peers.test.ts
+++ b/src/common/peering/primacy-peers.test.ts
@@ -5,12 +5,12 @@
 import {storeVersion} from '../store/store-version.js';
 import {Fleet} from './fleet.js';
 import {FleetPrimacyPeers} from './primacy-peers.js';
-import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
+import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
 describe('DirectoryPeers', () => {
 	it('counts no fence as told everywhere while a restored store may lack registrations', async () => {
 		const told = peerNode('n1', 'a');
-		const peering = fakePeering({...unreachable, tell: async () => Right(told)});
+		const peering = fakePeering({...unreachableCalls, tell: async () => Right(told)});
 		peering.directory.learn(told);
 		const peers = new FleetPrimacyPeers(peering, peering.directory, new Fleet(peering, peering.directory));
 		const fence = async (): Promise<string> => peering.clock.advanceUntil(peers.fence('svc', 1, {holder: 'n0', epoch: 1}));
--- a/src/common/peering/primacy-peers.ts
+++ b/src/common/peering/primacy-peers.ts
@@ -42,8 +42,8 @@
 		const nodes = this._fleet.promotionCandidates().toSorted((a, b) =>
 			Number(a.availabilityZone === avoidedZone) - Number(b.availabilityZone === avoidedZone)
 			|| promotionWeight(b, service) - promotionWeight(a, service));
-		const place = nodes.findIndex(({name}) => name === self.name);
-		return place === -1 ? nodes.length : place;
+		const index = nodes.findIndex(({name}) => name === self.name);
+		return index === -1 ? nodes.length : index;
 	}
 
 	async opinions(service: string, primary: Primary): Promise<Opinions> {
--- a/src/common/peering/remote-pool.test.ts
+++ b/src/common/peering/remote-pool.test.ts
@@ -7,7 +7,7 @@
 import type {StatementFault} from '../pools/types.js';
 import type {PeerCalls} from '../services/services.js';
 import {RemotePool} from './remote-pool.js';
-import {fakePeering, peerNode, unreachable} from './testing/peering-fakes.js';
+import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
 const statement = {
 	id: 'q', text: 'READ x', session: {values: new Map(), prepared: new Map()}, caller: 'c', organisation: undefined, priority: 1, access: 'read', deadlineMs: 1000,
@@ -33,7 +33,7 @@
 }
 
 function failing(fault: Partial<StatementFault>): PeerCalls {
-	return {...unreachable, run: async () => Left({isSent: false, refusal: new Refusal('endpointUnavailable'), ...fault})};
+	return {...unreachableCalls, run: async () => Left({isSent: false, refusal: new Refusal('endpointUnavailable'), ...fault})};
 }
 
 describe('RemotePool', () => {
@@ -46,7 +46,7 @@
 	});
 
 	it('tells that its peer is lost', async () => {
-		const {pool, lost} = poolOver(unreachable);
+		const {pool, lost} = poolOver(unreachableCalls);
 		await pool.run(statement);
 		expect([pool.isAvoided, lost()]).toEqual([true, 1]);
 	});
@@ -58,7 +58,7 @@
 	});
 
 	it('expects more time the more of this node is on its way', async () => {
-		const calls: PeerCalls = {...unreachable, begin: async () => Right({heldId: 1}), run: async () => new Promise(() => undefined)}; // eslint-disable-line no-promise-executor-return -- never answered
+		const calls: PeerCalls = {...unreachableCalls, begin: async () => Right({heldId: 1}), run: async () => new Promise(() => undefined)}; // eslint-disable-line no-promise-executor-return -- never answered
 		const {pool} = poolOver(calls);
 		const before = pool.estimateMs();
 		void pool.run(statement);
--- a/src/common/peering/remote-pool.ts
+++ b/src/common/peering/remote-pool.ts
@@ -60,12 +60,12 @@
 
 	async run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {calls, peer} = this._services;
-		return this._counted(async () => calls.run(peer, this.endpoint.id, statement));
+		return this._track(async () => calls.run(peer, this.endpoint.id, statement));
 	}
 
 	async begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>> {
 		const {calls, peer} = this._services;
-		const begun = await this._counted(async () => calls.begin(peer, this.endpoint.id, statement, isReadOnly));
+		const begun = await this._track(async () => calls.begin(peer, this.endpoint.id, statement, isReadOnly));
 		return begun.map(result => 'heldId' in result ? {held: this._heldTransaction(result.heldId)} : result);
 	}
 
@@ -84,7 +84,7 @@
 		};
 
 		return {
-			run: async statement => this._counted(async () => calls.runHeld(peer, heldId, statement)),
+			run: async statement => this._track(async () => calls.runHeld(peer, heldId, statement)),
 			release() {
 				void end('release');
 			},
@@ -95,7 +95,7 @@
 		};
 	}
 
-	private async _counted<T>(work: () => Promise<Either<StatementFault, T>>): Promise<Either<StatementFault, T>> {
+	private async _track<T>(work: () => Promise<Either<StatementFault, T>>): Promise<Either<StatementFault, T>> {
 		const {clock} = this._services;
 		const startedAtMs = clock.nowMs();
 		this._load += 1;
@@ -103,7 +103,7 @@
 			const result = await work();
 			this.answerTimes.note(clock.nowMs() - startedAtMs);
 			result.ifLeft(fault => {
-				this._noteFault(fault);
+				this._recordFault(fault);
 			});
 			return result;
 		} finally {
@@ -111,7 +111,7 @@
 		}
 	}
 
-	private _noteFault({cause, isPeerLost = false}: StatementFault): void {
+	private _recordFault({cause, isPeerLost = false}: StatementFault): void {
 		const {clock, avoidMs, onPeerLost} = this._services;
 		if (isPeerLost) {
 			onPeerLost();
--- a/src/common/peering/testing/peering-fakes.ts
+++ b/src/common/peering/testing/peering-fakes.ts
@@ -15,17 +15,17 @@
 import {PeerDirectory} from '../peer-directory.js';
 import type {PeeringServices} from '../types.js';
 
-const lost: StatementFault = {isSent: false, refusal: new Refusal('peerUnavailable', 'cut'), isPeerLost: true};
+const peerLostFault: StatementFault = {isSent: false, refusal: new Refusal('peerUnavailable', 'cut'), isPeerLost: true};
 
 /** Calls that reach nobody. */
-export const unreachable: PeerCalls = {
+export const unreachableCalls: PeerCalls = {
 	tell: async () => Left('cut'),
 	overview: async () => Left('cut'),
 	rows: async () => Left('cut'),
-	status: async () => Left(lost),
-	run: async () => Left(lost),
-	begin: async () => Left(lost),
-	runHeld: async () => Left(lost),
+	status: async () => Left(peerLostFault),
+	run: async () => Left(peerLostFault),
+	begin: async () => Left(peerLostFault),
+	runHeld: async () => Left(peerLostFault),
 	end: async () => undefined,
 	takeUsage: async () => Left('cut'),
 	dispose() {
@@ -41,7 +41,7 @@
 }
 
 /** What the parts of peering work with, for a node `n0` of zone a. */
-export function fakePeering(calls: PeerCalls = unreachable): PeeringServices & {readonly clock: VirtualClock; readonly store: MemoryRowStore; readonly directory: PeerDirectory} {
+export function fakePeering(calls: PeerCalls = unreachableCalls): PeeringServices & {readonly clock: VirtualClock; readonly store: MemoryRowStore; readonly directory: PeerDirectory} {
 	const clock = new VirtualClock();
 	const store = new MemoryRowStore(clock);
 	const log = new RecordingLog();
--- a/src/node/direct-peers/peer-client.ts
+++ b/src/node/direct-peers/peer-client.ts
@@ -65,7 +65,7 @@
 
 	async run(peer: PeerNode, endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const work = {$case: 'run', value: toForwarded(statement, this._clock)} as const;
-		return this._timed(this._forward(peer, {endpointId, work}, statement));
+		return this._withSentTime(this._forward(peer, {endpointId, work}, statement));
 	}
 
 	async begin(peer: PeerNode, endpointId: string, statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, ForwardedBegin>> {
@@ -82,7 +82,7 @@
 
 	async runHeld(peer: PeerNode, heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const work = {$case: 'runHeld', value: {heldId, statement: toForwarded(statement, this._clock)}} as const;
-		return this._timed(this._forward(peer, {endpointId: '', work}, statement));
+		return this._withSentTime(this._forward(peer, {endpointId: '', work}, statement));
 	}
 
 	async end(peer: PeerNode, heldId: number, manner: EndManner): Promise<void> {
@@ -120,7 +120,7 @@
 	}
 
 	/** Counted from the call, an answer is never taken for newer than it is. */
-	private async _timed(forwarding: Promise<Either<StatementFault, ForwardedAnswer>>): Promise<Either<StatementFault, TimedAnswer>> {
+	private async _withSentTime(forwarding: Promise<Either<StatementFault, ForwardedAnswer>>): Promise<Either<StatementFault, TimedAnswer>> {
 		const sentAtMs = this._clock.nowMs();
 		const answer = await forwarding;
 		return answer.chain(({outcome}) => outcome?.$case === 'reply'
@@ -146,14 +146,14 @@
 		}
 
 		known?.closeWhenIdle();
-		this._closeIdle();
+		this._closeIdleLinks();
 		const link = new PeerLink(peer, this._clock, this._onNotice);
 		this._links.set(peer.name, link);
 		return link;
 	}
 
 	/** Links to nodes that are no home or asker any more; looked for as often as others take their place. */
-	private _closeIdle(): void {
+	private _closeIdleLinks(): void {
 		for (const [name, link] of this._links) {
 			if (link.idleForMs >= directPeerDefaults.idleLinkMs) {
 				this._links.delete(name);
--- a/src/node/direct-peers/peer-link.ts
+++ b/src/node/direct-peers/peer-link.ts
@@ -32,7 +32,7 @@
 };
 
 /** Name of no service. */
-const probedService = '-';
+const probeService = '-';
 
 /** Sends calls to one start of one peer. */
 export class PeerLink implements Disposable {
@@ -43,9 +43,9 @@
 	private readonly _pending = new Map<number, PendingCall>();
 	private _stream: ClientDuplexStream<LinkCall, LinkAnswer> | undefined;
 	private _lastId = 0;
-	private _heardAtMs = Number.NEGATIVE_INFINITY;
+	private _lastAnswerAtMs = Number.NEGATIVE_INFINITY;
 	/** Looks whether the peer still answers, while calls are on their way. */
-	private _watch: Disposable | undefined;
+	private _livenessTimer: Disposable | undefined;
 	private _usedAtMs: number;
 	private _isLost = false;
 	private _isRetired = false;
@@ -92,12 +92,12 @@
 	/** Takes no further calls; ends once those on their way have ended. */
 	closeWhenIdle(): void {
 		this._isRetired = true;
-		this._endIfDone();
+		this._closeIfIdle();
 	}
 
 	dispose(): void {
-		this._watch?.dispose();
-		this._fail('the link was closed');
+		this._livenessTimer?.dispose();
+		this._failPending('the link was closed');
 		// A client that closes leaves open streams, and their socket, as they are.
 		this._stream?.cancel();
 		this._client.close();
@@ -114,39 +114,39 @@
 				this._settle(id, Left(`no answer within ${Math.round(timeoutMs)} ms`));
 			});
 			this._pending.set(id, {timer, settle: resolve});
-			this._watch ??= this._watchLater();
+			this._livenessTimer ??= this._scheduleLivenessCheck();
 			stream.write({id, call});
 		});
 	}
 
 	/** A connection that fell silent shows only by this: calls may take long, a probe does not. */
-	private _watchLater(): Disposable {
+	private _scheduleLivenessCheck(): Disposable {
 		const startedAtMs = this._clock.nowMs();
 		return this._clock.setTimer(directPeerDefaults.probeAfterMs, () => {
-			this._watch = undefined;
+			this._livenessTimer = undefined;
 			if (this._pending.size === 0) {
 				return;
 			}
 
-			if (this._heardAtMs >= startedAtMs) {
-				this._watch = this._watchLater();
+			if (this._lastAnswerAtMs >= startedAtMs) {
+				this._livenessTimer = this._scheduleLivenessCheck();
 				return;
 			}
 
 			// Of no group: the answer is empty.
-			this._stream?.write({id: unsolicitedId, call: {$case: 'overview', value: {service: probedService}}});
-			this._watch = this._clock.setTimer(directPeerDefaults.probeTimeoutMs, () => {
-				this._watch = undefined;
+			this._stream?.write({id: unsolicitedId, call: {$case: 'overview', value: {service: probeService}}});
+			this._livenessTimer = this._clock.setTimer(directPeerDefaults.probeTimeoutMs, () => {
+				this._livenessTimer = undefined;
 				this._onProbed(startedAtMs);
 			});
 		});
 	}
 
 	private _onProbed(startedAtMs: number): void {
-		if (this._heardAtMs < startedAtMs) {
-			this._lose('the peer fell silent');
+		if (this._lastAnswerAtMs < startedAtMs) {
+			this._markLost('the peer fell silent');
 		} else if (this._pending.size > 0) {
-			this._watch = this._watchLater();
+			this._livenessTimer = this._scheduleLivenessCheck();
 		}
 	}
 
@@ -154,9 +154,9 @@
 		const {path, requestSerialize, responseDeserialize} = directService.link;
 		const stream = this._client.makeBidiStreamRequest(path, requestSerialize, responseDeserialize);
 		stream.on('data', ({id, answer}: LinkAnswer) => {
-			this._heardAtMs = this._clock.nowMs();
+			this._lastAnswerAtMs = this._clock.nowMs();
 			if (answer?.$case === 'notice') {
-				this._takeNotice(answer.value);
+				this._handleNotice(answer.value);
 				return;
 			}
 
@@ -171,7 +171,7 @@
 		return stream;
 	}
 
-	private _takeNotice(sent: Notice): void {
+	private _handleNotice(sent: Notice): void {
 		const notice = fromNotice(sent);
 		if (notice) {
 			this._onNotice(notice);
@@ -180,15 +180,15 @@
 
 	private _onEnd(stream: ClientDuplexStream<LinkCall, LinkAnswer>, reason: string): void {
 		if (this._stream === stream) {
-			this._lose(reason);
+			this._markLost(reason);
 		}
 	}
 
-	private _lose(reason: string): void {
+	private _markLost(reason: string): void {
 		this._isLost = true;
 		this._stream?.cancel();
 		this._stream = undefined;
-		this._fail(reason);
+		this._failPending(reason);
 	}
 
 	private _settle(id: number, answer: Either<string, LinkAnswer['answer']>): void {
@@ -200,16 +200,16 @@
 		this._pending.delete(id);
 		pending.timer.dispose();
 		pending.settle(answer);
-		this._endIfDone();
+		this._closeIfIdle();
 	}
 
-	private _fail(reason: string): void {
+	private _failPending(reason: string): void {
 		for (const id of this._pending.keys()) {
 			this._settle(id, Left(reason));
 		}
 	}
 
-	private _endIfDone(): void {
+	private _closeIfIdle(): void {
 		if (this._isRetired && this._pending.size === 0) {
 			this._stream?.cancel();
 			this._client.close();
--- a/src/node/direct-peers/peer-server.ts
+++ b/src/node/direct-peers/peer-server.ts
@@ -26,14 +26,14 @@
 	readonly configurationVersion: () => number;
 };
 
-const nothing: ForwardedAnswer = {outcome: undefined};
+const emptyAnswer: ForwardedAnswer = {outcome: undefined};
 
 /** Serves peers on one port. */
 export class DirectPeerServer implements Disposable {
 	private readonly _services: ServerServices;
 	private readonly _server = new Server(directChannelOptions);
 	private readonly _streams = new Set<LinkStream>();
-	private _farewell: LinkAnswer | undefined;
+	private _leavingNotice: LinkAnswer | undefined;
 
 	constructor(services: ServerServices) {
 		this._services = services;
@@ -62,9 +62,9 @@
 	 * who use it, so that nobody need be called for it.
 	 */
 	announceLeaving(): void {
-		this._farewell = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
+		this._leavingNotice = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
 		for (const stream of this._streams) {
-			this._write(stream, this._farewell);
+			this._write(stream, this._leavingNotice);
 		}
 	}
 
@@ -74,8 +74,8 @@
 
 	private _serve(stream: LinkStream): void {
 		this._streams.add(stream);
-		if (this._farewell) {
-			this._write(stream, this._farewell);
+		if (this._leavingNotice) {
+			this._write(stream, this._leavingNotice);
 		}
 
 		stream.on('close', () => {
@@ -180,13 +180,13 @@
 
 			case 'begin': {
 				const {statement, isReadOnly} = work.value;
-				return statement ? this._begin(endpointId, fromForwarded(statement, clock), isReadOnly) : nothing;
+				return statement ? this._begin(endpointId, fromForwarded(statement, clock), isReadOnly) : emptyAnswer;
 			}
 
 			case 'runHeld': {
 				const {heldId, statement} = work.value;
 				if (!statement) {
-					return nothing;
+					return emptyAnswer;
 				}
 
 				const result = await requests.runHeld(heldId, fromForwarded(statement, clock));
@@ -195,11 +195,11 @@
 
 			case 'end': {
 				await requests.end(work.value.heldId, mannerOf(work.value.manner));
-				return nothing;
+				return emptyAnswer;
 			}
 
 			case undefined: {
-				return nothing;
+				return emptyAnswer;
 			}
 		}
 	}
--- a/src/node/direct/direct-node.ts
+++ b/src/node/direct/direct-node.ts
@@ -48,10 +48,10 @@
 };
 
 /** Starts a node; rejects when an address cannot be listened on. */
-export async function startDirectNode(place: DirectNodeEnvironment, settings: DirectSettings, adapter: PlatformAdapter, log: Log): Promise<RunningDirectNode> {
+export async function startDirectNode(environment: DirectNodeEnvironment, settings: DirectSettings, adapter: PlatformAdapter, log: Log): Promise<RunningDirectNode> {
 	const owned = new DisposableStore();
 	try {
-		return await startIn(owned, {environment: place, settings, adapter}, log);
+		return await startIn(owned, {environment, settings, adapter}, log);
 	} catch (error) {
 		owned.dispose();
 		throw error;
@@ -65,16 +65,16 @@
 };
 
 async function startIn(owned: DisposableStore, inputs: NodeInputs, log: Log): Promise<RunningDirectNode> {
-	const {environment: place, settings, adapter} = inputs;
+	const {environment, settings, adapter} = inputs;
 	const {tuning} = settings;
-	const store = owned.register(adapter.openStore(place.store));
+	const store = owned.register(adapter.openStore(environment.store));
 	const services = registerServices(inputs, log, store, owned);
 	const {clock, metrics, restores} = services;
-	const peering = createPeering({environment: place, tuning}, services, owned);
+	const peering = createPeering({environment, tuning}, services, owned);
 	const followed = {
 		...services, store: peering.store, paceMs: peering.paceMs, options: {...catalogDefaults, ...tuning.catalog},
 	};
-	const catalog = owned.register(new RouteCatalog({...followed, provingStore: services.store, keyRevocationMs: place.keyRevocationMs}, adapter.formats));
+	const catalog = owned.register(new RouteCatalog({...followed, provingStore: services.store, keyRevocationMs: environment.keyRevocationMs}, adapter.formats));
 	const registry = owned.register(new EndpointRegistry(followed, adapter.formats));
 	const pools = owned.register(new PoolSet({
 		...services,
@@ -82,27 +82,27 @@
 		connectionRole: endpoint => peering.fleet.holding(endpoint),
 		areConnectionsPerOrganisation: () => catalog.organisations !== undefined,
 		connectionShare: ({service}) => peering.fleet.connectionQuota(catalog.connectionLimit(service)),
-		connector: new TcpLineConnector(clock, adapter.wire, place.name, lineDefaults),
+		connector: new TcpLineConnector(clock, adapter.wire, environment.name, lineDefaults),
 		options: {...poolDefaults, ...tuning.pools},
 		queueOptions: {...defaultHomeOptions, ...tuning.queues},
 	}));
-	const ways = peering.createPoolSelector(pools);
-	const primacies = owned.register(new PrimaryTrackers({
+	const endpointPools = peering.createPoolSelector(pools);
+	const trackers = owned.register(new PrimaryTrackers({
 		...services,
 		registry,
 		pools,
-		promotions: owned.register(adapter.openPromotions(place.promotions)),
+		promotions: owned.register(adapter.openPromotions(environment.promotions)),
 		peers: peering.peers,
 		sharing: peering.sharing,
-		endpointPools: ways,
+		endpointPools,
 		options: {...primacyDefaults, ...tuning.primacy},
-		availabilityZone: place.availabilityZone,
+		availabilityZone: environment.availabilityZone,
 	}));
-	const relays = peering.connect(primacies);
+	const relays = peering.connect(trackers);
 	const usageOptions = {...usageDefaults, ...tuning.usage};
 	const limitOf = (organisation: string): UsageLimit | undefined => catalog.organisations?.findByName(organisation)?.usageLimit;
 	const budgets = new UsageBudgets({
-		clock, limitOf, rule: place.usageRule, zones: place.zones, membershipChangedAtMs: peering.membershipChangedAtMs, options: usageOptions,
+		clock, limitOf, rule: environment.usageRule, zones: environment.zones, membershipChangedAtMs: peering.membershipChangedAtMs, options: usageOptions,
 	});
 	const usage = new UsageLimits({
 		...services,
@@ -118,22 +118,22 @@
 		catalog,
 		usage,
 		access: new AccessControl(catalog),
-		endpointPools: ways,
-		trackers: primacies,
+		endpointPools,
+		trackers,
 		relays,
-		availabilityZone: place.availabilityZone,
+		availabilityZone: environment.availabilityZone,
 		options: {...lineSessionDefaults, ...tuning.sessions},
 	}, lineDefaults));
 	owned.register(catalog.onChange(() => {
-		primacies.follow(catalog.serviceNames());
+		trackers.follow(catalog.serviceNames());
 		usage.onLimitsChanged();
 		callers.closeRevokedSessions();
 	}));
 	const readiness = owned.register(new Readiness({
 		clock, log, isLoaded: () => catalog.isLoaded && registry.isLoaded,
 		isStoreSettled: () => restores.isSettled,
-		outOfReachForMs: () => primacies.unreachableForMs,
-		hasFailures: () => primacies.hasUnreachablePrimary,
+		outOfReachForMs: () => trackers.unreachableForMs,
+		hasFailures: () => trackers.hasUnreachablePrimary,
 		isStoreAway: () => catalog.isStoreUnavailable || registry.isStoreUnavailable,
 		probeStore() {
 			void catalog.probeStore();
@@ -146,11 +146,11 @@
 	catalog.start();
 	registry.start();
 	void peering.discover();
-	await listen(owned, place, settings, {
+	await listen(owned, environment, settings, {
 		adapter, readiness, metrics, callers,
 	});
 	await peering.serve({
-		primacies,
+		primacies: trackers,
 		pools,
 		registry,
 		catalog,
@@ -158,18 +158,18 @@
 		tables: {[adapter.formats.configurationTable]: catalog.followed, [adapter.formats.endpointTable]: registry.followed},
 	});
 	log.event('processStarted', {
-		availabilityZone: place.availabilityZone, callers: place.callers.port, readiness: place.readiness.port,
+		availabilityZone: environment.availabilityZone, callers: environment.callers.port, readiness: environment.readiness.port,
 	});
 	readiness.start();
 
 	return {
 		async drain() {
 			const {noticeMs, closeIdleMs, transactionShare, marginMs} = drainTimes;
-			const endMs = clock.nowMs() + place.graceMs - marginMs;
-			log.event('processDraining', {graceMs: place.graceMs, connections: callers.connections});
+			const endMs = clock.nowMs() + environment.graceMs - marginMs;
+			log.event('processDraining', {graceMs: environment.graceMs, connections: callers.connections});
 			readiness.leave();
 			void peering.leave();
-			const transactionsEndMs = clock.nowMs() + (place.graceMs * transactionShare);
+			const transactionsEndMs = clock.nowMs() + (environment.graceMs * transactionShare);
 			await pauseFor(clock, noticeMs);
 			await callers.closeIdleGradually(closeIdleMs);
 			callers.stopAccepting();
@@ -199,9 +199,9 @@
 	readonly node: string;
 };
 
-function registerServices({environment: place, settings}: NodeInputs, log: Log, openedStore: RowStore, owned: DisposableStore): DirectServices {
+function registerServices({environment, settings}: NodeInputs, log: Log, openedStore: RowStore, owned: DisposableStore): DirectServices {
 	const container = rootContainer.createChildContainer();
-	const metrics = new PromMetrics({node: place.name});
+	const metrics = new PromMetrics({node: environment.name});
 	container.registerInstance<Clock>(tokens.clock, new SystemClock());
 	container.registerInstance<Random>(tokens.random, new SystemRandom());
 	container.registerInstance<Log>(tokens.log, log);
@@ -213,7 +213,7 @@
 	}));
 	const store = new VersionObservingStore(openedStore, restores);
 	const audit = owned.register(new RowAudit({
-		clock, log, store, restores, node: place.name,
+		clock, log, store, restores, node: environment.name,
 	}));
 	container.registerInstance<Audit>(tokens.audit, audit);
 	return {
@@ -223,7 +223,7 @@
 		store,
 		restores,
 		audit,
-		node: place.name,
+		node: environment.name,
 		random: container.resolve<Random>(tokens.random),
 		invariants: container.resolve<Invariants>(tokens.invariants),
 	};
@@ -236,20 +236,20 @@
 	readonly callers: LineServer;
 };
 
-async function listen(owned: DisposableStore, place: DirectNodeEnvironment, settings: DirectSettings, parts: ListenedParts): Promise<void> {
+async function listen(owned: DisposableStore, environment: DirectNodeEnvironment, settings: DirectSettings, parts: ListenedParts): Promise<void> {
 	const {
 		adapter, readiness, metrics, callers,
 	} = parts;
 	const readyServer = owned.register(new StatusServer(adapter.readyPath, () => ({
 		status: readiness.isReady ? 200 : 503, contentType: 'text/plain', text: readiness.reason,
 	})));
-	await readyServer.listen(place.readiness.host, place.readiness.port);
+	await readyServer.listen(environment.readiness.host, environment.readiness.port);
 	if (settings.metrics.port > 0) {
 		const metricsServer = owned.register(new StatusServer('/metrics', async () => ({
 			status: 200, contentType: metrics.contentType, text: await metrics.text(),
 		})));
-		await metricsServer.listen(place.readiness.host, settings.metrics.port);
+		await metricsServer.listen(environment.readiness.host, settings.metrics.port);
 	}
 
-	await callers.listen(place.callers.host, place.callers.port);
+	await callers.listen(environment.callers.host, environment.callers.port);
 }
--- a/src/node/direct/direct-serve.ts
+++ b/src/node/direct/direct-serve.ts
@@ -18,9 +18,9 @@
 
 /** Resolves with the exit code once the node has stopped. */
 export async function serveDirectNode(options: DirectServeOptions): Promise<ExitCode> {
-	const place = options.readEnvironment();
+	const environment = options.readEnvironment();
 	const settings = await readSettings(options.settingsFile);
-	const problems = [place, settings].flatMap(read => read.isLeft() ? [read.extract()] : []);
+	const problems = [environment, settings].flatMap(read => read.isLeft() ? [read.extract()] : []);
 	if (problems.length > 0) {
 		process.stderr.write(`${problems.join('\n')}\n`);
 		return exitCodes.usage;
@@ -30,22 +30,22 @@
 		return exitCodes.ok;
 	}
 
-	return run(place.unsafeCoerce(), settings.unsafeCoerce(), options);
+	return runNode(environment.unsafeCoerce(), settings.unsafeCoerce(), options);
 }
 
 const bytesPerMb = 1024 * 1024;
 
 const events: ProcessEvents = process;
 
-async function run(place: DirectNodeEnvironment, settings: DirectSettings, options: DirectServeOptions): Promise<ExitCode> {
-	const log = makeLog(place, settings);
+async function runNode(environment: DirectNodeEnvironment, settings: DirectSettings, options: DirectServeOptions): Promise<ExitCode> {
+	const log = makeLog(environment, settings);
 	exitOnUncaught(events, log);
 	logStart(log, options);
 	process.on('SIGHUP', () => {
 		reload(options, log);
 	});
 	const stopped = waitForStopSignal(events);
-	const node = await startDirectNode(place, settings, options, log);
+	const node = await startDirectNode(environment, settings, options, log);
 	await stopped;
 	await node.drain();
 	// A connection that is half open must not keep a drained process alive.
@@ -62,9 +62,9 @@
 	});
 }
 
-function makeLog(place: DirectNodeEnvironment, settings: DirectSettings): Log {
+function makeLog(environment: DirectNodeEnvironment, settings: DirectSettings): Log {
 	const lines = new ConsolaLog({
-		node: place.name,
+		node: environment.name,
 		level: settings.logs.level,
 		write(line) {
 			process.stdout.write(line);
@@ -74,8 +74,8 @@
 }
 
 /** Addresses and the zone hold as long as the process: a reload checks the file and says what it holds. */
-function reload({readEnvironment: readPlace}: DirectServeOptions, log: Log): void {
-	readPlace().ifLeft(problem => {
+function reload({readEnvironment}: DirectServeOptions, log: Log): void {
+	readEnvironment().ifLeft(problem => {
 		log.event('settingsReloaded', {isValid: false, problem});
 	}).ifRight(({name, availabilityZone}) => {
 		log.event('settingsReloaded', {isValid: true, name, availabilityZone});
--- a/src/node/direct/peering.ts
+++ b/src/node/direct/peering.ts
@@ -83,10 +83,10 @@
 const idleCheckMs = 20;
 
 /** Makes them; they end with `owned`. */
-export function createPeering({environment: place, tuning}: PeeringInputs, services: DirectServices, owned: DisposableStore): Peering {
+export function createPeering({environment, tuning}: PeeringInputs, services: DirectServices, owned: DisposableStore): Peering {
 	const {clock, log, random} = services;
 	const self: PeerNode = {
-		name: place.name, availabilityZone: place.availabilityZone, ...place.peers, cores: place.cores, incarnation: newIncarnation(),
+		name: environment.name, availabilityZone: environment.availabilityZone, ...environment.peers, cores: environment.cores, incarnation: newIncarnation(),
 	};
 	let onNotice: NoticeListener | undefined;
 	const calls = owned.register(new DirectPeerClient(clock, notice => onNotice?.(notice)));
@@ -188,7 +188,7 @@
 					takeUsage: async ask => usage.ask(ask),
 				},
 			}));
-			await server.listen(place.peers.host, place.peers.port);
+			await server.listen(environment.peers.host, environment.peers.port);
 			void registrations.run();
 			void sharing?.run();
 		},
--- a/src/node/direct/readiness.ts
+++ b/src/node/direct/readiness.ts
@@ -56,7 +56,7 @@
 	/** From now on no callers are wanted. */
 	leave(): void {
 		this._isLeaving = true;
-		this._look();
+		this._check();
 	}
 
 	dispose(): void {
@@ -66,14 +66,14 @@
 
 	private async _run(): Promise<void> {
 		while (!this._isDisposed) {
-			this._look();
+			this._check();
 			await this._sleep.wait(readinessTimes.checkEveryMs);
 		}
 	}
 
-	private _look(): void {
+	private _check(): void {
 		const reason = this._currentReason();
-		this._noteCutOff(reason);
+		this._handleCutOff(reason);
 		if (reason !== this._reason) {
 			this._services.log.event(reason === 'ready' ? 'processReady' : 'readinessChanged', {reason, before: this._reason});
 			this._reason = reason;
@@ -110,7 +110,7 @@
 	}
 
 	/** Callers that stay would be refused everything here, while other zones may serve them. */
-	private _noteCutOff(reason: string): void {
+	private _handleCutOff(reason: string): void {
 		const {clock, onCutOff} = this._services;
 		if (reason !== 'cutOff') {
 			this._cutOffSinceMs = undefined;
