--- a/src/common/peering/delegating-row-store.test.ts
+++ b/src/common/peering/delegating-row-store.test.ts
@@ -7,8 +7,8 @@
 import {notFollowedReason, DelegatingRowStore} from './delegating-row-store.js';
 import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
-/** A node that is not the asker of its zone, which has the most cores. */
-function shared(calls: PeerCalls, others = 29): {rows: DelegatingRowStore; peering: ReturnType<typeof fakePeering>} {
+/** The row store of node `n0`; the coordinator of its zone is `n1`, which has the most cores. */
+function setUp(calls: PeerCalls, others = 29): {rows: DelegatingRowStore; peering: ReturnType<typeof fakePeering>} {
 	const peering = fakePeering(calls);
 	for (let index = 1; index <= others; index++) {
 		peering.directory.learn(peerNode(`n${index}`, 'a', index === 1 ? 4 : 1));
@@ -18,7 +18,7 @@
 	return {peering, rows: new DelegatingRowStore(peering.store, {...peering, fleet: new Fleet(peering, peering.directory)})};
 }
 
-const answering: PeerCalls = {
+const answeringCalls: PeerCalls = {
 	...unreachableCalls,
 	rows: async (peer, table, afterVersion) => Right({
 		rows: [{
@@ -28,51 +28,51 @@
 	}),
 };
 
-describe('SharedRows', () => {
-	it('asks the node that follows for all, and not the store', async () => {
-		const {rows, peering} = shared(answering);
+describe('DelegatingRowStore', () => {
+	it('reads and follows a table over the coordinator, without a call of the store', async () => {
+		const {rows, peering} = setUp(answeringCalls);
 		const read = await rows.read('things', '');
 		const followed = await peering.clock.advanceUntil(rows.follow('things', 3, 2000));
 		expect([read, followed].map(answer => answer.unsafeCoerce().rows[0].value)).toEqual(['from n1', 'from n1']);
 		expect(peering.store.calls).toEqual(0);
 	});
 
-	it('asks the store in a small fleet', async () => {
-		const {rows} = shared(answering, 3);
+	it('reads from the store in a small fleet', async () => {
+		const {rows} = setUp(answeringCalls, 3);
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 	});
 
-	it('asks the store where the node does not answer, and passes that node over', async () => {
-		const {rows, peering} = shared(unreachableCalls);
+	it('reads from the store if the coordinator does not answer, and marks the coordinator unreachable', async () => {
+		const {rows, peering} = setUp(unreachableCalls);
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(false);
 	});
 
-	it('asks the store where the node has not noticed that it came back from a copy', async () => {
-		const {rows, peering} = shared(answering);
+	it('reads from the store if the coordinator has not noticed a restore of the store yet', async () => {
+		const {rows, peering} = setUp(answeringCalls);
 		peering.restores.note(storeVersion(1, 1));
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 	});
 
-	it('asks the store where the node lost it, and goes on asking that node for the rest', async () => {
-		const {rows, peering} = shared({...unreachableCalls, rows: async () => Left(notFollowedReason)});
+	it('reads from the store if the coordinator does not follow the table, and still counts the coordinator as reachable', async () => {
+		const {rows, peering} = setUp({...unreachableCalls, rows: async () => Left(notFollowedReason)});
 		const read = await rows.read('things', '');
 		expect(read.unsafeCoerce().rows[0].value).toEqual('from the store');
 		expect(peering.directory.reachablePeers().some(({name}) => name === 'n1')).toEqual(true);
 	});
 
-	it('asks one other node of the zone where the store turns the asker away, and that one alone asks the store', async () => {
-		// With a third of the nodes turned away for 9 s, every node of a zone whose asker was among
-		// them asked the store itself: 16 nodes made some 50 calls a second.
+	it('asks one other node of the zone if the store refuses the coordinator, and does not call the store itself', async () => {
+		// Guards against every node of a zone calling the store when the store refuses the zone's
+		// coordinator: with a third of the nodes refused for 9 s, 16 nodes made some 50 calls a second.
 		const asked: string[] = [];
-		const {rows, peering} = shared({
-			...answering,
-			async rows(peer, ...question) {
+		const {rows, peering} = setUp({
+			...answeringCalls,
+			async rows(peer, ...query) {
 				asked.push(peer.name);
-				return peer.name === 'n1' ? Left(notFollowedReason) : answering.rows(peer, ...question);
+				return peer.name === 'n1' ? Left(notFollowedReason) : answeringCalls.rows(peer, ...query);
 			},
 		});
 		for (let count = 0; count < 10; count++) {
@@ -85,9 +85,10 @@
 		expect(asked.filter(name => name === 'n1').length <= 2).toEqual(true);
 	});
 
-	it('knows who else is there before it follows a table at the store', async () => {
-		// 64 nodes that started at once each left a question with the store that their askers answer.
-		const {rows, peering} = shared(answering);
+	it('waits for peer discovery before it follows a table at the store', async () => {
+		// Guards against starting nodes that follow at the store because they do not know their
+		// coordinator yet: each of 64 nodes that started at once left a waiting request at the store.
+		const {rows, peering} = setUp(answeringCalls);
 		void rows.follow('things', 3, 2000);
 		await peering.clock.advance(100);
 		expect(peering.store.calls).toEqual(0);
--- a/src/common/peering/delegating-row-store.ts
+++ b/src/common/peering/delegating-row-store.ts
@@ -1,9 +1,9 @@
 /**
- * The store as nodes of a large fleet use it: tables that every node follows are asked of the
- * node that asks for the zone, and of the store itself where that does not answer.
+ * The store as nodes of a large fleet use it: they read and follow tables over the coordinator of
+ * their zone, and from the store itself if the coordinator does not answer.
  *
- * The store bounds its calls for all nodes together. 77 nodes that followed two tables each made
- * some 130 calls a second; one node a zone makes four.
+ * The store limits the calls of all nodes together. 77 nodes that followed two tables each made some
+ * 130 calls a second; one node in each zone makes four.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -29,13 +29,13 @@
 	readonly fleet: Fleet;
 };
 
-/** Reads and follows tables over another node where one does so for all. */
+/** Reads and follows tables over the coordinator in a large fleet, and from the store otherwise. */
 export class DelegatingRowStore implements RowStore {
 	private readonly _store: RowStore;
 	private readonly _services: DelegatingRowStoreServices;
-	/** Until when a node that does not follow a table is passed over for it, by table and node. */
+	/** By table and node: until when a node that gave no rows of a table is not asked for it again. */
 	private readonly _peerBackoffUntilMs = new Map<string, number>();
-	/** Until when the store itself is not asked for a table, as it gave no answer a moment ago. */
+	/** By table: until when the store itself is not asked again after it gave no answer. */
 	private readonly _storeBackoffUntilMs = new Map<string, number>();
 
 	constructor(store: RowStore, services: DelegatingRowStoreServices) {
@@ -44,42 +44,42 @@
 	}
 
 	async read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>> {
-		const shared = await this._askCoordinators(table, 0, 0) ?? await this._readAfterCoordinator(table);
-		return shared ? Right(shared) : this._askStore(table, async () => this._store.read(table, partition));
+		const delegated = await this._askCoordinators(table, 0, 0) ?? await this._readAfterCoordinator(table);
+		return delegated ? Right(delegated) : this._askStore(table, async () => this._store.read(table, partition));
 	}
 
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
 		const {clock, directory, options} = this._services;
 		if (!directory.isDiscoveryDone) {
-			// Every node of a large fleet that starts would ask the store once before it knows its asker.
+			// Otherwise every node of a large fleet would ask the store once at its start, before it knows its coordinator.
 			await waitForEvent(clock, directory.onDiscoveryDone, options.lookBeforeFollowMs);
 		}
 
-		const shared = await this._askCoordinators(table, afterVersion, Math.min(waitMs, this._services.options.sharedFollowMs));
-		return shared ? Right(shared) : this._askStore(table, async () => this._store.follow(table, afterVersion, waitMs));
+		const delegated = await this._askCoordinators(table, afterVersion, Math.min(waitMs, this._services.options.sharedFollowMs));
+		return delegated ? Right(delegated) : this._askStore(table, async () => this._store.follow(table, afterVersion, waitMs));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {version: number; storeNowMs: number}>> {
 		return this._store.write(write);
 	}
 
-	/** Whether no other node follows tables for this one. */
+	/** Whether this node follows tables at the store, as in a small fleet or as coordinator. */
 	private get _usesStoreDirectly(): boolean {
 		const {fleet, self} = this._services;
 		return !fleet.isLarge || fleet.coordinator().name === self.name;
 	}
 
-	/** Whether the store gave this node no answer a moment ago. */
+	/** Whether the store gave no answer for a table so recently that it is not asked again yet. */
 	private _isStoreInBackoff(table: string): boolean {
 		return this._services.clock.nowMs() < (this._storeBackoffUntilMs.get(table) ?? 0);
 	}
 
-	/** Asks once more where the store is just back: the nodes of a zone need not all read the table. */
+	/** Asks the coordinator once more when the store's backoff has ended, so that not every node of a zone reads the table. */
 	private async _readAfterCoordinator(table: string): Promise<StoredRows | undefined> {
 		const {clock, fleet, options} = this._services;
-		const awayUntilMs = this._storeBackoffUntilMs.get(table);
-		const isJustBack = awayUntilMs !== undefined && clock.nowMs() >= awayUntilMs;
-		if (!isJustBack || this._usesStoreDirectly) {
+		const backoffUntilMs = this._storeBackoffUntilMs.get(table);
+		const isBackoffOver = backoffUntilMs !== undefined && clock.nowMs() >= backoffUntilMs;
+		if (!isBackoffOver || this._usesStoreDirectly) {
 			return undefined;
 		}
 
@@ -89,7 +89,7 @@
 		return this._askCoordinators(table, 0, 0);
 	}
 
-	/** Asks the store itself, unless it gave no answer a moment ago and another node asks it too. */
+	/** Asks the store itself, unless it is in backoff and another node follows the table for this one. */
 	private async _askStore(table: string, ask: () => Promise<Either<PlatformFault, StoredRows>>): Promise<Either<PlatformFault, StoredRows>> {
 		const {clock, options} = this._services;
 		if (this._usesStoreDirectly) {
@@ -106,14 +106,14 @@
 		});
 	}
 
-	/** What the asking node says; undefined where the store itself must be asked. */
+	/** Rows from the first coordinator candidate that answers; undefined if the store itself must be asked. */
 	private async _askCoordinators(table: string, afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
 		const {fleet, self, clock, options} = this._services;
 		if (!fleet.isLarge) {
 			return undefined;
 		}
 
-		// Where the store turns the zone's asker away, one other node asks in its place, not all of them.
+		// If the store refuses the zone's coordinator, one other node asks the store in its place, not all of them.
 		for (const coordinator of fleet.rowAskers(options.rowAskers)) {
 			if (coordinator.name === self.name) {
 				return undefined;
@@ -143,13 +143,13 @@
 				restores.note(version);
 			})
 			.toMaybe()
-			// A node that has not noticed yet that the store came back from a copy knows nothing newer.
+			// A peer that has not noticed the store's last restore yet has only rows of an earlier era.
 			.filter(({version}) => eraOf(version) >= restores.era)
 			.extract();
 	}
 }
 
-/** Reason of a peer that lives and does not follow the table at the moment. */
+/** Reason given for a peer that is alive but does not follow the table at the moment. */
 export const notFollowedReason = 'the peer does not follow the table';
 
 function keyOf(table: string, {name}: PeerNode): string {
--- a/src/common/peering/endpoint-pool-selector.ts
+++ b/src/common/peering/endpoint-pool-selector.ts
@@ -1,5 +1,6 @@
 /**
- * The way of statements to an endpoint: this node's own connections, or those of a home.
+ * Selects the pool over which statements reach an endpoint: this node's own connections, or those of
+ * a home of the endpoint.
  */
 import type {Either} from 'purify-ts';
 import {AnswerTimes} from '../pools/answer-times.js';
@@ -20,10 +21,10 @@
 	readonly poolOptions: PoolOptions;
 };
 
-/** Chooses ways. */
+/** Selects endpoint pools. */
 export class EndpointPoolSelector {
 	private readonly _services: SelectorServices;
-	/** Ways over homes, by endpoint and node. */
+	/** Pools over homes, by endpoint, node and incarnation. */
 	private readonly _remotePools = new Map<string, RemotePool>();
 
 	constructor(services: SelectorServices) {
@@ -31,8 +32,9 @@
 	}
 
 	/**
-	 * The way that statements of an organisation for an endpoint take at this moment. Those of one
-	 * organisation meet at one home, which keeps connections that belong to it.
+	 * The pool for an endpoint's statements of an organisation at this moment. All statements of one
+	 * organisation go to the same home, since connections belong to an organisation and the home keeps
+	 * them for it.
 	 */
 	pool(endpoint: RegisteredEndpoint, organisation: string | undefined): StatementPool {
 		const {fleet, pools} = this._services;
@@ -56,7 +58,7 @@
 		return best;
 	}
 
-	/** Asks an endpoint for its state the same way. */
+	/** Requests the status of an endpoint, over its first home if this node is none of its homes. */
 	async status(endpoint: RegisteredEndpoint, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const {fleet, pools, calls} = this._services;
 		const homes = fleet.homes(endpoint);
--- a/src/common/peering/fleet-usage-holders.ts
+++ b/src/common/peering/fleet-usage-holders.ts
@@ -1,6 +1,6 @@
 /**
- * Which nodes keep the usage budgets of organisations, as the division of work and what is known of
- * other nodes say.
+ * Which nodes hold the usage budgets of organisations, according to the division of work and to
+ * which peers are reachable.
  */
 import type {Event} from '../lifecycle/emitter.js';
 import type {UsageHolders} from '../organisations/usage-limits.js';
@@ -12,13 +12,13 @@
 type UsageHolderSources = {
 	readonly directory: PeerDirectory;
 	readonly fleet: Fleet;
-	/** Undefined until this node shares proofs. */
+	/** Poller of the coordinator's group overviews; undefined until the trackers of groups are connected. */
 	readonly sharing: () => OverviewPoller | undefined;
-	/** Time in milliseconds since another node was heard up to which this one counts as in touch. */
+	/** Longest time in milliseconds since the last contact with another node for which that contact counts as recent. */
 	readonly touchMs: number;
 };
 
-/** Knows who keeps budgets. */
+/** Finds the nodes that hold the budget of an organisation. */
 export class FleetUsageHolders implements UsageHolders {
 	readonly onDiscoveryDone: Event<void>;
 	private readonly _sources: UsageHolderSources;
--- a/src/common/peering/fleet.test.ts
+++ b/src/common/peering/fleet.test.ts
@@ -11,7 +11,7 @@
 	};
 }
 
-/** A fleet of `n0` and so many others, in zones a, b and c by turns. */
+/** A fleet of `n0` and `others` more nodes, in zones a, b and c by turns. */
 function fleetOf(others: number): {fleet: Fleet; peering: ReturnType<typeof fakePeering>} {
 	const peering = fakePeering();
 	for (let index = 1; index <= others; index++) {
@@ -22,14 +22,14 @@
 }
 
 describe('Fleet', () => {
-	it('leaves connections to every node while there are few', () => {
+	it('has every node open its own connections in a small fleet', () => {
 		const {fleet} = fleetOf(peeringDefaults.homesFrom - 2);
 		expect(fleet.isLarge).toEqual(false);
 		expect(fleet.homes(endpoint('i-1', 'a'))).toEqual([]);
 		expect(fleet.holding(endpoint('i-1', 'a'))).toEqual('forItself');
 	});
 
-	it('chooses two homes of the endpoint\'s zone, the same whoever asks', () => {
+	it('chooses the same two homes in the endpoint\'s zone on every node', () => {
 		const {fleet} = fleetOf(29);
 		const other = fakePeering();
 		for (let index = 29; index >= 1; index--) {
@@ -41,7 +41,7 @@
 		expect(new Fleet(other, other.directory).homes(endpoint('i-1', 'b')).map(({name}) => name)).toEqual(homes.map(({name}) => name));
 	});
 
-	it('replaces only the home that does not answer, and takes it back later', async () => {
+	it('replaces only the home that does not answer, and chooses it again after its backoff', async () => {
 		const {fleet, peering: {directory, clock}} = fleetOf(29);
 		const [first, second] = fleet.homes(endpoint('i-1', 'b')).map(({name}) => name);
 		directory.reportReachability(first, false);
@@ -51,7 +51,7 @@
 		expect(fleet.homes(endpoint('i-1', 'b')).map(({name}) => name)).toEqual([first, second]);
 	});
 
-	it('gives a zone up as cut off once four of its nodes did not answer', () => {
+	it('takes a zone for cut off once four of its nodes did not answer', () => {
 		const {fleet, peering: {directory}} = fleetOf(29);
 		for (let tries = 0; tries < peeringDefaults.homeCandidates; tries++) {
 			const [home] = fleet.homes(endpoint('i-1', 'b'));
@@ -62,7 +62,7 @@
 		expect(fleet.homes(endpoint('i-1', 'b')).every(({availabilityZone}) => availabilityZone !== 'b')).toEqual(true);
 	});
 
-	it('chooses homes elsewhere where the zone of an endpoint has no node', () => {
+	it('chooses homes in other zones if the zone of an endpoint has no node', () => {
 		const {fleet} = fleetOf(29);
 		expect(fleet.homes(endpoint('i-1', 'elsewhere')).length).toEqual(2);
 	});
@@ -74,19 +74,19 @@
 		expect([counts.length, Math.max(...counts) < 2 * homes.length / counts.length]).toEqual([30, true]);
 	});
 
-	it('has one asker in each zone act and be asked', () => {
+	it('has one coordinator in each zone promote and be asked for opinions', () => {
 		const {fleet} = fleetOf(29);
 		expect(fleet.promotionCandidates().map(({availabilityZone}) => availabilityZone).toSorted((a, b) => a.localeCompare(b))).toEqual(['a', 'b', 'c']);
 		expect(fleet.observers().some(({name}) => name === 'n0')).toEqual(false);
 		expect(fleet.coordinator().availabilityZone).toEqual('a');
 	});
 
-	it('lets nobody ask who has not looked for others yet', () => {
+	it('lets no node poll endpoints before its discovery is done', () => {
 		const {fleet} = fleetOf(0);
 		expect([fleet.isCoordinator, fleet.isCoordinatorOnly]).toEqual([false, true]);
 	});
 
-	it('names the same node of a zone for an organisation\'s budget, whoever of the zone asks and whoever answers', () => {
+	it('ranks the holders of an organisation\'s budget alike whether or not a node is reachable', () => {
 		const {fleet, peering: {directory}} = fleetOf(29);
 		const before = fleet.usageHolders('shop').map(({name}) => name);
 		expect(before.length).toEqual(10);
@@ -94,7 +94,7 @@
 		expect(fleet.usageHolders('shop').map(({name}) => name)).toEqual(before);
 	});
 
-	it('names one node of each other zone that answers, for loans', () => {
+	it('finds one reachable holder in each other zone, for loans', () => {
 		const {fleet, peering: {directory}} = fleetOf(29);
 		const elsewhere = fleet.usageHoldersInOtherZones('shop');
 		expect(elsewhere.map(({availabilityZone}) => availabilityZone).toSorted()).toEqual(['b', 'c']);
@@ -102,10 +102,10 @@
 		expect(fleet.usageHoldersInOtherZones('shop').some(({name}) => name === elsewhere[0].name)).toEqual(false);
 	});
 
-	it('has those follow tables first who would be asker next', () => {
+	it('asks the coordinator and then its successors for followed tables', () => {
 		const {fleet} = fleetOf(29);
-		const askers = fleet.rowAskers(3);
-		expect([askers.length, askers[0].name]).toEqual([3, fleet.coordinator().name]);
-		expect(askers.every(({availabilityZone}) => availabilityZone === 'a')).toEqual(true);
+		const candidates = fleet.rowAskers(3);
+		expect([candidates.length, candidates[0].name]).toEqual([3, fleet.coordinator().name]);
+		expect(candidates.every(({availabilityZone}) => availabilityZone === 'a')).toEqual(true);
 	});
 });
--- a/src/common/peering/fleet.ts
+++ b/src/common/peering/fleet.ts
@@ -1,10 +1,11 @@
 /**
- * How nodes divide work once they are too many for each to connect to every endpoint: a few
- * homes hold the connections to an endpoint, and one node a zone asks endpoints for all.
+ * Division of work among nodes once they are too many for each to connect to every endpoint: a few
+ * homes hold the connections to an endpoint, and one coordinator in each zone polls endpoints for
+ * the other nodes.
  *
- * Every node works the division out by itself from the nodes that it knows. Two nodes that
- * disagree cost connections or a hop more, never a wrong answer: endpoints bound what all of
- * them open, and a transaction stays on the connection on which it began.
+ * Every node computes the division by itself from the nodes that it knows. Where two nodes disagree,
+ * that costs connections or one more hop, never a wrong answer: endpoints limit the connections that
+ * all nodes open together, and a transaction stays on the connection on which it began.
  */
 import {hashText, highestWeights} from '../membership/rendezvous.js';
 import type {ConnectionRole} from '../pools/types.js';
@@ -13,13 +14,13 @@
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
-/** What the choice of the asking node is made by. */
+/** Key under which nodes are ranked to choose a coordinator. */
 const coordinatorTask = 'proofs';
 
-/** The same for the node that keeps an organisation's budget. */
+/** Key under which nodes are ranked to choose the holder of an organisation's budget. */
 const usageTask = 'usage';
 
-/** Time for which a choice is kept: nodes that did not answer come back by time alone. */
+/** Time for which a choice is cached. It expires because the backoff of an unreachable node ends without an event. */
 const choiceTtlMs = 250;
 
 type CachedChoice = {
@@ -28,7 +29,7 @@
 	readonly madeAtMs: number;
 };
 
-/** The division of work among the nodes that are known and answer. */
+/** Divides work among the nodes that are known and reachable. */
 export class Fleet {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
@@ -51,17 +52,17 @@
 		return this._directory.others().every(({availabilityZone}) => availabilityZone !== this._services.self.availabilityZone);
 	}
 
-	/** Whether this node asks endpoints for all nodes that share with it; not before it looked for others. */
+	/** Whether this node polls endpoints for the nodes that poll it; false until discovery is done. */
 	get isCoordinator(): boolean {
 		return this._directory.isDiscoveryDone && this.coordinator().name === this._services.self.name;
 	}
 
-	/** Whether only askers may ask endpoints; so too as long as this node does not know who else is there. */
+	/** Whether only coordinators may poll endpoints: in a large fleet, and until discovery is done. */
 	get isCoordinatorOnly(): boolean {
 		return this.isLarge || !this._directory.isDiscoveryDone;
 	}
 
-	/** For whom this node holds connections to an endpoint. */
+	/** The role in which this node holds connections to an endpoint. */
 	holding(endpoint: RegisteredEndpoint): ConnectionRole {
 		const homes = this.homes(endpoint);
 		if (homes.length === 0) {
@@ -71,28 +72,28 @@
 		return this.isCoordinator || homes.some(({name}) => name === this._services.self.name) ? 'forAll' : 'forNone';
 	}
 
-	/** This node's share of what each endpoint accepts from all nodes that connect to it. */
+	/** This node's share of the connections that an endpoint accepts from all nodes; the whole limit in a large fleet. */
 	connectionQuota(limit: number): number {
 		return this.isLarge ? limit : Math.max(1, Math.floor(limit / this._reachableNodes().length));
 	}
 
-	/** The node that asks endpoints for this one: large zones share within, so that no node answers for too many. */
+	/** The node that polls endpoints for this one. A large zone has its own, so that no node is polled by too many others. */
 	coordinator(): PeerNode {
 		const {self, options} = this._services;
 		const [coordinator] = this._cached(this._coordinators, '', () => {
 			const all = this._reachableNodes();
-			const near = all.filter(({availabilityZone}) => availabilityZone === self.availabilityZone);
-			const isShared = near.length >= options.zoneSharingFrom;
+			const inZone = all.filter(({availabilityZone}) => availabilityZone === self.availabilityZone);
+			const isShared = inZone.length >= options.zoneSharingFrom;
 			if (this.isLarge) {
 				return this._firstReachable(isShared ? this._zoneOrder(self.availabilityZone) : this._currentRanking.everywhere(coordinatorTask));
 			}
 
-			return highestWeights((isShared ? near : all).map(node => ({name: node.name, hash: hashText(node.name), value: node})), coordinatorTask, 1);
+			return highestWeights((isShared ? inZone : all).map(node => ({name: node.name, hash: hashText(node.name), value: node})), coordinatorTask, 1);
 		});
 		return coordinator ?? self;
 	}
 
-	/** So many nodes that follow tables for this one, the first choice first: the asker, then who would be asker after it. */
+	/** The first `count` nodes to ask for followed tables: the coordinator, then its successors in the order of their rank. */
 	rowAskers(count: number): readonly PeerNode[] {
 		const {self, options} = this._services;
 		const order = this._zoneOrder(self.availabilityZone);
@@ -100,17 +101,17 @@
 		return (isShared ? order : this._currentRanking.everywhere(coordinatorTask)).filter(node => this._isReachable(node)).slice(0, count);
 	}
 
-	/** Nodes other than this one whose opinion on a primary counts: all, or the askers of all zones. */
+	/** Nodes other than this one whose opinion on a primary counts: all of them, or the zones' coordinators in a large fleet. */
 	observers(): readonly PeerNode[] {
 		return this.isLarge ? this._zoneCoordinators().filter(({name}) => name !== this._services.self.name) : this._directory.others();
 	}
 
-	/** Nodes that may act for a group: all that answer, or the askers of all zones. */
+	/** Nodes that may promote for a group: all reachable ones, or the zones' coordinators in a large fleet. */
 	promotionCandidates(): readonly PeerNode[] {
 		return this.isLarge ? this._zoneCoordinators() : this._reachableNodes();
 	}
 
-	/** Nodes that hold connections to an endpoint, the first choice first; empty where every node does. */
+	/** Nodes that hold connections to an endpoint, the first choice first; empty in a small fleet, where every node does. */
 	homes({id, availabilityZone}: RegisteredEndpoint): readonly PeerNode[] {
 		if (!this.isLarge) {
 			return [];
@@ -119,7 +120,7 @@
 		return this._cached(this._homes, id, () => {
 			const {options} = this._services;
 			const homes = this._currentRanking.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isReachable(node));
-			// A zone in which none of these answers is cut off: its other nodes would be tried in vain, one after the other.
+			// A zone is taken for cut off if none of its candidates is reachable: its other nodes would be tried in vain, one by one.
 			const chosen = homes.length > 0
 				? homes
 				: this._currentRanking.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isReachable(node));
@@ -127,12 +128,12 @@
 		});
 	}
 
-	/** The nodes of this zone in the order in which they keep an organisation's budget, whether they answer or not. */
+	/** All nodes of this zone, reachable or not, in the order in which they are to hold an organisation's budget. */
 	usageHolders(organisation: string): readonly PeerNode[] {
 		return this._zoneOrder(this._services.self.availabilityZone, `${usageTask} ${organisation}`);
 	}
 
-	/** One node of each other zone that keeps an organisation's budget there and answers. */
+	/** The first reachable holder of an organisation's budget in each other zone. */
 	usageHoldersInOtherZones(organisation: string): readonly PeerNode[] {
 		const {self} = this._services;
 		return this._currentRanking.zones
@@ -140,7 +141,7 @@
 			.flatMap(zone => this._firstReachable(this._zoneOrder(zone, `${usageTask} ${organisation}`)));
 	}
 
-	/** Who is there, in order for any work; kept until a node comes or goes. */
+	/** Ranking of all known nodes; cached until a node joins or leaves. */
 	private get _currentRanking(): NodeRanking {
 		const {self, options} = this._services;
 		const {membershipRevision} = this._directory;
--- a/src/common/peering/forwarded-statements.ts
+++ b/src/common/peering/forwarded-statements.ts
@@ -1,5 +1,5 @@
 /**
- * Runs statements for other nodes that cannot reach an endpoint, and holds their
+ * Runs statements for other nodes that have no connection to an endpoint themselves, and holds their
  * transactions.
  */
 import type {Either} from 'purify-ts';
@@ -20,7 +20,7 @@
 	readonly log: Log;
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
-	/** Time after which a transaction without statements is rolled back. */
+	/** Idle time in milliseconds after which a held transaction is rolled back. */
 	readonly heldForMs: () => number;
 };
 
@@ -31,10 +31,10 @@
 	isRunning: boolean;
 };
 
-/** Longest wait for the rollback of a transaction that was given up on. */
+/** Timeout of the rollback of a held transaction. */
 const rollbackTimeoutMs = 1000;
 
-/** Serves other nodes from this node's own connections. */
+/** Serves other nodes over this node's own connections to endpoints. */
 export class ForwardedStatements implements Disposable {
 	private readonly _services: ForwardingServices;
 	private readonly _entries = new Map<number, HeldEntry>();
@@ -45,12 +45,12 @@
 		this._services = services;
 	}
 
-	/** Whether nothing of other nodes is in progress here. */
+	/** Whether this node has no in-flight statement and no held transaction of another node. */
 	get isIdle(): boolean {
 		return this._inFlight === 0 && this._entries.size === 0;
 	}
 
-	/** Asks an endpoint for its state. */
+	/** Requests the status of an endpoint. */
 	async status(endpointId: string, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const endpoint = this._services.registry.endpoint(endpointId);
 		return endpoint ? this._services.pools.pool(endpoint).control({kind: 'status'}, timeoutMs) : Left(notRun('the endpoint is not registered here'));
@@ -82,7 +82,7 @@
 	async runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const entry = this._entries.get(heldId);
 		if (!entry || entry.isRunning) {
-			return Left(notRun('the transaction is held here no more'));
+			return Left(notRun('this node does not hold the transaction any more, or a statement of it is running'));
 		}
 
 		entry.timer.dispose();
@@ -112,7 +112,7 @@
 				entry.held.close();
 			},
 		};
-		// What still runs on the connection must not be followed by anything.
+		// Nothing may follow a statement that is still running on the connection, so the connection is closed.
 		await (entry.isRunning ? endings.close() : endings[manner]());
 	}
 
--- a/src/common/peering/node-ranking.test.ts
+++ b/src/common/peering/node-ranking.test.ts
@@ -6,7 +6,7 @@
 
 const largeHostShare = 0.5;
 
-/** Large hosts and three times as many small ones in each of two zones. */
+/** Nodes of two zones; in each, a quarter are on large hosts. */
 const nodes: readonly PeerNode[] = Array.from({length: 40}, (_, index) => peerNode(`n${index}`, index % 2 === 0 ? 'a' : 'b', index < 10 ? 1.35 : 0.324));
 
 function names(order: readonly PeerNode[]): string[] {
@@ -14,7 +14,7 @@
 }
 
 describe('NodeRanking', () => {
-	it('ranks alike whoever got to know the nodes in whichever order', () => {
+	it('does not depend on the order in which the nodes were learned', () => {
 		const one = new NodeRanking(nodes, largeHostShare);
 		const other = new NodeRanking(nodes.toReversed(), largeHostShare);
 		for (const work of ['i-1', 'i-2', 'proofs']) {
@@ -29,7 +29,7 @@
 		expect(cores.length).toEqual(20);
 	});
 
-	it('moves only the works of a node that is gone', () => {
+	it('moves only the tasks of a node that is gone', () => {
 		const [first] = new NodeRanking(nodes, largeHostShare).inZone('a', 'i-1', 1);
 		const fewer = new NodeRanking(nodes.filter(({name}) => name !== first.name), largeHostShare);
 		const all = new NodeRanking(nodes, largeHostShare);
@@ -39,7 +39,7 @@
 		}
 	});
 
-	it('has no nodes for a zone that nobody is in', () => {
+	it('returns no nodes for a zone without nodes', () => {
 		expect(new NodeRanking(nodes, largeHostShare).inZone('c', 'i-1', 4)).toEqual([]);
 	});
 });
--- a/src/common/peering/node-ranking.ts
+++ b/src/common/peering/node-ranking.ts
@@ -1,17 +1,17 @@
 /**
- * The order in which nodes take on a work that few of them do for all: the large hosts, then the
- * others, each by rendezvous hashing.
+ * Ranking of nodes for a task that few of them do for all: nodes on large hosts first, then the
+ * others, both in the order of rendezvous hashing.
  *
- * An order depends on who is there, not on who answers, so that it is worked out once and kept
- * until a node comes or goes. Worked out anew four times a second for 42 endpoints among 200 nodes
- * it took 5.5 ms of a node's quiet second, on a third of a core.
+ * A ranking depends on which nodes are known, not on which are reachable, so it is computed once and
+ * cached until a node joins or leaves. Computed four times a second for 42 endpoints among 200 nodes,
+ * it took 5.5 ms of each second of an idle node on a third of a core.
  */
 import {groupBy} from '../configuration/group-by.js';
 import type {Candidate} from '../membership/rendezvous.js';
 import {hashText, highestWeights} from '../membership/rendezvous.js';
 import type {PeerNode} from '../services/services.js';
 
-/** Nodes in their order for any work; the same whoever works it out, and in whichever order it got to know them. */
+/** Ranks nodes for any task; the result is the same on every node, whatever the order in which it learned of the others. */
 export class NodeRanking {
 	private readonly _largeHostShare: number;
 	private readonly _byZone: ReadonlyMap<string, ReadonlyArray<Candidate<PeerNode>>>;
@@ -24,17 +24,17 @@
 		this._byZone = groupBy(this._all, ({value}) => value.availabilityZone);
 	}
 
-	/** Zones in which nodes are. */
+	/** Availability zones that have nodes. */
 	get zones(): readonly string[] {
 		return [...this._byZone.keys()];
 	}
 
-	/** So many of a zone's nodes, those first that take the work on first. */
+	/** The first `count` nodes of a zone in their order for a task. */
 	inZone(availabilityZone: string, work: string, count: number): readonly PeerNode[] {
 		return this._cached(`in ${availabilityZone} ${work} ${count}`, () => this._rank(this._byZone.get(availabilityZone) ?? [], work, count));
 	}
 
-	/** All nodes in their order. */
+	/** The nodes of all zones in their order for a task. */
 	everywhere(work: string): readonly PeerNode[] {
 		return this._cached(`everywhere ${work}`, () => this._rank(this._all, work, this._all.length));
 	}
--- a/src/common/peering/overview-poller.ts
+++ b/src/common/peering/overview-poller.ts
@@ -1,7 +1,8 @@
 /**
- * One node asks replicas and primaries for all, and the others ask that node. What it says
- * counts from when the question was sent, less the age that it states: never as newer than it
- * is, whatever the clocks of both say.
+ * Polls the coordinator's overviews of groups, so that only the coordinator polls replicas and
+ * primaries. The time of an observation is computed as the time when the request was sent, less the
+ * age that the coordinator states. So an observation never counts as newer than it is, whatever the
+ * clocks of both nodes show.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -11,7 +12,7 @@
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
-/** Asks the node that asks for all, unless that is this node. */
+/** Polls the coordinator, unless this node is the coordinator. */
 export class OverviewPoller implements Disposable {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
@@ -32,17 +33,17 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** Time since another node answered this one or asked it, in milliseconds. */
+	/** Time in milliseconds since another node answered this one or polled it; infinite before. */
 	get heardAgoMs(): number {
 		return this._services.clock.nowMs() - this._lastContactAtMs;
 	}
 
-	/** Another node asked this one. */
+	/** Records that another node polled this one. */
 	recordIncomingPoll(): void {
 		this._lastContactAtMs = this._services.clock.nowMs();
 	}
 
-	/** Shares until disposed. */
+	/** Polls until disposed. */
 	async run(): Promise<void> {
 		const {options} = this._services;
 		while (!this._isDisposed) {
@@ -53,7 +54,7 @@
 		}
 	}
 
-	/** Asks the asking node now, unless that is this node; all who wait share the question. */
+	/** Polls the coordinator now, unless that is this node; concurrent callers share one request. */
 	async refresh(): Promise<void> {
 		const coordinator = this._fleet.coordinator();
 		if (coordinator.name === this._services.self.name) {
@@ -71,17 +72,21 @@
 		this._sleep.dispose();
 	}
 
-	/** A node that begins to ask endpoints for others looks at the groups at once: it was told of them until now. */
+	/** Wakes the trackers of all groups when this node becomes coordinator: until then it relied on another node's overviews. */
 	private _updateRole(): void {
-		const asksForOthers = this._fleet.isCoordinatorOnly && this._fleet.isCoordinator;
-		if (asksForOthers && !this._isCoordinating) {
+		const isCoordinating = this._fleet.isCoordinatorOnly && this._fleet.isCoordinator;
+		if (isCoordinating && !this._isCoordinating) {
 			this._primacies.wake();
 		}
 
-		this._isCoordinating = asksForOthers;
+		this._isCoordinating = isCoordinating;
 	}
 
-	/** A node that starts takes what the store said to the asking node, and asks the store only for changes since. */
+	/**
+	 * Reads the state of replacements from the store again, if this node is coordinator and the interval
+	 * is over. A node that starts takes that state from the coordinator and asks the store only for the
+	 * changes since then.
+	 */
 	private _renewChecks(): void {
 		const {clock, options} = this._services;
 		if (this._isCoordinating && clock.nowMs() - this._checksRenewedAtMs >= options.renewChecksMs) {
--- a/src/common/peering/peer-directory.test.ts
+++ b/src/common/peering/peer-directory.test.ts
@@ -5,22 +5,22 @@
 import {nodeTable, peeringDefaults} from './constants.js';
 import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
-type Told = {readonly peer: string; readonly notice: PeerNotice['kind']};
+type SentNotice = {readonly peer: string; readonly notice: PeerNotice['kind']};
 
-/** A node whose calls reach everybody, and what it told. */
-function reaching(): ReturnType<typeof fakePeering> & {readonly told: Told[]; register: (node: PeerNode) => void} {
-	const told: Told[] = [];
+/** A node whose calls reach every peer, and the notices that it sent. */
+function reachableFleet(): ReturnType<typeof fakePeering> & {readonly told: SentNotice[]; register: (node: PeerNode) => void} {
+	const sent: SentNotice[] = [];
 	const calls: PeerCalls = {
 		...unreachableCalls,
 		async tell(peer, {kind}) {
-			told.push({peer: peer.name, notice: kind});
+			sent.push({peer: peer.name, notice: kind});
 			return Right(peer);
 		},
 	};
 	const peering = fakePeering(calls);
 	return {
 		...peering,
-		told,
+		told: sent,
 		register(node) {
 			peering.store.put(nodeTable, node.name, JSON.stringify(node));
 		},
@@ -28,8 +28,8 @@
 }
 
 describe('PeerDirectory', () => {
-	it('meets the others of a small fleet once each', async () => {
-		const {directory, clock, told, register} = reaching();
+	it('announces itself once to each other node of a small fleet', async () => {
+		const {directory, clock, told, register} = reachableFleet();
 		register(peerNode('n1', 'a'));
 		register(peerNode('n2', 'b'));
 		void directory.run();
@@ -38,10 +38,10 @@
 		expect(told).toEqual([{peer: 'n1', notice: 'joined'}, {peer: 'n2', notice: 'joined'}]);
 	});
 
-	// Nodes that find the fleet large tell nobody, so one that looked a moment earlier, when it was
-	// small, has to look again soon.
-	it('finds out within seconds that the fleet has become large, and meets nobody then', async () => {
-		const {directory, clock, told, register} = reaching();
+	// Nodes that find the fleet large notify nobody, so a node that read the registrations a moment
+	// earlier, when the fleet was small, has to read them again soon.
+	it('finds out within seconds that the fleet has become large, and announces itself to no more nodes then', async () => {
+		const {directory, clock, told, register} = reachableFleet();
 		register(peerNode('n1', 'a'));
 		const run = directory.run();
 		await clock.advance(peeringDefaults.meetAfterMs);
@@ -53,8 +53,8 @@
 		expect([directory.isLarge, told.length]).toEqual([true, 1]);
 	});
 
-	it('reads the registrations once where they show a large fleet, as after a loss of power', async () => {
-		const {directory, clock, store, told, register} = reaching();
+	it('reads the registrations only once if they show a large fleet, as after a power failure', async () => {
+		const {directory, clock, store, told, register} = reachableFleet();
 		for (let index = 1; index < peeringDefaults.homesFrom; index++) {
 			register(peerNode(`n${index}`, 'a'));
 		}
@@ -63,10 +63,10 @@
 		expect([store.reads.get(nodeTable), told.length]).toEqual([1, 0]);
 	});
 
-	// A leaving node stays registered; a read of the registrations took it for one that is there, and
-	// statements went to it until it refused them.
+	// Guards against a leaving node being added again from its registration, which stays in the store:
+	// statements would go to it until it refuses them.
 	it('takes the registration of a node that left for its return only once it has started again', async () => {
-		const {directory, clock, register} = reaching();
+		const {directory, clock, register} = reachableFleet();
 		register(peerNode('n1', 'a'));
 		void directory.run();
 		await clock.advance(peeringDefaults.meetAfterMs);
--- a/src/common/peering/peer-directory.ts
+++ b/src/common/peering/peer-directory.ts
@@ -1,8 +1,9 @@
 /**
- * The other nodes: registered in the store, and told of by each other.
+ * The directory of the other nodes, learned from their registrations in the store and from their
+ * notices to each other.
  *
- * A node registers before it relies on leases. So whoever reads the registrations knows of
- * every node that may hold one.
+ * A node registers before it relies on leases, so a node that reads the registrations knows every
+ * node that may hold a lease.
  */
 import {z} from 'zod';
 import type {Either} from 'purify-ts';
@@ -28,29 +29,29 @@
 	cores: z.number(),
 });
 
-/** Knows the nodes, and registers this one. */
+/** Keeps track of the other nodes, and registers this one. */
 export class PeerDirectory implements Disposable {
-	/** Fires once the registrations were read for the first time, or could not be. */
+	/** Fires once, when discovery is done: the registrations were read, or could not be. */
 	readonly onDiscoveryDone: Event<void>;
-	/** Fires once the store holds this node's registration. */
+	/** Fires when the store holds this node's registration. */
 	readonly onRegistered: Event<void>;
 
 	private readonly _services: PeeringServices;
 	private readonly _sleep: WakeableSleep;
 	private readonly _nodes = new Map<string, PeerNode>();
-	/** Nodes that did not answer, by name: until when they are passed over, and for how long. */
+	/** Nodes that did not answer, by name: when their backoff ends, and its length. */
 	private readonly _unreachable = new Map<string, {readonly untilMs: number; readonly forMs: number}>();
-	/** Nodes that said that they leave, by name, and when: they finish what is in progress, and their registrations stay. */
+	/** Nodes that announced that they leave, by name, and when: they finish what is in progress, and their registrations stay. */
 	private readonly _leavingPeers = new Map<string, {readonly node: PeerNode; readonly sinceMs: number}>();
 	private _revision = 0;
 	private _membershipRevision = 0;
 	private _membershipChangedAtMs: number;
 	private _registeredAtMs: number | undefined;
-	/** Era of the store in which it was known to hold the registration. */
+	/** Era of the store in which this node last knew its registration to be stored. */
 	private _registeredEra: number | undefined;
 	private readonly _onDiscoveryDone = new Emitter<void>();
 	private readonly _onRegistered = new Emitter<void>();
-	/** The first read, until this node registers on it. */
+	/** The first read of the registrations, kept until the registration of this node uses it. */
 	private _firstRead: Promise<Either<PlatformFault, StoredRows>> | undefined;
 	private _isDiscoveryDone = false;
 	private _isRegistering = false;
@@ -66,7 +67,7 @@
 		this._sleep = new WakeableSleep(services.clock);
 		this._restoreRecord = new RestoreRecord(services, () => this.others());
 		this._restoreListener = services.restores.onRestore(() => {
-			// A large fleet follows the registrations, which are read anew at once.
+			// A large fleet follows the registrations, which its follower reads again at once after a restore.
 			this._sleep.wake();
 			this._restoreRecord.scheduleWrite();
 		});
@@ -77,22 +78,22 @@
 		return this._registeredAtMs;
 	}
 
-	/** Whether the registrations were read, or could not be. */
+	/** Whether the initial discovery is done: the registrations were read, or could not be. */
 	get isDiscoveryDone(): boolean {
 		return this._isDiscoveryDone;
 	}
 
-	/** Counts changes of who is known and who answers. */
+	/** Number of changes of the known nodes and of their reachability. */
 	get revision(): number {
 		return this._revision;
 	}
 
-	/** Counts changes of who is known. */
+	/** Number of changes of the known nodes. */
 	get membershipRevision(): number {
 		return this._membershipRevision;
 	}
 
-	/** When a node was last learned of or left; this node's start before. */
+	/** When a node last joined or left, as this node learned of it; before the first such change, when this node started. */
 	get membershipChangedAtMs(): number {
 		return this._membershipChangedAtMs;
 	}
@@ -107,28 +108,28 @@
 		return this.size >= this._services.options.homesFrom;
 	}
 
-	/** The other nodes. */
+	/** The other nodes that are known, without those that announced that they leave. */
 	others(): readonly PeerNode[] {
 		return [...this._nodes.values()];
 	}
 
-	/** Nodes that said that they leave so short a time ago that they may still serve. */
+	/** Nodes that announced that they leave so recently that they may still serve. */
 	leavingPeers(): readonly PeerNode[] {
 		const {clock, options} = this._services;
 		return [...this._leavingPeers.values()].flatMap(({node, sinceMs}) => clock.nowMs() - sinceMs < options.leavingMs ? [node] : []);
 	}
 
-	/** The other nodes that answered lately, or were not asked. */
+	/** The other nodes without those in backoff after they did not answer. */
 	reachablePeers(): readonly PeerNode[] {
 		return this.others().filter(({name}) => this.isReachable(name));
 	}
 
-	/** Whether a node answered lately, or was not asked. */
+	/** Whether a node is not in backoff after it did not answer; true for a node that was never called. */
 	isReachable(name: string): boolean {
 		return (this._unreachable.get(name)?.untilMs ?? 0) <= this._services.clock.nowMs();
 	}
 
-	/** Reads who is there, before this node can be called and registers. */
+	/** Reads the registrations before this node accepts calls of peers and registers itself. */
 	async discover(): Promise<void> {
 		this._firstRead ??= this._services.store.read(nodeTable, '');
 		const read = await this._firstRead;
@@ -136,9 +137,10 @@
 	}
 
 	/**
-	 * Registers this node, meets the others, and goes on reading who is there, while they are few.
-	 * Resolves once the fleet is large: its nodes follow the registrations, and meet nobody. A link
-	 * to each of 194 others took a node that started seconds of a third of a core.
+	 * Registers this node; in a small fleet, also announces it to the others and goes on reading the
+	 * registrations. Resolves once the fleet is large: its nodes follow the registrations and announce
+	 * nothing, since opening a link to each of 194 others took a starting node seconds of a third of a
+	 * core.
 	 */
 	async run(): Promise<void> {
 		const {options} = this._services;
@@ -149,7 +151,7 @@
 			retryMs = Math.min(retryMs * 2, options.longestRegisterRetryMs);
 		}
 
-		// A fleet that was large before a loss of power is known as one from the first read.
+		// After a power failure the first read shows the registrations from before it, so a large fleet is known at once.
 		if (this.isLarge) {
 			this._finishDiscovery();
 			return;
@@ -165,18 +167,18 @@
 				return;
 			}
 
-			const unmet = this.others().filter(({name}) => !known.has(name));
-			await this._announceJoin(unmet);
-			pauseMs = unmet.length > 0 ? options.firstReadAfterMs : Math.min(pauseMs * 2, options.readEveryMs);
+			const newNodes = this.others().filter(({name}) => !known.has(name));
+			await this._announceJoin(newNodes);
+			pauseMs = newNodes.length > 0 ? options.firstReadAfterMs : Math.min(pauseMs * 2, options.readEveryMs);
 			await this._sleep.wait(pauseMs);
-			// Others that joined meanwhile have told this node themselves.
+			// Nodes that joined meanwhile have announced themselves to this node.
 			for (const name of this._nodes.keys()) {
 				known.add(name);
 			}
 		}
 	}
 
-	/** Reads all registrations now; resolves with every node but this one. */
+	/** Reads all registrations now; resolves with the other nodes, or with the fault of the store. */
 	async refresh(): Promise<Either<PlatformFault, readonly PeerNode[]>> {
 		const read = await this._services.store.read(nodeTable, '');
 		if (read.isLeft()) {
@@ -189,17 +191,17 @@
 		return Right(this.others());
 	}
 
-	/** Takes in every registration that the store holds; this node's is written again where it is lost. */
+	/** Applies all registrations that the store holds; writes this node's again if a restore lost it. */
 	applySnapshot(rows: readonly StoredRow[]): void {
 		this.applyRows(rows);
 		const own = rows.find(({key}) => key === this._services.self.name);
-		// Rows of the era of the registration may be older than it: another node's view lags.
+		// Rows of the same era may be older than the registration, since they may come from another node, whose view lags.
 		if (this._registeredEra !== undefined && this._services.restores.era > this._registeredEra && !this._isOwnRegistration(own)) {
 			void this._restoreRegistration(own?.version ?? 0);
 		}
 	}
 
-	/** Takes in registrations. A row of another form is no node that can be called. */
+	/** Applies registrations; skips rows that do not describe a node, such as the restore record. */
 	applyRows(rows: readonly StoredRow[]): void {
 		this._restoreRecord.applyChanges(rows);
 		for (const {value} of rows) {
@@ -210,7 +212,7 @@
 		}
 	}
 
-	/** Takes in that a node is there. */
+	/** Adds a node, or replaces its entry if it has a new incarnation. */
 	learn(node: PeerNode): void {
 		const {self, log} = this._services;
 		if (node.name === self.name) {
@@ -227,7 +229,7 @@
 		}
 	}
 
-	/** Takes in that a node leaves. Its registration stays until it starts again, and is not taken for its return. */
+	/** Records that a node leaves. Its registration stays in the store until it starts again, and must not be taken for its return. */
 	markLeaving(name: string): void {
 		const known = this._nodes.get(name);
 		if (known) {
@@ -237,10 +239,10 @@
 		}
 	}
 
-	/** Takes in whether a node answered. */
+	/** Records whether a node answered a call. */
 	reportReachability(name: string, hasAnswered: boolean): void {
-		const wasPassedOver = this._unreachable.has(name);
-		if (wasPassedOver === hasAnswered) {
+		const wasUnreachable = this._unreachable.has(name);
+		if (wasUnreachable === hasAnswered) {
 			this._services.log.event(hasAnswered ? 'hostTrusted' : 'hostSuspected', {peer: name});
 		}
 
@@ -251,7 +253,7 @@
 		}
 	}
 
-	/** Tells all others that this node leaves; only in small fleets, where each is linked to each. */
+	/** Notifies all reachable nodes that this one leaves; only for small fleets, where every node is linked to every other. */
 	async leave(): Promise<void> {
 		const {calls, self, options} = this._services;
 		await Promise.all(this.reachablePeers().map(async peer => calls.tell(peer, {kind: 'left', name: self.name}, options.fenceTimeoutMs)));
@@ -272,7 +274,7 @@
 		this._membershipChangedAtMs = this._services.clock.nowMs();
 	}
 
-	/** A node that is gone for good stays registered: it is tried less and less often. */
+	/** Starts or doubles a node's backoff: a node that is gone for good stays registered, and is tried less and less often. */
 	private _markUnreachable(name: string): void {
 		const {clock, options} = this._services;
 		const nowMs = clock.nowMs();
@@ -297,7 +299,7 @@
 
 		const {rows} = read.unsafeCoerce();
 		const own = rows.find(({key}) => key === self.name);
-		// An answer that was lost is found by the next read.
+		// If the write succeeded but its answer was lost, the next read finds the registration.
 		if (!this._isOwnRegistration(own) && !await this._writeRegistration(own?.version ?? 0)) {
 			return false;
 		}
@@ -321,7 +323,7 @@
 		return written.isRight();
 	}
 
-	/** Promoters count on the registration of every node that may hold a lease. */
+	/** Registers this node again after a restore: promoters rely on the registration of every node that may hold a lease. */
 	private async _restoreRegistration(expectedVersion: number): Promise<void> {
 		if (this._isRegistering) {
 			return;
@@ -344,9 +346,10 @@
 	}
 
 	/**
-	 * Who is registered is taken for who is there, unless this node itself is new: then so may all
-	 * be, and it looks again a moment after it registered. 195 new nodes that all took the fleet for
-	 * a small one each asked every endpoint, and the store for each group.
+	 * Discovery is done with the first read, unless this node has no registration from an earlier start.
+	 * Then all nodes may be new and not registered yet, so discovery ends only with another read shortly
+	 * after this node has registered. Otherwise, when 195 new nodes start at once, each takes the fleet
+	 * for a small one, polls every endpoint, and asks the store about each group.
 	 */
 	private _applyFirstRead(read: Either<PlatformFault, StoredRows>): void {
 		const rows = read.map(found => found.rows).orDefault([]);
@@ -369,9 +372,9 @@
 	private async _announceJoin(peers: readonly PeerNode[]): Promise<void> {
 		const {calls, self, options} = this._services;
 		await Promise.all(peers.map(async peer => {
-			const met = await calls.tell(peer, {kind: 'joined', node: self}, options.joinTimeoutMs);
-			this.reportReachability(peer.name, met.isRight());
-			met.ifRight(node => {
+			const answer = await calls.tell(peer, {kind: 'joined', node: self}, options.joinTimeoutMs);
+			this.reportReachability(peer.name, answer.isRight());
+			answer.ifRight(node => {
 				this.learn(node);
 			});
 		}));
--- a/src/common/peering/primacy-peers.test.ts
+++ b/src/common/peering/primacy-peers.test.ts
@@ -7,11 +7,11 @@
 import {FleetPrimacyPeers} from './primacy-peers.js';
 import {fakePeering, peerNode, unreachableCalls} from './testing/peering-fakes.js';
 
-describe('DirectoryPeers', () => {
-	it('counts no fence as told everywhere while a restored store may lack registrations', async () => {
-		const told = peerNode('n1', 'a');
-		const peering = fakePeering({...unreachableCalls, tell: async () => Right(told)});
-		peering.directory.learn(told);
+describe('FleetPrimacyPeers', () => {
+	it('reports a fence as partly known while a restored store may lack registrations', async () => {
+		const peer = peerNode('n1', 'a');
+		const peering = fakePeering({...unreachableCalls, tell: async () => Right(peer)});
+		peering.directory.learn(peer);
 		const peers = new FleetPrimacyPeers(peering, peering.directory, new Fleet(peering, peering.directory));
 		const fence = async (): Promise<string> => peering.clock.advanceUntil(peers.fence('svc', 1, {holder: 'n0', epoch: 1}));
 		const outcomes = [await fence()];
--- a/src/common/peering/primacy-peers.ts
+++ b/src/common/peering/primacy-peers.ts
@@ -1,5 +1,5 @@
 /**
- * What other nodes say about primaries, and what they are told.
+ * Opinions of other nodes on primaries, and notices to them about primaries and fences.
  */
 import {hashText, weight} from '../membership/rendezvous.js';
 import type {
@@ -21,7 +21,7 @@
 	readonly isFenced: boolean;
 };
 
-/** Asks and tells every node that is known; the askers alone in a large fleet. */
+/** Asks and notifies every known node; in a large fleet only the coordinators of the zones, and no node of fences. */
 export class FleetPrimacyPeers implements PrimacyPeers {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
@@ -49,22 +49,22 @@
 	async opinions(service: string, primary: Primary): Promise<Opinions> {
 		const {options} = this._services;
 		const others = this._fleet.observers();
-		const answering = new Set(this._directory.reachablePeers().map(({name}) => name));
-		const answered = await this._collectOpinions(service, others.filter(({name}) => answering.has(name)));
-		// Nodes that did not answer a moment ago would keep a promotion waiting until their time
-		// runs out. They are asked where the others are no majority: a node that comes back from
-		// behind a cut has passed over all of them, and each of them hears the primary.
+		const reachable = new Set(this._directory.reachablePeers().map(({name}) => name));
+		const answered = await this._collectOpinions(service, others.filter(({name}) => reachable.has(name)));
+		// Nodes that count as unreachable would delay a promotion until their requests time out. They are
+		// asked only if the nodes that answered are no majority: when a partition ends, a node that was cut
+		// off still counts all others as unreachable, while each of them hears from the primary.
 		if ((answered.length + 1) * 2 <= others.length + 1) {
-			answered.push(...await this._collectOpinions(service, others.filter(({name}) => !answering.has(name))));
+			answered.push(...await this._collectOpinions(service, others.filter(({name}) => !reachable.has(name))));
 		}
 
-		const isAlike = (overview: {primaryId: string; term: number} | undefined): boolean =>
+		const isSamePrimary = (overview: {primaryId: string; term: number} | undefined): boolean =>
 			overview?.primaryId === primary.endpointId && overview.term === primary.term;
 		return {
 			answered: answered.length + 1,
 			asked: others.length + 1,
 			heard: answered
-				.filter(({overview}) => isAlike(overview) && (overview?.heardAgoMs ?? Number.POSITIVE_INFINITY) <= options.relayHeardMs)
+				.filter(({overview}) => isSamePrimary(overview) && (overview?.heardAgoMs ?? Number.POSITIVE_INFINITY) <= options.relayHeardMs)
 				.map(({peer}) => peer),
 			later: answered.flatMap(({overview}) => overview && overview.term > primary.term ? [{endpointId: overview.primaryId, term: overview.term}] : []),
 		};
@@ -80,10 +80,14 @@
 	}
 
 	/**
-	 * All who are registered must know: who is not told may hold a lease until it runs out. So may,
-	 * for a while after a restore, a node whose registration the store has lost. In a
-	 * large fleet that is waited for and nobody is told: one node that does not answer leads to the
-	 * wait in any case, and a link to each of 194 others takes a promoter longer than the 0.8 s.
+	 * Notifies every registered node of the fence. A node that is not notified may hold a lease of the
+	 * term until the lease expires; so may, for some time after a restore of the store, a node whose
+	 * registration was lost. In both cases the result is `partly`, and the promoter waits until every
+	 * lease has expired.
+	 *
+	 * In a large fleet nobody is notified and the promoter always waits: one node that does not answer
+	 * leads to the wait in any case, and opening a link to each of 194 others takes a promoter longer
+	 * than the wait of 0.8 s.
 	 */
 	async fence(service: string, term: number, promoter: PromoterId): Promise<FenceOutcome> {
 		if (this._fleet.isLarge) {
@@ -100,7 +104,7 @@
 
 	async removeFence(service: string, term: number, promoter: PromoterId): Promise<void> {
 		if (this._fleet.isLarge) {
-			// Who was told while the fleet was small asks the store before it believes a proof again.
+			// A node that was notified while the fleet was small checks the store before it accepts a proof of the term again.
 			return;
 		}
 
@@ -121,10 +125,10 @@
 
 	private async _tellFence(fence: FenceNotice): Promise<boolean> {
 		const {calls, options} = this._services;
-		// A node that leaves acknowledges writes under its lease until its sessions have ended.
+		// A node that is leaving acknowledges writes under its lease until its sessions have ended.
 		const peers = [...this._directory.others(), ...this._directory.leavingPeers()];
-		const told = await Promise.all(peers.map(async peer => calls.tell(peer, {kind: 'fence', ...fence}, options.fenceTimeoutMs)));
-		return told.every(answer => answer.isRight());
+		const answers = await Promise.all(peers.map(async peer => calls.tell(peer, {kind: 'fence', ...fence}, options.fenceTimeoutMs)));
+		return answers.every(answer => answer.isRight());
 	}
 }
 
--- a/src/common/peering/registrations.ts
+++ b/src/common/peering/registrations.ts
@@ -1,6 +1,6 @@
 /**
- * Who is there, in a fleet too large for every node to tell every other one: the table of the
- * registrations is followed, over the node that follows tables for the zone.
+ * Membership of a fleet that is too large for every node to notify every other one: a node follows
+ * the table of registrations, over the coordinator that follows tables for its zone.
  */
 import type {FollowedTable, FollowerServices, TableSubscriber} from '../catalog/table-follower.js';
 import {TableFollower} from '../catalog/table-follower.js';
@@ -9,7 +9,7 @@
 import type {PeerDirectory} from './peer-directory.js';
 import {nodeTable} from './constants.js';
 
-/** Registers this node and keeps the directory up to date. */
+/** Registers this node, and keeps the peer directory up to date. */
 export class Registrations implements TableSubscriber, Disposable {
 	private readonly _directory: PeerDirectory;
 	private readonly _follower: TableFollower;
@@ -20,12 +20,12 @@
 		this._follower = new TableFollower(nodeTable, this, services, {waitMs: () => services.options.followNodesWaitMs});
 	}
 
-	/** What is followed, for other nodes; not followed while the fleet is small. */
+	/** The followed table of registrations, for other nodes; it has no changes while the fleet is small. */
 	get followed(): FollowedTable {
 		return this._follower;
 	}
 
-	/** Runs until disposed. */
+	/** Runs the directory while the fleet is small, then follows the table until disposed. */
 	async run(): Promise<void> {
 		await this._directory.run();
 		if (!this._isDisposed) {
--- a/src/common/peering/relays.ts
+++ b/src/common/peering/relays.ts
@@ -1,6 +1,6 @@
 /**
- * Ways around a cut: while this node cannot reach a primary that another node hears, its
- * statements go over that node.
+ * Relays around a network partition: while this node cannot reach a primary that another node still
+ * hears from, it forwards statements over that node.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {AnswerTimes} from '../pools/answer-times.js';
@@ -25,7 +25,7 @@
 	readonly poolOptions: PoolOptions;
 };
 
-/** Finds relays and remembers them for a while. */
+/** Finds a relay for each group whose primary is out of reach, and caches it for a limited time. */
 export class Relays implements Disposable {
 	private readonly _services: RelayServices;
 	private readonly _relays = new Map<string, Relay>();
@@ -39,7 +39,7 @@
 		});
 	}
 
-	/** The way to a group's primary over another node; undefined where none is known. */
+	/** The pool that reaches a group's primary over another node; undefined if no relay is known. */
 	primaryPool(group: PrimaryTracker): StatementPool | undefined {
 		const relay = this._relays.get(group.service);
 		const nowMs = this._services.clock.nowMs();
@@ -49,14 +49,14 @@
 		}
 
 		if (nowMs >= relay.refreshAtMs) {
-			// It goes on being used while a newer one is looked for.
+			// The relay stays in use while a newer one is searched for.
 			this._searchIfDue(group);
 		}
 
 		return nowMs < relay.refreshAtMs + this._services.options.relayForMs ? relay.pool : undefined;
 	}
 
-	/** A relay did not answer or does not reach the primary either. */
+	/** Drops a group's relay because it gave no answer. */
 	forget(service: string): void {
 		this._relays.delete(service);
 	}
@@ -116,7 +116,7 @@
 			calls,
 			clock,
 			times: new AnswerTimes(clock, poolOptions),
-			// A relay that does not serve is replaced by another one.
+			// There is no other pool to prefer: a relay that gives no answer is dropped and replaced.
 			avoidMs: 0,
 			onPeerLost: () => {
 				this.forget(endpoint.service);
@@ -124,11 +124,11 @@
 		});
 	}
 
-	/** One near the primary or near this node, chosen by chance so that load spreads. */
+	/** A random one of the peers in the zone of the primary or of this node, so that load spreads; any peer if there is none. */
 	private _chooseRelay({heard}: Opinions, primaryZone: string | undefined): PeerNode | undefined {
 		const {random, self} = this._services;
-		const near = heard.filter(({availabilityZone}) => availabilityZone === self.availabilityZone || availabilityZone === primaryZone);
-		const candidates = near.length > 0 ? near : heard;
+		const nearby = heard.filter(({availabilityZone}) => availabilityZone === self.availabilityZone || availabilityZone === primaryZone);
+		const candidates = nearby.length > 0 ? nearby : heard;
 		return candidates[Math.floor(random.next() * candidates.length)];
 	}
 }
--- a/src/common/peering/remote-pool.test.ts
+++ b/src/common/peering/remote-pool.test.ts
@@ -32,32 +32,32 @@
 	return {pool, clock, lost: () => lost};
 }
 
-function failing(fault: Partial<StatementFault>): PeerCalls {
+function failingCalls(fault: Partial<StatementFault>): PeerCalls {
 	return {...unreachableCalls, run: async () => Left({isSent: false, refusal: new Refusal('endpointUnavailable'), ...fault})};
 }
 
 describe('RemotePool', () => {
-	it('is passed over for a while after its peer could not reach the endpoint, which is not the peer\'s loss', async () => {
-		const {pool, clock, lost} = poolOver(failing({cause: 'refused'}));
+	it('is avoided for some time after its peer could not reach the endpoint, without reporting the peer lost', async () => {
+		const {pool, clock, lost} = poolOver(failingCalls({cause: 'refused'}));
 		await pool.run(statement);
 		expect([pool.isAvoided, lost()]).toEqual([true, 0]);
 		await clock.advance(400);
 		expect(pool.isAvoided).toEqual(false);
 	});
 
-	it('tells that its peer is lost', async () => {
+	it('reports that its peer is lost', async () => {
 		const {pool, lost} = poolOver(unreachableCalls);
 		await pool.run(statement);
 		expect([pool.isAvoided, lost()]).toEqual([true, 1]);
 	});
 
-	it('goes on being used after a refusal for want of room', async () => {
-		const {pool, lost} = poolOver(failing({cause: 'full', refusal: new Refusal('overloaded')}));
+	it('stays in use after the endpoint refused a statement for lack of capacity', async () => {
+		const {pool, lost} = poolOver(failingCalls({cause: 'full', refusal: new Refusal('overloaded')}));
 		await pool.run(statement);
 		expect([pool.isAvoided, lost()]).toEqual([false, 0]);
 	});
 
-	it('expects more time the more of this node is on its way', async () => {
+	it('estimates more time while statements of this node are in flight', async () => {
 		const calls: PeerCalls = {...unreachableCalls, begin: async () => Right({heldId: 1}), run: async () => new Promise(() => undefined)}; // eslint-disable-line no-promise-executor-return -- never answered
 		const {pool} = poolOver(calls);
 		const before = pool.estimateMs();
--- a/src/common/peering/remote-pool.ts
+++ b/src/common/peering/remote-pool.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint that this node reaches over another node.
+ * Pool of an endpoint that this node reaches over another node.
  */
 import type {Either} from 'purify-ts';
 import type {AnswerTimes} from '../pools/answer-times.js';
@@ -10,20 +10,20 @@
 	Clock, EndManner, PeerCalls, PeerNode, RegisteredEndpoint,
 } from '../services/services.js';
 
-/** What a way over another node is made of. */
+/** Services that a remote pool uses. */
 export type RemotePoolServices = {
 	readonly endpoint: RegisteredEndpoint;
 	readonly peer: PeerNode;
 	readonly calls: PeerCalls;
 	readonly clock: Clock;
 	readonly times: AnswerTimes;
-	/** Time for which the way is passed over after the peer could not reach the endpoint; zero where there is no other. */
+	/** Time for which the pool is avoided after it gave no answer; zero if there is no other pool. */
 	readonly avoidMs: number;
-	/** Called when the peer itself gave no answer. */
+	/** Called when the peer itself is lost, as opposed to the endpoint. */
 	readonly onPeerLost: () => void;
 };
 
-/** Sends statements for one endpoint to one peer. */
+/** Forwards the statements for one endpoint to one peer. */
 export class RemotePool implements StatementPool {
 	readonly endpoint: RegisteredEndpoint;
 	readonly answerTimes: AnswerTimes;
@@ -39,12 +39,12 @@
 		this._services = services;
 	}
 
-	/** Whether the peer did not serve a moment ago. */
+	/** Whether the peer is avoided because it was lost, or could not reach the endpoint, a moment ago. */
 	get isAvoided(): boolean {
 		return this._services.clock.nowMs() < this._avoidedUntilMs;
 	}
 
-	/** Whether the peer has a connection, its answer says. */
+	/** Always false: only the answer shows whether the peer has a free connection. */
 	get isOutOfConnections(): boolean {
 		return false;
 	}
@@ -53,7 +53,7 @@
 		return this._load;
 	}
 
-	/** What waits at the peer is not known here: statements of this node that are on their way stand for it. */
+	/** Estimates from this node's in-flight statements, since the length of the peer's queue is not known here. */
 	estimateMs(): number {
 		return this.answerTimes.averageMs * (1 + (this._load / this.endpoint.slots));
 	}
@@ -70,7 +70,7 @@
 	}
 
 	closeIdle(): void {
-		// The connections are the peer's.
+		// The connections belong to the peer.
 	}
 
 	private _heldTransaction(heldId: number): HeldTransaction {
--- a/src/common/peering/restore-record.test.ts
+++ b/src/common/peering/restore-record.test.ts
@@ -6,7 +6,7 @@
 import {fakePeering} from './testing/peering-fakes.js';
 
 describe('RestoreRecord', () => {
-	it('has a node that starts after a restore read the registrations once where the time stands among them', async () => {
+	it('lets a node that starts after a restore settle with one read if the row is there', async () => {
 		const {clock, directory, restores, store} = fakePeering();
 		store.put(nodeTable, restoreRecordKey, JSON.stringify({era: 1, atMs: 0}));
 		restores.note(storeVersion(1, 1));
@@ -15,7 +15,7 @@
 		expect([restores.isSettled, store.reads.get(nodeTable)]).toEqual([true, 1]);
 	});
 
-	it('is written where it is not there', async () => {
+	it('is written if it is missing', async () => {
 		const {clock, directory, restores, store} = fakePeering();
 		restores.note(storeVersion(1, 1));
 		await directory.discover();
--- a/src/common/peering/restore-record.ts
+++ b/src/common/peering/restore-record.ts
@@ -1,6 +1,6 @@
 /**
- * The row that tells nodes which start later when the store last came back from an older copy. It
- * stands among the registrations, which every node reads when it starts.
+ * The row that tells nodes that start later when the store was last restored from an older snapshot.
+ * It is stored among the registrations, which every node reads when it starts.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {hashText} from '../membership/rendezvous.js';
@@ -8,10 +8,10 @@
 import {nodeTable} from './constants.js';
 import type {PeeringServices} from './types.js';
 
-/** Key of the row; no node has such a name. */
+/** Key of the row; no node has this name. */
 export const restoreRecordKey = '*restored';
 
-/** Writes the row, and takes it in. */
+/** Writes the row, and applies it when it is read. */
 export class RestoreRecord implements Disposable {
 	private readonly _services: PeeringServices;
 	private readonly _others: () => readonly PeerNode[];
@@ -22,7 +22,7 @@
 		this._others = others;
 	}
 
-	/** Takes in the registrations as the store said them at a time on its clock. */
+	/** Applies a snapshot of the registrations, read at a time on the store's clock in milliseconds. */
 	applySnapshot(rows: readonly StoredRow[], storeNowMs: number): void {
 		const {restores} = this._services;
 		if (restores.era === 0) {
@@ -36,7 +36,7 @@
 		}
 	}
 
-	/** Takes in changes of the registrations: whoever waits for its turn need not write a row that is there. */
+	/** Applies changes of the registrations: a node that waits for its turn does not write a row that is there already. */
 	applyChanges(rows: readonly StoredRow[]): void {
 		const row = rows.find(({key}) => key === restoreRecordKey);
 		if (row && this._services.restores.isRecordedIn(row.value)) {
@@ -44,7 +44,7 @@
 		}
 	}
 
-	/** Has the row written, by whichever node's turn comes first. */
+	/** Schedules the write of the row, staggered by the rank of this node's name so that one node writes first. */
 	scheduleWrite(): void {
 		const {clock, self, restores} = this._services;
 		const hash = hashText(self.name);
--- a/src/common/peering/testing/peering-fakes.ts
+++ b/src/common/peering/testing/peering-fakes.ts
@@ -1,5 +1,5 @@
 /**
- * A node's peering without a network: peers are names, and calls are what a test says.
+ * A node's peering without a network: peers exist by name only, and a test defines what calls return.
  */
 import {Left} from 'purify-ts';
 import {MemoryRowStore} from '../../../../standins/line/memory-row-store.js';
@@ -17,7 +17,7 @@
 
 const peerLostFault: StatementFault = {isSent: false, refusal: new Refusal('peerUnavailable', 'cut'), isPeerLost: true};
 
-/** Calls that reach nobody. */
+/** Peer calls that all fail because no peer can be reached. */
 export const unreachableCalls: PeerCalls = {
 	tell: async () => Left('cut'),
 	overview: async () => Left('cut'),
@@ -29,18 +29,18 @@
 	end: async () => undefined,
 	takeUsage: async () => Left('cut'),
 	dispose() {
-		// Nothing is held.
+		// There is nothing to dispose.
 	},
 };
 
-/** A peer by its name. */
+/** A peer node of a name. */
 export function peerNode(name: string, availabilityZone: string, cores = 1): PeerNode {
 	return {
 		name, availabilityZone, cores, host: name, port: 1, incarnation: '1',
 	};
 }
 
-/** What the parts of peering work with, for a node `n0` of zone a. */
+/** Services of peering for a node `n0` of zone `a`. */
 export function fakePeering(calls: PeerCalls = unreachableCalls): PeeringServices & {readonly clock: VirtualClock; readonly store: MemoryRowStore; readonly directory: PeerDirectory} {
 	const clock = new VirtualClock();
 	const store = new MemoryRowStore(clock);
--- a/src/common/peering/types.ts
+++ b/src/common/peering/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types shared by the parts of peering.
+ * Types shared by the modules of peering.
  */
 import type {
 	Clock, Log, Metrics, PeerCalls, PeerNode, Random, RowStore,
@@ -7,7 +7,7 @@
 import type {RestoreWatch} from '../store/restore-watch.js';
 import type {PeeringOptions} from './constants.js';
 
-/** What the parts work with. */
+/** Services that the modules of peering use. */
 export type PeeringServices = {
 	readonly clock: Clock;
 	readonly random: Random;
