--- a/src/common/membership/constants.ts
+++ b/src/common/membership/constants.ts
@@ -1,45 +1,49 @@
 /**
- * Options of the membership with their defaults, and why.
+ * Options of the membership with their defaults and the reasons for them.
  */
 
 /** Defaults of `MembershipOptions`. */
 export const membershipDefaults = {
-	/** The host list is read this often; its lag is larger. */
+	/** Minimum interval between two reads of the host list; the lag of the list is larger. */
 	readIntervalMs: 5000,
 	/**
-	 * The interval grows with the hosts, because an answer does: at some 390 bytes a host a node
-	 * reads less than 2 KB a second, and all of them together at most 5 times a second.
+	 * The read interval grows by this much per host, because an answer grows with the hosts. At some
+	 * 390 bytes per host a node reads less than 2 KB a second, and all nodes together read at most
+	 * 5 times a second.
 	 */
 	readIntervalPerHostMs: 200,
-	/** A read that has not answered after this time counts as failed. */
+	/** Timeout of a read of the list, and of a registration. */
 	readTimeoutMs: 2000,
-	/** The registration is renewed with every so many reads: a write costs the platform more. */
+	/** Number of reads per renewal of the registration: a write costs the platform more than a read. */
 	readsPerRegistration: 3,
-	/** Intervals vary by this share, so that hosts that start together do not read together. */
+	/** Random variation of intervals as a share of them, so that hosts that start together do not read together. */
 	jitter: 0.2,
-	/** Reads in a row that do not show a host before it counts as dropped; one may be an incomplete answer. */
+	/** Number of consecutive reads without a host after which it counts as dropped; a single one may be an incomplete answer. */
 	missedReadsToDrop: 2,
-	/** Bound on the list's lag: for this long a host's own word goes before what the list shows, or does not show. */
+	/** Upper bound on the list's lag: for this long what a host reported itself takes precedence over the list. */
 	listLagMs: 60_000,
-	/** Failures in a row after which a host is passed over; a single one may be a restart of a link. */
+	/** Number of consecutive failures after which a host is suspected; a single one may be a link that restarts. */
 	failuresToSuspect: 2,
-	/** First time after which a suspected host is tried again; doubles up to the largest. */
+	/** First delay before a suspected host is tried again; it doubles up to `maximumRetryMs`. */
 	firstRetryMs: 1000,
 	maximumRetryMs: 15_000,
-	/** A suspicion that nothing confirms any more ends by itself. */
+	/** Time after the last failure at which a suspicion expires. */
 	maximumSuspicionMs: 60_000,
-	/** Homes that are remembered between two changes of the membership. */
+	/** Maximum number of homes that are cached between two changes of the membership. */
 	maximumMemoisedHomes: 50_000,
 };
 
 /** Options of the membership; units are in the names. */
 export type MembershipOptions = typeof membershipDefaults;
 
-/** Peers that a node passes a new version on to. */
+/** Maximum number of peers to which a node forwards a new version. */
 export const fanOutDegree = 8;
 
-/** Growth of the read interval at which a registration is renewed at once; it lasts for several times the interval between renewals. */
+/**
+ * Factor by which the read interval must have grown since the last registration for a renewal at
+ * once. A registration lasts for several of the renewal intervals that were known when it was made.
+ */
 export const renewalIntervalGrowth = 1.5;
 
-/** Share of the read interval after which a failed registration is repeated. */
+/** Share of the read interval after which a failed registration is tried again. */
 export const unregisteredIntervalShare = 0.1;
--- a/src/common/membership/fan-out.test.ts
+++ b/src/common/membership/fan-out.test.ts
@@ -9,13 +9,13 @@
 const zones = ['a', 'b', 'c', 'd'];
 const hosts = Array.from({length: 300}, (_, index) => listedHost(`host-${index}`, {availabilityZone: zones[index % 4]}));
 
-/** Hops after which each host is reached, from the roots on. */
+/** Number of hops from a root to each host, by name. */
 function spread(version: number): Map<string, number> {
 	const reached = new Map(rootsOf(hosts, version).map(host => [host.name, 0]));
-	let front = [...rootsOf(hosts, version)];
-	for (let hop = 1; front.length > 0; hop++) {
-		front = front.flatMap(host => childrenOf(hosts, host, version));
-		for (const host of front) {
+	let frontier = [...rootsOf(hosts, version)];
+	for (let hop = 1; frontier.length > 0; hop++) {
+		frontier = frontier.flatMap(host => childrenOf(hosts, host, version));
+		for (const host of frontier) {
 			expect(reached.has(host.name)).toEqual(false);
 			reached.set(host.name, hop);
 		}
@@ -38,13 +38,13 @@
 		}
 	});
 
-	it('has one root a zone, and other inner hosts for each version', () => {
+	it('has one root in each zone, and different roots for different versions', () => {
 		expect(rootsOf(hosts, 17).map(host => host.availabilityZone)).toEqual(zones);
 		const roots = new Set(Array.from({length: 20}, (_, version) => rootsOf(hosts, version)[0].name));
 		expect(roots.size > 10).toEqual(true);
 	});
 
-	it('puts hosts that leave last', () => {
+	it('puts hosts that are leaving last', () => {
 		const withLeaving = hosts.map(host => (host.name === 'host-4' ? {...host, isLeaving: true} : host));
 		expect(fanOutOrder(withLeaving, 'a', 17).at(-1)?.name).toEqual('host-4');
 	});
--- a/src/common/membership/home-map.ts
+++ b/src/common/membership/home-map.ts
@@ -1,21 +1,21 @@
 /**
- * Homes of endpoints over one state of the membership.
+ * Homes of endpoints for one state of the membership.
  */
 import type {Host} from '../services/services.js';
 import {hashText, highestWeight, type Candidate} from './rendezvous.js';
 
-/** An endpoint as far as its home depends on it. */
+/** The properties of an endpoint on which its home depends. */
 export type EndpointInZone = {readonly name: string; readonly availabilityZone: string};
 
-/** Finds homes among the hosts that may be one; remembers them until it is replaced. */
+/** Finds the homes of endpoints among the eligible hosts, and caches them; a change of the membership needs a new map. */
 export class HomeMap {
 	private readonly _candidates: ReadonlyArray<Candidate<Host>>;
 	private readonly _candidatesByZone = new Map<string, ReadonlyArray<Candidate<Host>>>();
 	private readonly _homes = new Map<string, Host | undefined>();
 
 	/**
-	 * `regionOf` tells the region of a zone, also of one that no host is left in. The host of the
-	 * name `confined` stands in for no other zone.
+	 * `_regionOf` returns the region of a zone, also of a zone without hosts. The host named
+	 * `_zoneBoundHost` becomes home only of endpoints in its own zone.
 	 */
 	constructor(
 		eligible: readonly Host[],
@@ -26,7 +26,7 @@
 		this._candidates = eligible.map(host => ({name: host.name, hash: hashText(host.name), value: host}));
 	}
 
-	/** The home of an endpoint; undefined when no host may be one. */
+	/** The home of an endpoint; undefined if no host is eligible. */
 	homeOf(endpoint: EndpointInZone): Host | undefined {
 		const key = `${endpoint.availabilityZone}/${endpoint.name}`;
 		const known = this._homes.get(key);
@@ -43,7 +43,7 @@
 		return home;
 	}
 
-	/** Hosts of the zone; when it has none, of its region; when that has none, any. */
+	/** The hosts of the zone; if it has none, those of its region; if that has none, all. */
 	private _candidatesOf(availabilityZone: string): ReadonlyArray<Candidate<Host>> {
 		let candidates = this._candidatesByZone.get(availabilityZone);
 		if (!candidates) {
--- a/src/common/membership/host-directory.test.ts
+++ b/src/common/membership/host-directory.test.ts
@@ -12,7 +12,7 @@
 const self = listedHost('h1');
 const endpoints = Array.from({length: 200}, (_, index) => ({name: `e${index}`, availabilityZone: 'a'}));
 
-describe('Directory', () => {
+describe('HostDirectory', () => {
 	let clock = new VirtualClock();
 	let list = new FakeHostList();
 	let log = new RecordingLog();
@@ -52,7 +52,7 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('leaves endpoints to the others of its zone while it starts, but not when the last of them leaves', async () => {
+	it('is no home while it starts and other hosts of its zone are ready', async () => {
 		directory.beginStartUp();
 		await startWith(self, listedHost('h2'), {...listedHost('h9'), availabilityZone: 'b'});
 		expect(homes()).toEqual(['h2']);
@@ -75,7 +75,7 @@
 		expect([list.reads >= 11 && list.reads <= 15, changes]).toEqual([true, 2]);
 	});
 
-	it('registers again at once when the list shows that renewals will be rarer than it told', async () => {
+	it('registers again at once if the list shows so many hosts that renewals become rarer', async () => {
 		const many = Array.from({length: 870}, (_, index) => listedHost(`h${index + 1}`));
 		await startWith(...many);
 		expect([list.reads, list.registered.length]).toEqual([1, 2]);
@@ -85,7 +85,7 @@
 		expect([list.reads, list.registered.length]).toEqual([2, 2]);
 	});
 
-	it('repeats a failed registration sooner than it reads the list of many hosts', async () => {
+	it('tries a failed registration again sooner than the next read of a long list is due', async () => {
 		await startWith(...Array.from({length: 870}, (_, index) => listedHost(`h${index + 1}`)));
 		list.condition = 'down';
 		directory.leave();
@@ -108,10 +108,10 @@
 	}
 
 	for (const condition of ['down', 'hanging'] as const) {
-		it(`keeps what is known while the platform is ${condition}`, async () => outlive(condition));
+		it(`keeps the known hosts while the platform is ${condition}`, async () => outlive(condition));
 	}
 
-	it('does not drop hosts over one incomplete answer of the list', async () => {
+	it('does not drop hosts because of one incomplete answer of the list', async () => {
 		await startWith(self, listedHost('h2'));
 		list.listed = [];
 		await clock.advance(6000);
@@ -127,7 +127,7 @@
 		expect([names(), homes()]).toEqual([['h1', 'h2'], ['h1', 'h2']]);
 	});
 
-	it('keeps a host that the list dropped while it still speaks, and for a while after', async () => {
+	it('keeps a host that the list dropped until there was no contact with it for the list\'s lag', async () => {
 		await startWith(self, listedHost('h2'), listedHost('h3'));
 		list.listed = [self];
 		directory.reportReachability('h2', true);
@@ -140,12 +140,12 @@
 		expect(names()).toEqual(['h1']);
 	});
 
-	it('passes over a host that does not answer, and asks it again later', async () => {
+	it('suspects a host that does not answer, and tries it again with backoff', async () => {
 		await startWith(self, listedHost('h2'), listedHost('h3'));
 		const asked: number[] = [];
 		directory.onRetryDue(host => {
 			asked.push(clock.nowMs());
-			// The link reports what it sees, and so does who asked.
+			// Both the link and the caller report the outcome.
 			directory.reportReachability(host.name, asked.length > 3);
 			directory.reportReachability(host.name, asked.length > 3);
 		});
@@ -161,7 +161,7 @@
 		expect(asked.map(atMs => atMs - startMs)).toEqual([1000, 3000, 7000, 15_000]);
 	});
 
-	it('ends a suspicion that nothing confirms', async () => {
+	it('ends a suspicion that is not confirmed', async () => {
 		await startWith(self, listedHost('h2'));
 		directory.reportReachability('h2', false);
 		directory.reportReachability('h2', false);
@@ -170,7 +170,7 @@
 		expect(homes()).toEqual(['h1', 'h2']);
 	});
 
-	it('knows that a host leaves until it starts anew, whatever a lagging list says', async () => {
+	it('remembers that a host is leaving until it starts again, even if a lagging list does not show that', async () => {
 		await startWith(self, listedHost('h2'));
 		directory.learn(listedHost('h2', {isLeaving: true}));
 		await clock.advance(12_000);
@@ -180,7 +180,7 @@
 		expect([homes(), directory.host('h2')?.peerPort]).toEqual([['h1', 'h2'], 7002]);
 	});
 
-	it('takes a new start from the list, and none that it replaced', async () => {
+	it('takes a new incarnation from the list, but not the previous one again', async () => {
 		await startWith(self, listedHost('h2', {incarnation: 'b', isLeaving: true}));
 		list.listed = [self, listedHost('h2', {incarnation: 'a'})];
 		await clock.advance(6000);
@@ -190,7 +190,7 @@
 		expect([homes(), directory.host('h2')?.incarnation]).toEqual([['h1', 'h2'], 'a']);
 	});
 
-	it('believes the list again once the host has been quiet for longer than the list lags', async () => {
+	it('accepts the list again once there was no contact with the host for longer than the list\'s lag', async () => {
 		await startWith(self);
 		directory.learn(listedHost('h2', {incarnation: 'c'}));
 		list.listed = [self, listedHost('h2', {incarnation: 'd'})];
@@ -200,7 +200,7 @@
 		expect(directory.host('h2')?.incarnation).toEqual('d');
 	});
 
-	it('trusts a host again that started anew', async () => {
+	it('ends the suspicion of a host that started again', async () => {
 		await startWith(self, listedHost('h2', {incarnation: 'x'}));
 		directory.reportReachability('h2', false);
 		directory.reportReachability('h2', false);
@@ -208,7 +208,7 @@
 		expect(homes()).toEqual(['h1', 'h2']);
 	});
 
-	it('announces that it leaves, until the platform has taken that', async () => {
+	it('announces that it is leaving until the platform has accepted that', async () => {
 		await startWith(self, listedHost('h2'));
 		list.condition = 'down';
 		directory.leave();
@@ -219,7 +219,7 @@
 		expect(list.registered.at(-1)?.isLeaving).toEqual(true);
 	});
 
-	it('takes a home of the region, then any, for a zone without hosts', async () => {
+	it('chooses a home in the region, or else anywhere, for a zone without hosts', async () => {
 		const remote = {availabilityZone: 'z', region: 'far'};
 		const near = listedHost('h4', {availabilityZone: 'c', region: 'far'});
 		await startWith(self, listedHost('h2', remote), listedHost('h3', {availabilityZone: 'b'}), near);
@@ -230,7 +230,7 @@
 		expect(homes('z')).toEqual(['h1', 'h3']);
 	});
 
-	it('remembers homes between changes', async () => {
+	it('returns the same homes while the membership does not change', async () => {
 		await startWith(self, listedHost('h2'));
 		const first = endpoints.map(endpoint => directory.homeOf(endpoint));
 		directory.learn(listedHost('h2'));
--- a/src/common/membership/host-directory.ts
+++ b/src/common/membership/host-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The directory of hosts: what the platform's list shows, what peers say about themselves,
- * and who answers.
+ * The directory of hosts: what the platform's host list shows, what peers report about themselves,
+ * and which hosts are reachable.
  */
 import {Left, type Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -23,7 +23,7 @@
 	readonly metrics: Metrics;
 };
 
-/** Who is there, as far as this node knows. */
+/** The known hosts and the homes that follow from them, as this node sees them. */
 export class HostDirectory implements Membership, Disposable {
 	private readonly _onChange = new Emitter<void>();
 	private readonly _onRetryDue = new Emitter<Host>();
@@ -36,12 +36,12 @@
 	private _timer: Disposable | undefined;
 	private _retryTimer: Disposable | undefined;
 	private _rounds = 0;
-	/** What the platform has taken as this host's registration. */
+	/** The state of this host that the platform accepted as its registration; undefined after a failed one. */
 	private _registered: Host | undefined;
 	private _isListAvailable = true;
-	/** Interval of reads that was known when this host registered last. */
+	/** Read interval in milliseconds at the time of this host's last registration. */
 	private _registeredIntervalMs = 0;
-	/** While it starts, this host leaves endpoints with those that have them. */
+	/** While this host starts, endpoints stay with the hosts that have them. */
 	private _isStarting = false;
 	private _isDisposed = false;
 
@@ -59,7 +59,7 @@
 		return this._onChange.event;
 	}
 
-	/** Fires when a suspected host should be asked whether it answers again. */
+	/** Fires with a suspected host that should be checked for an answer again. */
 	get onRetryDue(): Event<Host> {
 		return this._onRetryDue.event;
 	}
@@ -68,19 +68,19 @@
 		return this._self;
 	}
 
-	/** Counts this host as no home, in its own view only, until it knows enough of the others. */
+	/** Withholds this host as home, in its own view only, until it knows enough of the other hosts. */
 	beginStartUp(): void {
 		this._isStarting = true;
 		this._notifyChanged();
 	}
 
-	/** Counts this host as a home like others. */
+	/** Makes this host eligible as home like the others. */
 	endStartUp(): void {
 		this._isStarting = false;
 		this._notifyChanged();
 	}
 
-	/** Registers this host, reads the list once, and goes on doing so; resolves after the first read. */
+	/** Registers this host and reads the list, and repeats both until disposed; resolves after the first round. */
 	async start(): Promise<void> {
 		await this._runRound();
 		this._scheduleRound();
@@ -95,13 +95,13 @@
 		return name === this._self.name ? this._self : this._known.get(name)?.host;
 	}
 
-	/** Whether a host is passed over because it does not answer. */
+	/** Whether a host is suspected to be unreachable, and therefore not eligible as home. */
 	isSuspected(name: string): boolean {
 		return this._known.get(name)?.isSuspected ?? false;
 	}
 
 	homeOf(endpoint: EndpointInZone): Host | undefined {
-		this._homes ??= this._mapHomes();
+		this._homes ??= this._createHomeMap();
 		return this._homes.homeOf(endpoint);
 	}
 
@@ -148,31 +148,34 @@
 		this._onRetryDue.dispose();
 	}
 
-	private _mapHomes(): HomeMap {
+	private _createHomeMap(): HomeMap {
 		const ready = this.hosts().filter(host => !host.isLeaving && !this.isSuspected(host.name));
 		const eligible = this._isWithheldAsHome(ready) ? ready.filter(host => host !== this._self) : ready;
-		// Who starts may not know yet who serves another zone.
-		const confined = this._isStarting ? this._self.name : undefined;
-		return new HomeMap(eligible, zone => this._regions.get(zone), this._options.maximumMemoisedHomes, confined);
+		// A host that starts may not know yet which hosts serve another zone.
+		const zoneBoundHost = this._isStarting ? this._self.name : undefined;
+		return new HomeMap(eligible, zone => this._regions.get(zone), this._options.maximumMemoisedHomes, zoneBoundHost);
 	}
 
-	/** Whether this host leaves its zone's endpoints to others as yet: not when it has met those and none is left. */
+	/**
+	 * Whether this host is withheld as home while it starts. It is eligible all the same if it knows
+	 * other hosts of its zone and none of them is ready.
+	 */
 	private _isWithheldAsHome(ready: readonly Host[]): boolean {
-		const isOfZone = (host: Host) => host !== this._self && host.availabilityZone === this._self.availabilityZone;
-		return this._isStarting && (ready.some(host => isOfZone(host)) || !this.hosts().some(host => isOfZone(host)));
+		const isOtherInZone = (host: Host) => host !== this._self && host.availabilityZone === this._self.availabilityZone;
+		return this._isStarting && (ready.some(host => isOtherInZone(host)) || !this.hosts().some(host => isOtherInZone(host)));
 	}
 
 	private async _runRound(): Promise<void> {
 		const isRegistrationDue = this._registered !== this._self || this._rounds % this._options.readsPerRegistration === 0;
 		this._rounds++;
 		await Promise.all([this._read(), isRegistrationDue ? this._register() : undefined]);
-		// A registration lasts for some intervals. Made before many hosts were known, it would lapse too early.
+		// A registration lasts for several read intervals. One made before many hosts were known would expire too early.
 		if (!this._isDisposed && this._intervalMs() > this._registeredIntervalMs * renewalIntervalGrowth) {
 			await this._register();
 		}
 	}
 
-	/** Time between two reads, without jitter. */
+	/** Interval between two reads in milliseconds, without jitter. */
 	private _intervalMs(): number {
 		const {readIntervalMs, readIntervalPerHostMs} = this._options;
 		return Math.max(readIntervalMs, readIntervalPerHostMs * this.hosts().length);
@@ -185,7 +188,7 @@
 
 		const {readIntervalMs, jitter} = this._options;
 		const factor = 1 + (jitter * ((2 * this._services.random.next()) - 1));
-		// A host that the list lacks, or shows in an older state, does not wait as long as a mere reader.
+		// A host whose registration is missing or outdated in the list tries again sooner than the next read is due.
 		const hasRegistered = this._registered === this._self;
 		const intervalMs = hasRegistered ? this._intervalMs() : Math.max(readIntervalMs, this._intervalMs() * unregisteredIntervalShare);
 		this._timer = this._services.clock.setTimer(intervalMs * factor, () => {
@@ -217,7 +220,7 @@
 		});
 	}
 
-	/** Bounds a call to the platform, which may hang. */
+	/** Limits a call to the platform to `readTimeoutMs`, since it may hang. */
 	private async _withReadTimeout<T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> {
 		let timer: Disposable | undefined;
 		const timedOut = new Promise<Either<PlatformFault, T>>(resolve => {
@@ -266,7 +269,7 @@
 		}
 	}
 
-	/** The entry of a host, made when there is none. */
+	/** The entry of a host, created if there is none. */
 	private _getOrAdd(host: Host): KnownHost {
 		this._regions.set(host.availabilityZone, host.region);
 		const known = this._known.get(host.name) ?? new KnownHost(host, this._options);
@@ -301,7 +304,7 @@
 		this._onChange.fire();
 	}
 
-	/** One timer for all suspected hosts, set to the one that is due first. */
+	/** Sets one timer for all suspected hosts to the time of the retry that is due first. */
 	private _scheduleRetry(): void {
 		this._retryTimer?.dispose();
 		this._retryTimer = undefined;
@@ -324,7 +327,7 @@
 				continue;
 			}
 
-			// The next report, good or bad, decides; without one the suspicion ends in time.
+			// The next report decides whether the suspicion ends or goes on; without any report it expires.
 			known.recordRetry(nowMs);
 			this._onRetryDue.fire(known.host);
 		}
--- a/src/common/membership/known-host.ts
+++ b/src/common/membership/known-host.ts
@@ -1,17 +1,17 @@
 /**
- * What is known about one host.
+ * What this node knows about one host.
  */
 import type {Host} from '../services/services.js';
 import type {MembershipOptions} from './constants.js';
 
-/** One host of the directory: what it said, where that came from, and whether it answers. */
+/** One host of the directory: what it reported or the list shows, and whether it is reachable. */
 export class KnownHost {
 	private _host: Host;
-	/** When the host itself was last heard; undefined when only the list showed it. */
+	/** When there was last contact with the host itself; undefined if only the list has shown it. */
 	private _lastContactAtMs: number | undefined;
-	/** The incarnation before this one, which a lagging list may go on showing. */
+	/** The incarnation before the current one, which a lagging list may still show. */
 	private _previous: {readonly incarnation: string; readonly replacedAtMs: number} | undefined;
-	/** Reads of the list in a row that did not show the host; undefined when none ever did. */
+	/** Number of consecutive reads of the list that did not show the host; undefined if the list has never shown it. */
 	private _missedReads: number | undefined;
 	private _failures = 0;
 	private _suspectedAtMs: number | undefined;
@@ -23,33 +23,33 @@
 		this._host = host;
 	}
 
-	/** The newest that is known of the host. */
+	/** The newest known state of the host. */
 	get host(): Host {
 		return this._host;
 	}
 
-	/** Whether the host is passed over. */
+	/** Whether the host is suspected to be unreachable. */
 	get isSuspected(): boolean {
 		return this._suspectedAtMs !== undefined;
 	}
 
-	/** When a suspected host is to be asked again. */
+	/** When a suspected host is to be tried again. */
 	get retryAtMs(): number {
 		return this._retryAtMs;
 	}
 
-	/** Takes in what a peer said about itself; true when it changes anything. */
+	/** Applies what the host reported about itself; returns whether that changed anything. */
 	learn(reported: Host, nowMs: number): boolean {
 		this._lastContactAtMs = nowMs;
 		return this._merge(reported, nowMs);
 	}
 
-	/** Notes that the host was heard. */
+	/** Records a contact with the host. */
 	heard(nowMs: number): void {
 		this._lastContactAtMs = nowMs;
 	}
 
-	/** Takes in what a read of the list showed; true when it changes anything. */
+	/** Applies a read of the list, where `shown` is undefined if the host was not in it; returns whether that changed anything. */
 	applyListing(shown: Host | undefined, nowMs: number): boolean {
 		if (shown) {
 			this._missedReads = 0;
@@ -63,13 +63,13 @@
 		return false;
 	}
 
-	/** Whether there is still a reason to believe in the host: the list, or that it spoke not long ago. */
+	/** Whether the host is to be kept, because the list shows it or there was contact with it within the list's lag. */
 	isRetained(nowMs: number): boolean {
 		const isListed = this._missedReads !== undefined && this._missedReads < this._options.missedReadsToDrop;
 		return isListed || this._isWithinLag(this._lastContactAtMs, nowMs);
 	}
 
-	/** Notes that the host did not answer; true when it becomes suspected by that. */
+	/** Records that the host did not answer; returns whether it becomes suspected by that. */
 	failed(nowMs: number): boolean {
 		this._failures++;
 		if (this._failures < this._options.failuresToSuspect) {
@@ -82,7 +82,7 @@
 			this._retryMs = this._options.firstRetryMs;
 			this._retryAtMs = nowMs + this._retryMs;
 		} else if (this._isRetryPending) {
-			// One failed retry counts once, however many report it.
+			// A failed retry counts once, however many callers report it.
 			this._isRetryPending = false;
 			this._retryMs = Math.min(this._retryMs * 2, this._options.maximumRetryMs);
 			this._retryAtMs = nowMs + this._retryMs;
@@ -91,13 +91,13 @@
 		return !wasSuspected;
 	}
 
-	/** Notes that the host is being asked again; without a report it is asked anew after a while. */
+	/** Records that the host is being tried again; without a report it is tried once more after the same delay. */
 	recordRetry(nowMs: number): void {
 		this._isRetryPending = true;
 		this._retryAtMs = nowMs + this._retryMs;
 	}
 
-	/** Ends the suspicion; true when there was one. */
+	/** Ends the suspicion; returns whether there was one. */
 	clearSuspicion(): boolean {
 		const wasSuspected = this.isSuspected;
 		this._failures = 0;
@@ -105,7 +105,7 @@
 		return wasSuspected;
 	}
 
-	/** Whether the suspicion has not been confirmed for so long that it ends. */
+	/** Whether the suspicion has not been confirmed for so long that it expires. */
 	isSuspicionExpired(nowMs: number): boolean {
 		return this._suspectedAtMs !== undefined && nowMs - this._suspectedAtMs >= this._options.maximumSuspicionMs;
 	}
@@ -117,14 +117,17 @@
 			this.clearSuspicion();
 		}
 
-		// Who leaves does not come back but by a new start.
+		// A host that is leaving is available again only with a new incarnation.
 		const merged = {...reported, isLeaving: reported.isLeaving || (!isNewIncarnation && this._host.isLeaving)};
 		const isChanged = !isSameHost(merged, this._host);
 		this._host = merged;
 		return isChanged;
 	}
 
-	/** Incarnations have no order; the host's own word is newer than a list that lags. */
+	/**
+	 * Whether the list shows an outdated incarnation. Incarnations have no order: what the host reported
+	 * itself within the list's lag is newer than the list.
+	 */
 	private _isOutdated(shown: Host, nowMs: number): boolean {
 		if (shown.incarnation === this._host.incarnation) {
 			return false;
--- a/src/common/membership/rendezvous.test.ts
+++ b/src/common/membership/rendezvous.test.ts
@@ -26,7 +26,7 @@
 				counts.set(home, (counts.get(home) ?? 0) + 1);
 			}
 
-			// Five standard deviations of a fair spread.
+			// Five standard deviations of an even spread.
 			const fair = endpoints.length / hostCount;
 			const bound = 5 * Math.sqrt(fair);
 			expect(counts.size).toEqual(hostCount);
@@ -41,7 +41,7 @@
 		expect(homes(shuffled)).toEqual(homes(hosts));
 	});
 
-	it('moves only what a host gains or loses', () => {
+	it('moves only the endpoints of a host that is removed', () => {
 		const hosts = names('host', 40);
 		const before = homes(hosts);
 		const after = homes(hosts.filter(host => host !== 'host-13'));
--- a/src/common/membership/rendezvous.ts
+++ b/src/common/membership/rendezvous.ts
@@ -1,14 +1,14 @@
 /**
- * Rendezvous hashing: every node ranks the hosts for an endpoint alike, without talking,
- * and a host that comes or goes moves only the endpoints that it gains or loses.
+ * Rendezvous hashing: every node ranks the hosts for an endpoint alike without communication, and a
+ * host that joins or leaves moves only the endpoints that it gains or loses.
  */
-/* eslint-disable no-bitwise -- hashing is made of them */
+/* eslint-disable no-bitwise -- the hash functions need bitwise operators */
 
 const fnvOffset = 0x81_1C_9D_C5;
 const fnvPrime = 0x01_00_01_93;
 const goldenRatio = 0x9E_37_79_B1;
 
-/** 32-bit FNV-1a of a text's UTF-16 units, mixed so that all bits depend on all. */
+/** 32-bit FNV-1a hash of a text's UTF-16 code units, mixed so that every bit depends on all of them. */
 export function hashText(text: string): number {
 	let hash = fnvOffset;
 	for (let index = 0; index < text.length; index++) {
@@ -20,24 +20,24 @@
 	return mix(hash);
 }
 
-/** Weight of a host for an endpoint, from the hashes of their names. */
+/** Weight of a host for an endpoint as an unsigned 32-bit number, from the hashes of their names. */
 export function weight(endpointHash: number, hostHash: number): number {
 	return mix(endpointHash ^ Math.imul(hostHash, goldenRatio)) >>> 0;
 }
 
-/** A host with the hash of its name. */
+/** A value that is ranked, such as a host, with its name and the hash of the name. */
 export type Candidate<T> = {
 	readonly name: string;
 	readonly hash: number;
 	readonly value: T;
 };
 
-/** The candidate of the highest weight; equal weights fall to the smaller name. */
+/** The candidate with the highest weight, and of equal weights the smaller name; undefined if there is none. */
 export function highestWeight<T>(candidates: ReadonlyArray<Candidate<T>>, endpointName: string): T | undefined {
 	return highestWeights(candidates, endpointName, 1).at(0);
 }
 
-/** The candidates of the highest weights, the heaviest first; equal weights fall to the smaller name. */
+/** The `count` candidates with the highest weights in descending order; equal weights are ordered by name. */
 export function highestWeights<T>(candidates: ReadonlyArray<Candidate<T>>, endpointName: string, count: number): T[] {
 	const endpointHash = hashText(endpointName);
 	const best: Array<{readonly candidate: Candidate<T>; readonly weight: number}> = [];
--- a/src/common/membership/testing/hosts.ts
+++ b/src/common/membership/testing/hosts.ts
@@ -4,7 +4,7 @@
 import {Left, Right, type Either} from 'purify-ts';
 import type {Host, HostList, PlatformFault} from '../../services/services.js';
 
-/** A host of tests. */
+/** A host for tests, with defaults for what `changes` does not set. */
 export function listedHost(name: string, changes: Partial<Host> = {}): Host {
 	return {
 		name,
@@ -19,11 +19,11 @@
 	};
 }
 
-/** A host list that shows what the test says. */
+/** A host list whose answers a test sets. */
 export class FakeHostList implements HostList {
-	/** What reads return. */
+	/** The hosts that reads return. */
 	listed: readonly Host[] = [];
-	/** `down` fails at once, `hanging` does not answer. */
+	/** With `down` calls fail at once, with `hanging` they never answer. */
 	condition: 'up' | 'down' | 'hanging' = 'up';
 	readonly registered: Host[] = [];
 	reads = 0;
