--- a/src/node/direct/constants.ts
+++ b/src/node/direct/constants.ts
@@ -1,46 +1,47 @@
 /**
- * Times of a node that starts and stops. All in milliseconds.
+ * Times of a node's drain and of its readiness, all in milliseconds.
  */
 
-/** How the grace time of a stop is used. */
+/** How a node that stops uses its grace time. */
 export const drainTimes = {
 	/**
-	 * Time after the node has said that it takes no callers, in which it still serves new ones:
-	 * the platform asks once a second and believes the second answer.
+	 * Time after a node has become not ready in which it still serves new callers: the platform checks
+	 * readiness once a second and acts on the second negative answer.
 	 */
 	noticeMs: 2100,
-	/** Time over which idle sessions are closed, so that they don't all return at one moment. */
+	/** Time over which idle sessions are closed, so that their callers do not all reconnect at the same moment. */
 	closeIdleMs: 700,
-	/** Share of the grace time that open transactions have to end. */
+	/** Share of the grace time within which open transactions have to end. */
 	transactionShare: 0.5,
-	/** Rest of the grace time that is not used, for what is still to be written. */
+	/** Rest of the grace time that is left unused, for output that is still to be written. */
 	marginMs: 600,
 } as const;
 
-/** Times of readiness. */
+/** Times of the readiness checks. */
 export const readinessTimes = {
-	/** Time between two looks. */
+	/** Interval between two checks. */
 	checkEveryMs: 100,
 	/**
-	 * Time without any group, heard and proved, after which the store is probed: that of a lease.
-	 * Proofs that another node shares are up to 700 ms old on a calm day; at 700 ms 8 nodes made
-	 * 500 needless calls in 34 s.
+	 * Time without a group whose primary was both heard from and proved after which the store is
+	 * probed; as long as a lease. Proofs that come over the coordinator are up to 700 ms old in normal
+	 * operation: at 700 ms, 8 nodes made 500 needless calls in 34 s.
 	 */
 	probeAfterMs: 900,
 	/**
-	 * The same where attempts to reach the groups failed: then it is not the proofs of others that
-	 * came late. Longer than one question to an endpoint may take.
+	 * The same if attempts to reach the groups failed, since then the reason cannot be proofs of the
+	 * coordinator that came late. It is longer than the timeout of one status request to an endpoint.
 	 */
 	probeAfterFailuresMs: 400,
-	/** Least time between two probes: a store that answered is not asked again at once. */
+	/** Minimum interval between two probes of the store. */
 	probeEveryMs: 500,
-	/** Time without any group after which a node that does not reach the store either is cut off. */
+	/** Time without any group after which a node that does not reach the store either counts as cut off. */
 	cutOffAfterMs: 1200,
-	/** The same where attempts to reach the groups failed: until a probe of the store has run out. */
+	/** The same if attempts to reach the groups failed; long enough for a probe of the store to time out. */
 	cutOffAfterFailuresMs: 850,
 	/**
-	 * Time after a node has said that it is cut off, in which idle sessions stay: new ones come
-	 * back to it until the platform has asked twice, once a second.
+	 * Time after a node has become not ready because it is cut off in which it keeps idle sessions: if
+	 * it closed them earlier, the callers would reconnect to it until the platform, which checks once a
+	 * second, has seen two negative answers.
 	 */
 	cutOffNoticeMs: 1900,
 } as const;
--- a/src/node/direct/direct-node.ts
+++ b/src/node/direct/direct-node.ts
@@ -1,6 +1,6 @@
 /**
- * Puts together a node that reaches every endpoint itself: the one module that knows which
- * class serves which interface there.
+ * Composition of a node that connects to every endpoint itself: the one module that knows which class
+ * implements which interface in such a node.
  */
 import {container as rootContainer} from 'tsyringe';
 import {RowAudit} from '../../common/audit/row-audit.js';
@@ -41,13 +41,13 @@
 import {StatusServer} from './status-server.js';
 import type {DirectNodeEnvironment, PlatformAdapter} from './types.js';
 
-/** A node that runs. */
+/** A running node. */
 export type RunningDirectNode = Disposable & {
-	/** Stops taking callers, finishes what is in progress within the grace time, then stops. */
+	/** Stops accepting callers, finishes what is in progress within the grace time, then disposes the node. */
 	drain(): Promise<void>;
 };
 
-/** Starts a node; rejects when an address cannot be listened on. */
+/** Starts a node; rejects if it cannot listen on an address. */
 export async function startDirectNode(environment: DirectNodeEnvironment, settings: DirectSettings, adapter: PlatformAdapter, log: Log): Promise<RunningDirectNode> {
 	const owned = new DisposableStore();
 	try {
@@ -132,9 +132,9 @@
 	const readiness = owned.register(new Readiness({
 		clock, log, isLoaded: () => catalog.isLoaded && registry.isLoaded,
 		isStoreSettled: () => restores.isSettled,
-		outOfReachForMs: () => trackers.unreachableForMs,
-		hasFailures: () => trackers.hasUnreachablePrimary,
-		isStoreAway: () => catalog.isStoreUnavailable || registry.isStoreUnavailable,
+		unreachableForMs: () => trackers.unreachableForMs,
+		hasUnreachablePrimary: () => trackers.hasUnreachablePrimary,
+		isStoreUnavailable: () => catalog.isStoreUnavailable || registry.isStoreUnavailable,
 		probeStore() {
 			void catalog.probeStore();
 		},
@@ -142,7 +142,7 @@
 			callers.closeIdleNow();
 		},
 	}));
-	// Their answers come while the rest of the node is set up.
+	// These read from the store while the rest of the node is set up.
 	catalog.start();
 	registry.start();
 	void peering.discover();
@@ -186,7 +186,7 @@
 	};
 }
 
-/** Services that every part of such a node uses. */
+/** Services that every component of such a node uses. */
 export type DirectServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -229,14 +229,14 @@
 	};
 }
 
-type ListenedParts = {
+type ListeningComponents = {
 	readonly adapter: PlatformAdapter;
 	readonly readiness: Readiness;
 	readonly metrics: PromMetrics;
 	readonly callers: LineServer;
 };
 
-async function listen(owned: DisposableStore, environment: DirectNodeEnvironment, settings: DirectSettings, parts: ListenedParts): Promise<void> {
+async function listen(owned: DisposableStore, environment: DirectNodeEnvironment, settings: DirectSettings, parts: ListeningComponents): Promise<void> {
 	const {
 		adapter, readiness, metrics, callers,
 	} = parts;
--- a/src/node/direct/direct-serve.ts
+++ b/src/node/direct/direct-serve.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a node that reaches every endpoint itself, until it is told to stop.
+ * Runs a node that connects to every endpoint itself, until it receives a stop signal.
  */
 import process from 'node:process';
 import {getHeapStatistics} from 'node:v8';
@@ -16,7 +16,7 @@
 import {startDirectNode} from './direct-node.js';
 import type {DirectNodeEnvironment, DirectServeOptions} from './types.js';
 
-/** Resolves with the exit code once the node has stopped. */
+/** Runs a node, or only checks its settings; resolves with the exit code if no node was started. */
 export async function serveDirectNode(options: DirectServeOptions): Promise<ExitCode> {
 	const environment = options.readEnvironment();
 	const settings = await readSettings(options.settingsFile);
@@ -48,11 +48,11 @@
 	const node = await startDirectNode(environment, settings, options, log);
 	await stopped;
 	await node.drain();
-	// A connection that is half open must not keep a drained process alive.
+	// A half-open connection must not keep a drained process alive.
 	process.exit(exitCodes.ok); // eslint-disable-line unicorn/no-process-exit
 }
 
-/** A start that took long, or a heap that is small, is seen in the first line. */
+/** Logs the processor time of the start and the heap limit, so that a slow start or a small heap shows in the first line. */
 function logStart(log: Log, {isCodeCacheUsed}: DirectServeOptions): void {
 	const {user, system} = process.cpuUsage();
 	log.event('processLoaded', {
@@ -73,7 +73,7 @@
 	return new RateLimitedLog(lines, new SystemClock(), settings.logs.linesPerS);
 }
 
-/** Addresses and the zone hold as long as the process: a reload checks the file and says what it holds. */
+/** Checks the environment's file and logs its result. Addresses and the zone do not change while the process runs. */
 function reload({readEnvironment}: DirectServeOptions, log: Log): void {
 	readEnvironment().ifLeft(problem => {
 		log.event('settingsReloaded', {isValid: false, problem});
--- a/src/node/direct/peering.ts
+++ b/src/node/direct/peering.ts
@@ -1,5 +1,5 @@
 /**
- * Puts together what a node needs of the other nodes.
+ * Composition of a node's peering with the other nodes.
  */
 import {catalogDefaults} from '../../common/catalog/constants.js';
 import type {EndpointRegistry} from '../../common/catalog/endpoint-registry.js';
@@ -42,7 +42,7 @@
 	readonly tuning: DirectSettings['tuning'];
 };
 
-type ServedParts = {
+type ServingComponents = {
 	readonly primacies: PrimaryTrackers;
 	readonly pools: PoolSet;
 	readonly registry: EndpointRegistry;
@@ -52,37 +52,37 @@
 	readonly tables: Readonly<Record<string, FollowedTable>>;
 };
 
-/** The parts that know other nodes. */
+/** The components that work with other nodes. */
 export type Peering = {
 	readonly self: PeerNode;
 	readonly calls: PeerCalls;
 	readonly membershipChangedAtMs: () => number;
-	/** Who keeps the budgets of organisations. */
+	/** Finds the nodes that hold the budgets of organisations. */
 	readonly usageHolders: UsageHolders;
 	readonly peers: PrimacyPeers;
 	readonly fleet: Fleet;
-	/** The store, over another node where one follows tables for all. */
+	/** The store; in a large fleet, tables are read and followed over the coordinator. */
 	readonly store: RowStore;
-	/** Pause between changes of a followed table. */
+	/** Pause in milliseconds after changes of a followed table were applied, before more are asked for. */
 	readonly paceMs: () => number;
 	readonly sharing: ProofSource;
 	createPoolSelector(pools: PoolSet): EndpointPoolSelector;
-	/** Joins the parts that follow groups; once. */
+	/** Connects the trackers of groups, and returns the relays for them; to be called once. */
 	connect(primacies: PrimaryTrackers): Relays;
-	/** Reads who is there. */
+	/** Reads the registrations of the other nodes. */
 	discover(): Promise<void>;
-	/** Listens for other nodes, registers this one and meets them. */
-	serve(parts: ServedParts): Promise<void>;
-	/** Tells the others that this node leaves. */
+	/** Listens for peers; resolves then, while registration and polling go on in the background. */
+	serve(parts: ServingComponents): Promise<void>;
+	/** Notifies the other nodes that this one leaves. */
 	leave(): Promise<void>;
-	/** Waits until nothing of other nodes is in progress here, at most for a time. */
-	awaitIdle(boundMs: number): Promise<void>;
+	/** Waits until nothing of other nodes is in progress here, or the timeout in milliseconds is over. */
+	awaitIdle(timeoutMs: number): Promise<void>;
 };
 
-/** Time between two looks whether other nodes' statements have ended. */
+/** Interval between two checks whether the statements of other nodes have ended. */
 const idleCheckMs = 20;
 
-/** Makes them; they end with `owned`. */
+/** Creates a node's peering, whose components are disposed with `owned`. */
 export function createPeering({environment, tuning}: PeeringInputs, services: DirectServices, owned: DisposableStore): Peering {
 	const {clock, log, random} = services;
 	const self: PeerNode = {
@@ -131,7 +131,7 @@
 			...shared, directory, fleet, pools, poolOptions,
 		}),
 		connect(primacies) {
-			// Before, no node asks endpoints: there may be too many of them.
+			// No node polls endpoints before its discovery is done, since there may be too many nodes for that.
 			owned.register(directory.onDiscoveryDone(() => {
 				primacies.wake();
 			}));
@@ -145,10 +145,10 @@
 		},
 		discover: async () => directory.discover(),
 		async serve({primacies, pools, registry, catalog, usage, tables}) {
-			const served = owned.register(new ForwardedStatements({
+			const forwardedStatements = owned.register(new ForwardedStatements({
 				clock, log, registry, pools, heldForMs: () => catalog.transactionIdleMs + shared.options.heldGraceMs,
 			}));
-			forwarded = served;
+			forwarded = forwardedStatements;
 			const followed: Readonly<Record<string, FollowedTable>> = {...tables, [nodeTable]: registrations.followed};
 			const notices: HandlersOf<PeerNotice, void> = {
 				joined({node}) {
@@ -179,12 +179,12 @@
 						sharing?.recordIncomingPoll();
 						return service === '' ? primacies.overviews(service) : primacies.opinion(service);
 					},
-					status: async (endpointId, timeoutMs) => served.status(endpointId, timeoutMs),
+					status: async (endpointId, timeoutMs) => forwardedStatements.status(endpointId, timeoutMs),
 					rows: async (table, afterVersion, waitMs) => followed[table]?.changes(afterVersion, waitMs),
-					run: async (endpointId, statement) => served.run(endpointId, statement),
-					begin: async (endpointId, statement, isReadOnly) => served.begin(endpointId, statement, isReadOnly),
-					runHeld: async (heldId, statement) => served.runHeld(heldId, statement),
-					end: async (heldId, manner) => served.end(heldId, manner),
+					run: async (endpointId, statement) => forwardedStatements.run(endpointId, statement),
+					begin: async (endpointId, statement, isReadOnly) => forwardedStatements.begin(endpointId, statement, isReadOnly),
+					runHeld: async (heldId, statement) => forwardedStatements.runHeld(heldId, statement),
+					end: async (heldId, manner) => forwardedStatements.end(heldId, manner),
 					takeUsage: async ask => usage.ask(ask),
 				},
 			}));
@@ -198,8 +198,8 @@
 				await directory.leave();
 			}
 		},
-		async awaitIdle(boundMs) {
-			const endMs = clock.nowMs() + boundMs;
+		async awaitIdle(timeoutMs) {
+			const endMs = clock.nowMs() + timeoutMs;
 			while (forwarded?.isIdle === false && clock.nowMs() < endMs) {
 				await pauseFor(clock, idleCheckMs);
 			}
--- a/src/node/direct/readiness.test.ts
+++ b/src/node/direct/readiness.test.ts
@@ -8,29 +8,29 @@
 	const clock = new VirtualClock();
 	let readiness: Readiness;
 
-	/** A node that reached its groups until now; the store answers probes while it is there. */
-	function start({isStoreThere, hasFailures = false, isStoreSettled = () => true}: {
-		isStoreThere: boolean; hasFailures?: boolean; isStoreSettled?: () => boolean;
+	/** Starts the readiness of a node that reached its groups until now; the store answers probes if it is reachable. */
+	function start({isStoreReachable, hasFailures = false, isStoreSettled = () => true}: {
+		isStoreReachable: boolean; hasFailures?: boolean; isStoreSettled?: () => boolean;
 	}): {probes: () => number; closed: () => number} {
-		const lostAtMs = clock.nowMs();
-		let isStoreAway = false;
+		const unreachableSinceMs = clock.nowMs();
+		let isStoreUnavailable = false;
 		let probes = 0;
 		let closed = 0;
 		readiness = new Readiness({
 			clock,
 			log: {
 				event() {
-					// Not looked at.
+					// These tests do not check the log.
 				},
 			},
 			isLoaded: () => true,
 			isStoreSettled,
-			outOfReachForMs: () => clock.nowMs() - lostAtMs,
-			hasFailures: () => hasFailures,
-			isStoreAway: () => isStoreAway,
+			unreachableForMs: () => clock.nowMs() - unreachableSinceMs,
+			hasUnreachablePrimary: () => hasFailures,
+			isStoreUnavailable: () => isStoreUnavailable,
 			probeStore() {
 				probes += 1;
-				isStoreAway = !isStoreThere;
+				isStoreUnavailable = !isStoreReachable;
 			},
 			onCutOff() {
 				closed += 1;
@@ -44,9 +44,9 @@
 		readiness.dispose();
 	});
 
-	it('is not ready before a restored store has had time to hold again what it lost, and stays so after', async () => {
+	it('is not ready before a restored store has settled, and stays ready afterwards', async () => {
 		let isSettled = false;
-		start({isStoreThere: true, isStoreSettled: () => isSettled});
+		start({isStoreReachable: true, isStoreSettled: () => isSettled});
 		await clock.advance(500);
 		expect(readiness.isReady).toEqual(false);
 		isSettled = true;
@@ -58,7 +58,7 @@
 	});
 
 	it('asks for no callers soon after it lost every group and the store', async () => {
-		const {closed} = start({isStoreThere: false});
+		const {closed} = start({isStoreReachable: false});
 		await clock.advance(readinessTimes.cutOffAfterMs - readinessTimes.checkEveryMs);
 		expect(readiness.reason).toEqual('ready');
 		await clock.advance(2 * readinessTimes.checkEveryMs);
@@ -67,20 +67,20 @@
 		expect(closed() > 0).toEqual(true);
 	});
 
-	it('asks for no callers sooner where attempts failed, once the store has not answered either', async () => {
-		start({isStoreThere: false, hasFailures: true});
+	it('asks for no callers sooner if attempts failed and the store has not answered either', async () => {
+		start({isStoreReachable: false, hasFailures: true});
 		await clock.advance(readinessTimes.cutOffAfterFailuresMs + (2 * readinessTimes.checkEveryMs));
 		expect(readiness.reason).toEqual('cutOff');
 	});
 
-	it('goes on asking for callers after failures while the store answers', async () => {
-		start({isStoreThere: true, hasFailures: true});
+	it('stays ready after failures while the store answers', async () => {
+		start({isStoreReachable: true, hasFailures: true});
 		await clock.advance(10_000);
 		expect(readiness.reason).toEqual('ready');
 	});
 
-	it('goes on asking for callers while the store answers, whatever the groups do', async () => {
-		const {probes} = start({isStoreThere: true});
+	it('stays ready while the store answers, even if no group is reached', async () => {
+		const {probes} = start({isStoreReachable: true});
 		await clock.advance(readinessTimes.probeAfterMs - readinessTimes.checkEveryMs);
 		expect(probes()).toEqual(0);
 		await clock.advance(10_000);
@@ -88,8 +88,8 @@
 		expect(probes() <= 10_000 / readinessTimes.probeEveryMs).toEqual(true);
 	});
 
-	it('asks for none once it leaves', async () => {
-		start({isStoreThere: true});
+	it('is not ready once it leaves', async () => {
+		start({isStoreReachable: true});
 		await clock.advance(readinessTimes.checkEveryMs);
 		readiness.leave();
 		expect([readiness.isReady, readiness.reason]).toEqual([false, 'leaving']);
--- a/src/node/direct/readiness.ts
+++ b/src/node/direct/readiness.ts
@@ -1,5 +1,5 @@
 /**
- * Whether this node asks for new callers.
+ * Readiness: whether the platform should send new callers to this node.
  */
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import {WakeableSleep} from '../../common/lifecycle/timing.js';
@@ -9,23 +9,23 @@
 type ReadinessServices = {
 	readonly clock: Clock;
 	readonly log: Log;
-	/** Whether the node knows its configuration and its endpoints. */
+	/** Whether the node has loaded its configuration and its endpoints. */
 	readonly isLoaded: () => boolean;
-	/** Whether the store has had time to hold again what it lost by a restore; asked until the node is ready. */
+	/** Whether there was time to write again what the store lost in a restore; used until the node is ready. */
 	readonly isStoreSettled: () => boolean;
-	/** Time for which it has reached no group. */
-	readonly outOfReachForMs: () => number;
-	/** Whether attempts to reach the groups failed since they were last reached. */
-	readonly hasFailures: () => boolean;
-	/** Whether the store does not answer, as far as the node has asked. */
-	readonly isStoreAway: () => boolean;
-	/** Asks the store whether it answers. */
+	/** Time in milliseconds for which the node has reached no group. */
+	readonly unreachableForMs: () => number;
+	/** Whether attempts to reach a primary failed, and no other group has a valid lease. */
+	readonly hasUnreachablePrimary: () => boolean;
+	/** Whether the store did not answer the last request to it. */
+	readonly isStoreUnavailable: () => boolean;
+	/** Checks whether the store answers. */
 	readonly probeStore: () => void;
-	/** Called while the node is not ready for want of anything to reach, after a notice. */
+	/** Called at every check while the node is cut off, once the platform had time to notice that. */
 	readonly onCutOff: () => void;
 };
 
-/** Follows what readiness depends on. */
+/** Checks at intervals what readiness depends on. */
 export class Readiness implements Disposable {
 	private readonly _services: ReadinessServices;
 	private readonly _sleep: WakeableSleep;
@@ -44,7 +44,7 @@
 		return this._reason === 'ready';
 	}
 
-	/** In one word, why it is ready or not. */
+	/** The reason why the node is ready or not, in one word. */
 	get reason(): string {
 		return this._reason;
 	}
@@ -53,7 +53,7 @@
 		void this._run();
 	}
 
-	/** From now on no callers are wanted. */
+	/** Makes the node not ready for good, because it leaves. */
 	leave(): void {
 		this._isLeaving = true;
 		this._check();
@@ -85,7 +85,7 @@
 			return 'leaving';
 		}
 
-		// A node that was ready knows of newer configurations than a restored store.
+		// A node that has been ready stays so after a restore, since it knows a newer configuration than the store.
 		const isUnsettled = this._reason === 'starting' && !this._services.isStoreSettled();
 		if (isUnsettled || !this._services.isLoaded()) {
 			return 'starting';
@@ -94,22 +94,22 @@
 		return this._isCutOff() ? 'cutOff' : 'ready';
 	}
 
-	/** Reaching neither any group nor the store. */
+	/** Whether the node reaches neither any group nor the store; probes the store when a probe is due. */
 	private _isCutOff(): boolean {
-		const {clock, outOfReachForMs, hasFailures, isStoreAway, probeStore} = this._services;
+		const {clock, unreachableForMs, hasUnreachablePrimary, isStoreUnavailable, probeStore} = this._services;
 		const {probeAfterMs, probeAfterFailuresMs, cutOffAfterMs, cutOffAfterFailuresMs} = readinessTimes;
-		const [probeDueMs, cutOffDueMs] = hasFailures() ? [probeAfterFailuresMs, cutOffAfterFailuresMs] : [probeAfterMs, cutOffAfterMs];
-		const awayForMs = outOfReachForMs();
+		const [probeDueMs, cutOffDueMs] = hasUnreachablePrimary() ? [probeAfterFailuresMs, cutOffAfterFailuresMs] : [probeAfterMs, cutOffAfterMs];
+		const unreachableMs = unreachableForMs();
 		const nowMs = clock.nowMs();
-		if (awayForMs >= probeDueMs && nowMs - this._probedAtMs >= readinessTimes.probeEveryMs) {
+		if (unreachableMs >= probeDueMs && nowMs - this._probedAtMs >= readinessTimes.probeEveryMs) {
 			this._probedAtMs = nowMs;
 			probeStore();
 		}
 
-		return awayForMs >= cutOffDueMs && isStoreAway();
+		return unreachableMs >= cutOffDueMs && isStoreUnavailable();
 	}
 
-	/** Callers that stay would be refused everything here, while other zones may serve them. */
+	/** Has idle sessions closed once the node has been cut off for long enough: here all is refused, while other zones may serve the callers. */
 	private _handleCutOff(reason: string): void {
 		const {clock, onCutOff} = this._services;
 		if (reason !== 'cutOff') {
--- a/src/node/direct/status-server.ts
+++ b/src/node/direct/status-server.ts
@@ -1,11 +1,11 @@
 /**
- * A small HTTP server for one path: readiness, or metrics.
+ * A small HTTP server for a single path, for readiness or metrics.
  */
 import {createServer, type Server, type ServerResponse} from 'node:http';
 import {listenOn} from '../listen-on.js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 
-/** An answer to a question. */
+/** An HTTP response of the server. */
 export type StatusResponse = {
 	readonly status: number;
 	readonly contentType: string;
@@ -14,7 +14,7 @@
 
 const notFound: StatusResponse = {status: 404, contentType: 'text/plain', text: ''};
 
-/** Answers GET at one path, and 404 elsewhere. */
+/** Answers GET requests at one path, and all other requests with status 404. */
 export class StatusServer implements Disposable {
 	private readonly _server: Server;
 
@@ -25,7 +25,7 @@
 		});
 	}
 
-	/** Listens; rejects when the address is taken. */
+	/** Listens on an address; resolves with the port, and rejects if the address is in use. */
 	async listen(host: string, port: number): Promise<number> {
 		return listenOn(this._server, {host, port});
 	}
--- a/src/node/direct/types.ts
+++ b/src/node/direct/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types of the daemon whose nodes reach every endpoint themselves.
+ * Types of the daemon whose nodes connect to every endpoint themselves.
  */
 import type {Either} from 'purify-ts';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -8,31 +8,31 @@
 	LineWire, PromotionCalls, RowFormats, RowStore,
 } from '../../common/services/services.js';
 
-/** An address to listen on or to call. */
+/** An address to listen on or to connect to. */
 export type HostPort = {
 	readonly host: string;
 	readonly port: number;
 };
 
-/** Where a node stands and what it reaches, as its platform says. */
+/** The environment of a node's process, as its platform defines it. */
 export type DirectNodeEnvironment = {
 	readonly name: string;
 	readonly availabilityZone: string;
 	readonly region: string;
-	/** Where callers connect. */
+	/** Address at which callers connect. */
 	readonly callers: HostPort;
-	/** Where the platform asks whether new callers may come. */
+	/** Address at which the platform checks readiness. */
 	readonly readiness: HostPort;
-	/** Where other nodes connect. */
+	/** Address at which other nodes connect. */
 	readonly peers: HostPort;
 	readonly store: HostPort;
-	/** Where promotions are ordered. */
+	/** Address of the platform's service that carries out promotions. */
 	readonly promotions: HostPort;
 	/** Processor cores that the process may use, fractions included. */
 	readonly cores: number;
-	/** Time that a process has to stop in. */
+	/** Time in milliseconds within which a process has to stop. */
 	readonly graceMs: number;
-	/** Time in milliseconds after which a revoked key counts on no node; undefined where only nodes in touch with the store owe that. */
+	/** Time in milliseconds after which no node accepts a revoked key; undefined if that is required only of nodes that reach the store. */
 	readonly keyRevocationMs: number | undefined;
 	/** How the usage of organisations is counted. */
 	readonly usageRule: UsageRule;
@@ -40,9 +40,9 @@
 	readonly zones: number;
 };
 
-/** What a platform's adapter lends a node. */
+/** What the adapter of a platform provides to a node. */
 export type PlatformAdapter = {
-	/** Path at which readiness is asked for. */
+	/** HTTP path at which the platform checks readiness. */
 	readonly readyPath: string;
 	readonly wire: LineWire;
 	readonly formats: RowFormats;
@@ -50,14 +50,14 @@
 	openPromotions(address: HostPort): PromotionCalls & Disposable;
 };
 
-/** What serving needs besides. */
+/** Options of serving, with the adapter of the platform. */
 export type DirectServeOptions = PlatformAdapter & {
-	/** File of the project's own settings; defaults hold without one. */
+	/** Path of the project's own settings file; undefined for the defaults. */
 	readonly settingsFile: string | undefined;
-	/** Whether only to check the settings. */
+	/** Whether to check the settings only, without starting a node. */
 	readonly isCheck: boolean;
-	/** Whether the start used the code that the build compiled. */
+	/** Whether the process started from the code cache that the build compiled. */
 	readonly isCodeCacheUsed: boolean;
-	/** Reads the place again, for a start or a reload; the text says what is wrong with it. */
+	/** Reads the environment, for a start or a reload; the text says what is wrong with it. */
 	readEnvironment(): Either<string, DirectNodeEnvironment>;
 };
