--- a/src/node/direct-peers/constants.ts
+++ b/src/node/direct-peers/constants.ts
@@ -1,31 +1,31 @@
 /**
- * Options of calls between nodes that reach every endpoint themselves. Times are in milliseconds.
+ * Options of calls between nodes that connect to every endpoint themselves. Times are in milliseconds.
  */
 
 /** Options of the calls. */
 export const directPeerDefaults = {
-	/** Longest wait for the end of a transaction at a peer to be answered. */
+	/** Timeout of a call that ends a transaction held by a peer. */
 	endTimeoutMs: 1500,
 	/**
-	 * Longest wait for the connection to a peer before its statement goes another way: nodes are
-	 * a few milliseconds apart, and a port that is closed answers at once.
+	 * Timeout of the connection to a peer, after which a statement can be sent over another one. Nodes
+	 * are a few milliseconds apart, and a closed port refuses at once.
 	 */
 	connectTimeoutMs: 150,
-	/** Time without any answer, while calls are on their way, after which a peer is probed. */
+	/** Time without any answer, while calls are in flight, after which a peer is probed. */
 	probeAfterMs: 250,
-	/** Longest wait for the answer to a probe: nodes are a few milliseconds apart. */
+	/** Timeout of a probe: nodes are a few milliseconds apart. */
 	probeTimeoutMs: 250,
 	/**
-	 * Time without calls after which a link is closed: well above the pause between two statements
-	 * to a home that is in use. Each link holds memory and a descriptor at both ends, and homes and
-	 * askers change as nodes come and go.
+	 * Time without calls after which a link is closed; well above the pause between two statements to a
+	 * home that is in use. Idle links are closed because each holds memory and a file descriptor at both
+	 * ends, and homes and coordinators change as nodes join and leave.
 	 */
 	idleLinkMs: 30_000,
-	/** Time beyond a statement's own that a peer has to answer. */
+	/** Time that a peer has for its answer beyond the timeout of the forwarded call. */
 	answerMarginMs: 100,
-	/** Largest message: a line of the protocol and what goes with it. */
+	/** Maximum message size: the longest line of the text protocol and the fields sent with it. */
 	maximumMessageBytes: 2_200_000,
 } as const;
 
-/** Id of what an asked node says without having been asked, and of probes: those of calls are counted from one. */
+/** Id of unsolicited messages, that is of notices from the answering node and of probes; ids of calls count from one. */
 export const unsolicitedId = 0;
--- a/src/node/direct-peers/conversion.test.ts
+++ b/src/node/direct-peers/conversion.test.ts
@@ -24,24 +24,24 @@
 	});
 });
 
-describe('rows that a peer follows', () => {
+describe('rows of a followed table', () => {
 	const rows = {
 		rows: [], version: 4, storeNowMs: 0, isHistoryGone: false,
 	};
 
-	it('say when nothing newer existed', () => {
+	it('carry the time at which nothing newer existed', () => {
 		const bytes = RowsAnswer.encode(toRowsAnswer({...rows, provedAfterMs: -700})).finish();
 		expect(fromRowsAnswer(RowsAnswer.decode(bytes), 'op').provedAfterMs).toEqual(-700);
 	});
 
-	it('prove nothing where a node does not say it', () => {
+	it('prove nothing if the node does not send that time', () => {
 		const bytes = RowsAnswer.encode(toRowsAnswer(rows)).finish();
 		expect(fromRowsAnswer(RowsAnswer.decode(bytes), 'op').provedAfterMs).toEqual(Number.NEGATIVE_INFINITY);
 	});
 });
 
-describe('a statement for another node', () => {
-	it('names its organisation', () => {
+describe('a forwarded statement', () => {
+	it('carries its organisation', () => {
 		const clock = new SystemClock();
 		const statement = {
 			id: 'q', text: 'READ x', session: {values: new Map(), prepared: new Map()}, caller: 'shop', priority: 1, access: 'read', deadlineMs: clock.nowMs() + 1000,
--- a/src/node/direct-peers/conversion.ts
+++ b/src/node/direct-peers/conversion.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between nodes, from and to the product's types.
+ * Conversion between the messages on links and the types of the node.
  */
 import {Refusal, errorAnswers} from '../../common/errors/error-kinds.js';
 import type {ErrorKind} from '../../common/errors/error-kinds.js';
@@ -12,14 +12,14 @@
 } from '../peers/generated/quetzalstream/direct.js';
 import {EndTransaction_Manner as Manner} from '../peers/generated/quetzalstream/direct.js';
 
-/** Manners of ending as they are sent. */
+/** The manners of ending a transaction as they are sent. */
 export const manners: Readonly<Record<EndManner, Manner>> = {
 	release: Manner.MANNER_RELEASE,
 	rollBack: Manner.MANNER_ROLL_BACK,
 	close: Manner.MANNER_CLOSE,
 };
 
-/** The manner that was sent; closing is right whatever an unknown one means. */
+/** The manner that was sent; an unknown one becomes `close`, which is safe whatever it means. */
 export function mannerOf(manner: Manner): EndManner {
 	const known = Object.entries(manners).find(([, value]) => value === manner);
 	return known ? known[0] as EndManner : 'close'; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- keys of the table above
@@ -81,7 +81,7 @@
 	}
 }
 
-/** What a node knows of groups, as it is sent. */
+/** Group overviews as they are sent. */
 export function toOverviewAnswer(groups: readonly GroupOverview[], configurationVersion: number): OverviewAnswer {
 	return {
 		configurationVersion,
@@ -100,7 +100,7 @@
 	};
 }
 
-/** What was sent of groups. */
+/** The group overviews that were sent. */
 export function fromOverviewAnswer({groups}: OverviewAnswer): GroupOverview[] {
 	return groups.flatMap(({
 		primary, heardAgoMs, provedAgoMs, sample, sampleAgoMs, begunTerm, begunAgoMs, begunVersion,
@@ -117,7 +117,7 @@
 		: []);
 }
 
-/** A statement as it is sent; its deadline becomes the time that is left. */
+/** A statement as it is sent, with the remaining time in milliseconds in place of its deadline. */
 export function toForwarded(statement: EndpointStatement, clock: Clock): ForwardedStatement {
 	const {id, text, call, session, caller, organisation, priority, access, floor, deadlineMs, silenceMs} = statement;
 	return {
@@ -135,7 +135,7 @@
 	};
 }
 
-/** The statement that was sent. */
+/** The statement that was sent, with its deadline on this node's clock. */
 export function fromForwarded(statement: ForwardedStatement, clock: Clock): EndpointStatement {
 	const {id, text, call, values, caller, organisation, priority, isWrite, floor, timeLeftMs, silenceMs} = statement;
 	return {
@@ -196,12 +196,12 @@
 	};
 }
 
-/** An endpoint's state as it is sent; the asking node counts its age from its own question. */
+/** An endpoint's status as it is sent; the requesting node computes its age from the time of its own request. */
 export function toStatusAnswer({status, applied}: ReportedStatus): StatusAnswer {
 	return {outcome: {$case: 'status', value: {...status, applied}}};
 }
 
-/** The state that was sent in answer to a question of a time; undefined where there is none. */
+/** The status that was sent in answer to a request of time `sentAtMs`; undefined if the answer holds none. */
 export function fromStatusAnswer({outcome}: StatusAnswer, sentAtMs: number): ReportedStatus | undefined {
 	if (outcome?.$case !== 'status' || !outcome.value.received) {
 		return undefined;
@@ -211,7 +211,7 @@
 	return {status: {...status, received}, applied, sentAtMs};
 }
 
-/** Followed rows as they are sent; undefined where the table is not followed. */
+/** Rows of a followed table as they are sent; `answer` is undefined if the table is not followed. */
 export function toRowsAnswer(answer: StoredRows | undefined): RowsAnswer {
 	if (!answer) {
 		return {
@@ -230,9 +230,9 @@
 	return {
 		version,
 		isHistoryGone,
-		// A peer that does not say how old its own knowledge is proves nothing.
+		// A peer that does not state the age of its rows proves nothing.
 		provedAfterMs: provedAfterMs ?? Number.NEGATIVE_INFINITY,
-		// The peer's clock says nothing here.
+		// The message carries no time of the store's clock, and the peer's own clock cannot replace it.
 		storeNowMs: 0,
 		rows: rows.map(({key, value, version: changed}) => ({
 			table, key, value, version: changed,
--- a/src/node/direct-peers/peer-client.ts
+++ b/src/node/direct-peers/peer-client.ts
@@ -20,7 +20,7 @@
 import {PeerLink} from './peer-link.js';
 import type {AnswerTo, Call, NoticeListener} from './peer-link.js';
 
-/** Keeps a link to each peer that was called. */
+/** Calls peers over one link each, opened at the first call and closed when idle or lost. */
 export class DirectPeerClient implements PeerCalls {
 	private readonly _clock: Clock;
 	private readonly _onNotice: NoticeListener;
@@ -86,7 +86,7 @@
 	}
 
 	async end(peer: PeerNode, heldId: number, manner: EndManner): Promise<void> {
-		// The peer rolls back what nobody ends, so that a lost call does no harm.
+		// If this call is lost, the peer rolls the transaction back after its idle timeout.
 		const work = {$case: 'end', value: {heldId, manner: manners[manner]}} as const;
 		await this._call(peer, {$case: 'run', value: {endpointId: '', work}}, directPeerDefaults.endTimeoutMs);
 	}
@@ -105,21 +105,21 @@
 	}
 
 	private async _forward(peer: PeerNode, request: ForwardedRequest, {deadlineMs}: EndpointStatement): Promise<Either<StatementFault, ForwardedAnswer>> {
-		const leftMs = Math.max(1, deadlineMs - this._clock.nowMs());
+		const remainingMs = Math.max(1, deadlineMs - this._clock.nowMs());
 		const link = this._link(peer);
-		const connected = await link.waitUntilConnected(Math.min(leftMs, directPeerDefaults.connectTimeoutMs));
+		const connected = await link.waitUntilConnected(Math.min(remainingMs, directPeerDefaults.connectTimeoutMs));
 		if (connected.isLeft()) {
 			return Left(peerFault(peer, connected.extract(), {isSent: false, isPeerLost: true}));
 		}
 
-		const answer = await this._call(peer, {$case: 'run', value: request}, leftMs + directPeerDefaults.answerMarginMs);
+		const answer = await this._call(peer, {$case: 'run', value: request}, remainingMs + directPeerDefaults.answerMarginMs);
 		return answer
-			// Whether the peer sent it on is not known. One that answers other calls only took too long.
+			// It is unknown whether the peer forwarded the statement. A peer that answers other calls is not lost, only slow with this one.
 			.mapLeft(reason => peerFault(peer, reason, {isSent: true, isPeerLost: link.isLost}))
 			.chain(forwarded => forwarded.outcome?.$case === 'fault' ? Left(fromFault(forwarded.outcome.value)) : Right(forwarded));
 	}
 
-	/** Counted from the call, an answer is never taken for newer than it is. */
+	/** Adds the time of the call to an answer: dated back to the call, it never counts as newer than it is. */
 	private async _withSentTime(forwarding: Promise<Either<StatementFault, ForwardedAnswer>>): Promise<Either<StatementFault, TimedAnswer>> {
 		const sentAtMs = this._clock.nowMs();
 		const answer = await forwarding;
@@ -152,7 +152,7 @@
 		return link;
 	}
 
-	/** Links to nodes that are no home or asker any more; looked for as often as others take their place. */
+	/** Closes links that are idle, as to nodes that are no home or coordinator any more; runs whenever a new link is opened. */
 	private _closeIdleLinks(): void {
 		for (const [name, link] of this._links) {
 			if (link.idleForMs >= directPeerDefaults.idleLinkMs) {
--- a/src/node/direct-peers/peer-link.test.ts
+++ b/src/node/direct-peers/peer-link.test.ts
@@ -13,8 +13,8 @@
 	name: 'n1', availabilityZone: 'a', host: '127.0.0.1', port: 1, incarnation: '1', cores: 1,
 };
 
-/** Looks whether a connection has ended, 10 ms apart: the operating system takes a moment. */
-const mostLooks = 300;
+/** Maximum number of checks, 10 ms apart, whether a connection has ended: the operating system takes some time. */
+const maximumChecks = 300;
 
 async function never<T>(): Promise<T> {
 	return new Promise(() => undefined); // eslint-disable-line no-promise-executor-return -- never answered
@@ -23,7 +23,7 @@
 const requests: PeerRequestHandlers = {
 	self: () => self,
 	onNotice() {
-		// Not looked at.
+		// These tests do not check notices from the client.
 	},
 	overview: async () => [],
 	status: async () => never(),
@@ -48,7 +48,7 @@
 		const server = new DirectPeerServer({
 			clock, requests, configurationVersion: () => 1, log: {
 				event() {
-					// Not looked at.
+					// These tests do not check the log.
 				},
 			},
 		});
@@ -69,14 +69,14 @@
 		}
 	});
 
-	it('does not take a peer for lost that only takes long over one statement', async () => {
+	it('does not mark a peer lost that is only slow with one statement', async () => {
 		const {client, peer} = await start();
 		const result = await client.run(peer, 'i-1', {...statement, deadlineMs: clock.nowMs() + 900});
 		const {isSent, isPeerLost} = result.swap().unsafeCoerce();
 		expect({isSent, isPeerLost}).toEqual({isSent: true, isPeerLost: false});
 	});
 
-	it('gives up on a peer that fell silent long before the time of its calls is over', async () => {
+	it('marks a silent peer lost long before the timeout of its calls', async () => {
 		const {client, proxy, peer} = await start();
 		await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
 		proxy.mode = 'silent';
@@ -85,14 +85,14 @@
 		expect({isSent, isPeerLost}).toEqual({isSent: true, isPeerLost: true});
 	});
 
-	it('opens a new connection after one that fell silent', async () => {
+	it('opens a new connection after the previous one fell silent', async () => {
 		const {client, proxy, peer} = await start();
 		await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
 		proxy.mode = 'silent';
 		await client.run(peer, 'i-1', {...statement, deadlineMs: clock.nowMs() + 600_000});
 		proxy.mode = 'pass';
-		const told = await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
-		expect(told.map(({name}) => name).toMaybe().extract()).toEqual('n1');
+		const answer = await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
+		expect(answer.map(({name}) => name).toMaybe().extract()).toEqual('n1');
 	});
 
 	it('says that nothing was sent to a peer that was never connected', async () => {
@@ -107,14 +107,14 @@
 		await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
 		expect(proxy.openSockets > 0).toEqual(true);
 		client.dispose();
-		for (let looks = 0; looks < mostLooks && proxy.openSockets > 0; looks++) {
+		for (let checks = 0; checks < maximumChecks && proxy.openSockets > 0; checks++) {
 			await pauseFor(clock, 10);
 		}
 
 		expect(proxy.openSockets).toEqual(0);
 	});
 
-	it('closes links that nobody used for a while when it opens another', async () => {
+	it('closes idle links when it opens another', async () => {
 		const {peer, proxy} = await start();
 		const virtual = new VirtualClock();
 		const client = new DirectPeerClient(virtual, () => undefined);
@@ -127,14 +127,14 @@
 		expect(proxy.openSockets).toEqual(2 * socketsOfOne);
 		await virtual.advance(1);
 		await tell('n3');
-		for (let looks = 0; looks < mostLooks && proxy.openSockets > 2 * socketsOfOne; looks++) {
+		for (let checks = 0; checks < maximumChecks && proxy.openSockets > 2 * socketsOfOne; checks++) {
 			await pauseFor(clock, 10);
 		}
 
 		expect(proxy.openSockets).toEqual(2 * socketsOfOne);
 	});
 
-	it('is told that the peer leaves, whether it was linked before or after', async () => {
+	it('is notified that the peer leaves, whether it was linked before or after', async () => {
 		const {client, server, peer, notices} = await start();
 		await client.tell(peer, {kind: 'joined', node: self}, 5000);
 		server.announceLeaving();
@@ -143,7 +143,7 @@
 			later.push(notice);
 		});
 		owned.push(other);
-		// What is said before an answer arrives before it.
+		// A notice that was sent before an answer arrives before it.
 		await Promise.all([client, other].map(async one => one.tell(peer, {kind: 'joined', node: self}, 5000)));
 		expect([notices, later]).toEqual([[{kind: 'left', name: 'n1'}], [{kind: 'left', name: 'n1'}]]);
 	});
--- a/src/node/direct-peers/peer-link.ts
+++ b/src/node/direct-peers/peer-link.ts
@@ -1,8 +1,8 @@
 /**
- * One stream to one peer, with any number of calls on their way.
+ * The calling side of a link: one gRPC stream to one peer, with any number of calls in flight.
  *
- * A stream costs a node a third of the processor time that single calls cost: a statement over
- * a home took 4.2 ms of all nodes' processors with a call each, measured with 20 processes.
+ * A stream takes a third of the processor time of single gRPC calls: with one call per statement, a
+ * statement over a home took 4.2 ms of processor time on all nodes together, with 20 processes.
  */
 import {Client, connectivityState, credentials} from '@grpc/grpc-js';
 import type {ClientDuplexStream} from '@grpc/grpc-js';
@@ -15,15 +15,15 @@
 import {fromNotice} from './conversion.js';
 import {directChannelOptions, directService} from './service-definition.js';
 
-/** A call, without the id that the link gives it. */
+/** A call without the id that the link assigns to it. */
 export type Call = NonNullable<LinkCall['call']>;
 
 type Answered = NonNullable<LinkAnswer['answer']>;
 
-/** Answer to a call of a kind. */
+/** The answer to a call of a kind. */
 export type AnswerTo<Kind extends Call['$case']> = Extract<Answered, {$case: Kind}>['value'];
 
-/** Takes in what a peer tells all who are linked to it. */
+/** Handles a notice that a peer sends to every node that is linked to it. */
 export type NoticeListener = (notice: PeerNotice) => void;
 
 type PendingCall = {
@@ -31,10 +31,10 @@
 	readonly settle: (answer: Either<string, LinkAnswer['answer']>) => void;
 };
 
-/** Name of no service. */
+/** Name in the request of a probe; no service has this name. */
 const probeService = '-';
 
-/** Sends calls to one start of one peer. */
+/** Sends calls to one incarnation of one peer. */
 export class PeerLink implements Disposable {
 	readonly incarnation: string;
 	private readonly _clock: Clock;
@@ -44,9 +44,9 @@
 	private _stream: ClientDuplexStream<LinkCall, LinkAnswer> | undefined;
 	private _lastId = 0;
 	private _lastAnswerAtMs = Number.NEGATIVE_INFINITY;
-	/** Looks whether the peer still answers, while calls are on their way. */
+	/** Timer of the next liveness check, or of the timeout of a probe, while calls are in flight. */
 	private _livenessTimer: Disposable | undefined;
-	private _usedAtMs: number;
+	private _lastCallAtMs: number;
 	private _isLost = false;
 	private _isRetired = false;
 
@@ -54,34 +54,34 @@
 		this.incarnation = incarnation;
 		this._clock = clock;
 		this._onNotice = onNotice;
-		this._usedAtMs = clock.nowMs();
+		this._lastCallAtMs = clock.nowMs();
 		this._client = new Client(`${host}:${port}`, credentials.createInsecure(), directChannelOptions);
 	}
 
-	/** Whether the peer ended the link, or answered nothing, not even a question that costs it nothing. */
+	/** Whether the stream has ended or failed, or the peer answered nothing, not even a probe. */
 	get isLost(): boolean {
 		return this._isLost;
 	}
 
-	/** Time since the last call; zero while one is on its way. */
+	/** Time in milliseconds since the last call was sent; zero while calls are in flight. */
 	get idleForMs(): number {
-		return this._pending.size > 0 ? 0 : this._clock.nowMs() - this._usedAtMs;
+		return this._pending.size > 0 ? 0 : this._clock.nowMs() - this._lastCallAtMs;
 	}
 
-	/** Waits a moment until there is a connection; nothing has been sent where there is none. */
-	async waitUntilConnected(boundMs: number): Promise<Either<string, undefined>> {
+	/** Waits for the connection up to a timeout in milliseconds; resolves with the reason if there is none, and then nothing was sent. */
+	async waitUntilConnected(timeoutMs: number): Promise<Either<string, undefined>> {
 		if (this._client.getChannel().getConnectivityState(true) === connectivityState.READY) {
 			return Right(undefined);
 		}
 
 		return new Promise(resolve => {
-			this._client.waitForReady(Date.now() + boundMs, error => {
+			this._client.waitForReady(Date.now() + timeoutMs, error => {
 				resolve(error ? Left(`no connection: ${error.message}`) : Right(undefined));
 			});
 		});
 	}
 
-	/** Resolves with the answer, or with why there is none within the time. */
+	/** Resolves with the answer, or with the reason why there is none within the timeout in milliseconds. */
 	async call<Kind extends Call['$case']>(call: Extract<Call, {$case: Kind}>, timeoutMs: number): Promise<Either<string, AnswerTo<Kind>>> {
 		const answer = await this._send(call, timeoutMs);
 		return answer.chain(found => found?.$case === call.$case
@@ -89,7 +89,7 @@
 			: Left('the call failed inside the peer'));
 	}
 
-	/** Takes no further calls; ends once those on their way have ended. */
+	/** Closes the link as soon as no call is in flight; the caller sends no further calls. */
 	closeWhenIdle(): void {
 		this._isRetired = true;
 		this._closeIfIdle();
@@ -98,13 +98,13 @@
 	dispose(): void {
 		this._livenessTimer?.dispose();
 		this._failPending('the link was closed');
-		// A client that closes leaves open streams, and their socket, as they are.
+		// Closing the gRPC client leaves open streams and their sockets open.
 		this._stream?.cancel();
 		this._client.close();
 	}
 
 	private async _send(call: Call, timeoutMs: number): Promise<Either<string, LinkAnswer['answer']>> {
-		this._usedAtMs = this._clock.nowMs();
+		this._lastCallAtMs = this._clock.nowMs();
 		this._stream ??= this._open();
 		const stream = this._stream;
 		this._lastId += 1;
@@ -119,7 +119,7 @@
 		});
 	}
 
-	/** A connection that fell silent shows only by this: calls may take long, a probe does not. */
+	/** Schedules a check of the peer's liveness. Only a probe detects a silent connection, since calls may take long and a probe does not. */
 	private _scheduleLivenessCheck(): Disposable {
 		const startedAtMs = this._clock.nowMs();
 		return this._clock.setTimer(directPeerDefaults.probeAfterMs, () => {
@@ -133,7 +133,7 @@
 				return;
 			}
 
-			// Of no group: the answer is empty.
+			// The probe asks for the overview of a group that does not exist, so the answer is empty.
 			this._stream?.write({id: unsolicitedId, call: {$case: 'overview', value: {service: probeService}}});
 			this._livenessTimer = this._clock.setTimer(directPeerDefaults.probeTimeoutMs, () => {
 				this._livenessTimer = undefined;
--- a/src/node/direct-peers/peer-server.ts
+++ b/src/node/direct-peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the calls of other nodes.
+ * The answering side of links between nodes.
  */
 import {Server, ServerCredentials} from '@grpc/grpc-js';
 import type {ServerDuplexStream} from '@grpc/grpc-js';
@@ -28,7 +28,7 @@
 
 const emptyAnswer: ForwardedAnswer = {outcome: undefined};
 
-/** Serves peers on one port. */
+/** Answers the calls of peers on one port. */
 export class DirectPeerServer implements Disposable {
 	private readonly _services: ServerServices;
 	private readonly _server = new Server(directChannelOptions);
@@ -44,7 +44,7 @@
 		});
 	}
 
-	/** Listens; port 0 takes a free one. Resolves with the port. */
+	/** Listens on an address, with port 0 on any free port; resolves with the port, and rejects if the address is in use. */
 	async listen(host: string, port: number): Promise<number> {
 		return new Promise((resolve, reject) => {
 			this._server.bindAsync(`${host}:${port}`, ServerCredentials.createInsecure(), (error, boundPort) => {
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Tells every node that is linked to this one, now or later, that this one leaves. They are all
-	 * who use it, so that nobody need be called for it.
+	 * Notifies every node that is linked to this one, now or later, that this one leaves. Only linked
+	 * nodes use this one, so no other node needs to be called.
 	 */
 	announceLeaving(): void {
 		this._leavingNotice = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
@@ -88,7 +88,7 @@
 			stream.end();
 		});
 		stream.on('error', () => {
-			// The peer went away; what it asked for is answered to nobody.
+			// The peer is gone, and answers to its calls are dropped.
 		});
 	}
 
@@ -175,7 +175,7 @@
 		switch (work?.$case) {
 			case 'run': {
 				const result = await requests.run(endpointId, fromForwarded(work.value, clock));
-				return answered(result);
+				return toForwardedAnswer(result);
 			}
 
 			case 'begin': {
@@ -190,7 +190,7 @@
 				}
 
 				const result = await requests.runHeld(heldId, fromForwarded(statement, clock));
-				return answered(result);
+				return toForwardedAnswer(result);
 			}
 
 			case 'end': {
@@ -217,7 +217,7 @@
 	}
 }
 
-function answered(result: Either<StatementFault, TimedAnswer>): ForwardedAnswer {
+function toForwardedAnswer(result: Either<StatementFault, TimedAnswer>): ForwardedAnswer {
 	return result.isLeft()
 		? {outcome: toFault(result.extract())}
 		: {outcome: {$case: 'reply', value: toReply(result.unsafeCoerce().answer)}};
--- a/src/node/direct-peers/service-definition.ts
+++ b/src/node/direct-peers/service-definition.ts
@@ -19,20 +19,20 @@
 	responseDeserialize: bytes => LinkAnswer.decode(bytes),
 };
 
-/** The methods, as both sides use them. */
+/** The methods of the service, for both sides. */
 export const directService = {link} as const satisfies ServiceDefinition;
 
 /** Channel options of both sides. */
 export const directChannelOptions: ChannelOptions = {
 	'grpc.max_receive_message_length': directPeerDefaults.maximumMessageBytes,
 	'grpc.max_send_message_length': directPeerDefaults.maximumMessageBytes,
-	// A statement is sent again only by who knows whether it ran.
+	// GRPC must not retry: only the sender of a statement knows whether it may be sent again.
 	'grpc.enable_retries': 0,
 	'grpc.service_config_disable_resolution': 1,
 	'grpc.use_local_subchannel_pool': 1,
 	'grpc.enable_http_proxy': 0,
 	'grpc.enable_channelz': 0,
-	// A peer that could not be reached is tried again soon: cuts end suddenly.
+	// The backoff is short because a network partition may end at any time.
 	'grpc.initial_reconnect_backoff_ms': 100,
 	'grpc.max_reconnect_backoff_ms': 400,
 };
