--- a/src/common/peering/constants.ts
+++ b/src/common/peering/constants.ts
@@ -58,8 +58,8 @@
 	 * Pause of a node of a large fleet after it applied changes of a followed table, before it asks for
 	 * more. Each of 42 endpoints writes its row every 1.2 s, and 195 nodes may start within a second.
 	 * Without the pause each change costs every node a call: 35 calls a second, most of the work of an
-	 * otherwise idle node. A change after a longer time without one is not delayed; the others reach
-	 * every node after at most two pauses, one at the coordinator and one at the nodes of its zone.
+	 * otherwise idle node. A table that changes rarely is not delayed; other changes are known on every
+	 * node after two pauses, one at the coordinator and one at the nodes of its zone.
 	 */
 	followPaceMs: 250,
 	/** Number of nodes in a zone from which on the zone has a coordinator of its own, not one for all zones. */
@@ -101,7 +101,7 @@
 	 * its rows there, and do not all read the store at the same moment.
 	 */
 	storeAwayMs: 1000,
-	/** Delay of such a node, once that backoff is over, that leaves the coordinator time to read a table. */
+	/** Delay after the end of that backoff before the node asks the coordinator again, which needs time to read the table. */
 	readAfterAskerMs: 250,
 	/** Longest wait of a node that starts for its peer discovery, before it follows tables at the store. */
 	lookBeforeFollowMs: 1000,
--- a/src/common/peering/delegating-row-store.ts
+++ b/src/common/peering/delegating-row-store.ts
@@ -16,7 +16,7 @@
 import type {PeerDirectory} from './peer-directory.js';
 import type {PeeringServices} from './types.js';
 
-const recentlyUnavailable: PlatformFault = {kind: 'unavailable', detail: 'neither the asked nodes nor the store answered a moment ago'};
+const recentlyUnavailable: PlatformFault = {kind: 'unavailable', detail: 'neither another node nor the store answered the last request, and the next one waits for a backoff'};
 
 type RowQuery = {
 	readonly table: string;
--- a/src/common/peering/peer-directory.ts
+++ b/src/common/peering/peer-directory.ts
@@ -347,9 +347,10 @@
 
 	/**
 	 * Discovery is done with the first read, unless this node has no registration from an earlier start.
-	 * Then all nodes may be new and not registered yet, so discovery ends only with another read shortly
-	 * after this node has registered. Otherwise, when 195 new nodes start at once, each takes the fleet
-	 * for a small one, polls every endpoint, and asks the store about each group.
+	 * Then all nodes may be new and not registered yet, so a fleet that looks small is read once more
+	 * shortly after this node has registered, and discovery is done only then. Otherwise, when 195 new
+	 * nodes start at once, each takes the fleet for a small one, polls every endpoint, and asks the store
+	 * about each group.
 	 */
 	private _applyFirstRead(read: Either<PlatformFault, StoredRows>): void {
 		const rows = read.map(found => found.rows).orDefault([]);
--- a/src/common/peering/primacy-peers.ts
+++ b/src/common/peering/primacy-peers.ts
@@ -21,7 +21,7 @@
 	readonly isFenced: boolean;
 };
 
-/** Asks and notifies every known node; in a large fleet only the coordinators of the zones, and no node of fences. */
+/** Asks and notifies every known node; in a large fleet only the coordinators of the zones, and it notifies no node of fences. */
 export class FleetPrimacyPeers implements PrimacyPeers {
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
--- a/src/common/peering/remote-pool.ts
+++ b/src/common/peering/remote-pool.ts
@@ -17,7 +17,7 @@
 	readonly calls: PeerCalls;
 	readonly clock: Clock;
 	readonly times: AnswerTimes;
-	/** Time for which the pool is avoided after it gave no answer; zero if there is no other pool. */
+	/** Time in milliseconds for which the pool is avoided after the peer was lost or could not reach the endpoint; zero if there is no other pool. */
 	readonly avoidMs: number;
 	/** Called when the peer itself is lost, as opposed to the endpoint. */
 	readonly onPeerLost: () => void;
