--- a/src/common/peering/forwarded-statements.ts
+++ b/src/common/peering/forwarded-statements.ts
@@ -1,5 +1,5 @@
 /**
- * Runs statements for other nodes that cannot reach an endpoint, and holds their
+ * Runs statements for other nodes that have no connection to an endpoint themselves, and holds their
  * transactions.
  */
 import type {Either} from 'purify-ts';
@@ -20,7 +20,7 @@
 	readonly log: Log;
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
-	/** Time after which a transaction without statements is rolled back. */
+	/** Idle time in milliseconds after which a held transaction is rolled back. */
 	readonly heldForMs: () => number;
 };
 
@@ -31,26 +31,26 @@
 	isRunning: boolean;
 };
 
-/** Longest wait for the rollback of a transaction that was given up on. */
+/** Timeout of the rollback of a held transaction. */
 const rollbackTimeoutMs = 1000;
 
-/** Serves other nodes from this node's own connections. */
+/** Serves other nodes over this node's own connections to endpoints. */
 export class ForwardedStatements implements Disposable {
 	private readonly _services: ForwardingServices;
 	private readonly _entries = new Map<number, HeldEntry>();
 	private _lastId = 0;
-	private _running = 0;
+	private _inFlight = 0;
 
 	constructor(services: ForwardingServices) {
 		this._services = services;
 	}
 
-	/** Whether nothing of other nodes is in progress here. */
+	/** Whether this node has no in-flight statement and no held transaction of another node. */
 	get isIdle(): boolean {
-		return this._running === 0 && this._entries.size === 0;
+		return this._inFlight === 0 && this._entries.size === 0;
 	}
 
-	/** Asks an endpoint for its state. */
+	/** Requests the status of an endpoint. */
 	async status(endpointId: string, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const endpoint = this._services.registry.endpoint(endpointId);
 		return endpoint ? this._services.pools.pool(endpoint).control({kind: 'status'}, timeoutMs) : Left(notRun('the endpoint is not registered here'));
@@ -59,7 +59,7 @@
 	async run(endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const endpoint = this._services.registry.endpoint(endpointId);
 		const result = endpoint
-			? await this._counted(async () => this._services.pools.pool(endpoint).run(statement))
+			? await this._countInFlight(async () => this._services.pools.pool(endpoint).run(statement))
 			: Left(notRun('the endpoint is not registered here'));
 		return result.ifLeft(fault => {
 			this._logFault(endpointId, statement, fault);
@@ -72,24 +72,24 @@
 			return Left(notRun('the endpoint is not registered here'));
 		}
 
-		const begun = await this._counted(async () => this._services.pools.pool(endpoint).begin(statement, isReadOnly));
+		const begun = await this._countInFlight(async () => this._services.pools.pool(endpoint).begin(statement, isReadOnly));
 		begun.ifLeft(fault => {
 			this._logFault(endpointId, statement, fault);
 		});
-		return begun.map(result => 'held' in result ? {heldId: this._keep(endpointId, result.held)} : {answer: result.answer});
+		return begun.map(result => 'held' in result ? {heldId: this._addHeld(endpointId, result.held)} : {answer: result.answer});
 	}
 
 	async runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const entry = this._entries.get(heldId);
 		if (!entry || entry.isRunning) {
-			return Left(notRun('the transaction is held here no more'));
+			return Left(notRun('this node does not hold the transaction any more, or a statement of it is running'));
 		}
 
 		entry.timer.dispose();
 		entry.isRunning = true;
 		const result = await entry.held.run(statement);
 		entry.isRunning = false;
-		entry.timer = this._expireLater(heldId);
+		entry.timer = this._startIdleTimer(heldId);
 		return result.ifLeft(fault => {
 			this._logFault(entry.endpointId, statement, fault);
 		});
@@ -112,7 +112,7 @@
 				entry.held.close();
 			},
 		};
-		// What still runs on the connection must not be followed by anything.
+		// Nothing may follow a statement that is still running on the connection, so the connection is closed.
 		await (entry.isRunning ? endings.close() : endings[manner]());
 	}
 
@@ -125,12 +125,12 @@
 		this._entries.clear();
 	}
 
-	private async _counted<T>(work: () => Promise<T>): Promise<T> {
-		this._running += 1;
+	private async _countInFlight<T>(work: () => Promise<T>): Promise<T> {
+		this._inFlight += 1;
 		try {
 			return await work();
 		} finally {
-			this._running -= 1;
+			this._inFlight -= 1;
 		}
 	}
 
@@ -142,15 +142,15 @@
 		});
 	}
 
-	private _keep(endpointId: string, held: HeldTransaction): number {
+	private _addHeld(endpointId: string, held: HeldTransaction): number {
 		this._lastId += 1;
 		this._entries.set(this._lastId, {
-			held, endpointId, timer: this._expireLater(this._lastId), isRunning: false,
+			held, endpointId, timer: this._startIdleTimer(this._lastId), isRunning: false,
 		});
 		return this._lastId;
 	}
 
-	private _expireLater(heldId: number): Disposable {
+	private _startIdleTimer(heldId: number): Disposable {
 		const {clock, log, heldForMs} = this._services;
 		return clock.setTimer(heldForMs(), () => {
 			log.event('transactionAbandoned', {heldId, reason: 'its node sent nothing more'});
--- a/src/common/peering/remote-pool.ts
+++ b/src/common/peering/remote-pool.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint that this node reaches over another node.
+ * Pool of an endpoint that this node reaches over another node.
  */
 import type {Either} from 'purify-ts';
 import type {AnswerTimes} from '../pools/answer-times.js';
@@ -10,20 +10,20 @@
 	Clock, EndManner, PeerCalls, PeerNode, RegisteredEndpoint,
 } from '../services/services.js';
 
-/** What a way over another node is made of. */
+/** Services that a remote pool uses. */
 export type RemotePoolServices = {
 	readonly endpoint: RegisteredEndpoint;
 	readonly peer: PeerNode;
 	readonly calls: PeerCalls;
 	readonly clock: Clock;
 	readonly times: AnswerTimes;
-	/** Time for which the way is passed over after the peer could not reach the endpoint; zero where there is no other. */
+	/** Time in milliseconds for which the pool is avoided after the peer was lost or could not reach the endpoint; zero if there is no other pool. */
 	readonly avoidMs: number;
-	/** Called when the peer itself gave no answer. */
+	/** Called when the peer itself is lost, as opposed to the endpoint. */
 	readonly onPeerLost: () => void;
 };
 
-/** Sends statements for one endpoint to one peer. */
+/** Forwards the statements for one endpoint to one peer. */
 export class RemotePool implements StatementPool {
 	readonly endpoint: RegisteredEndpoint;
 	readonly answerTimes: AnswerTimes;
@@ -39,12 +39,12 @@
 		this._services = services;
 	}
 
-	/** Whether the peer did not serve a moment ago. */
+	/** Whether the peer is avoided because it was lost, or could not reach the endpoint, a moment ago. */
 	get isAvoided(): boolean {
 		return this._services.clock.nowMs() < this._avoidedUntilMs;
 	}
 
-	/** Whether the peer has a connection, its answer says. */
+	/** Always false: only the answer shows whether the peer has a free connection. */
 	get isOutOfConnections(): boolean {
 		return false;
 	}
@@ -53,24 +53,24 @@
 		return this._load;
 	}
 
-	/** What waits at the peer is not known here: statements of this node that are on their way stand for it. */
+	/** Estimates from this node's in-flight statements, since the length of the peer's queue is not known here. */
 	estimateMs(): number {
 		return this.answerTimes.averageMs * (1 + (this._load / this.endpoint.slots));
 	}
 
 	async run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {calls, peer} = this._services;
-		return this._counted(async () => calls.run(peer, this.endpoint.id, statement));
+		return this._track(async () => calls.run(peer, this.endpoint.id, statement));
 	}
 
 	async begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>> {
 		const {calls, peer} = this._services;
-		const begun = await this._counted(async () => calls.begin(peer, this.endpoint.id, statement, isReadOnly));
+		const begun = await this._track(async () => calls.begin(peer, this.endpoint.id, statement, isReadOnly));
 		return begun.map(result => 'heldId' in result ? {held: this._heldTransaction(result.heldId)} : result);
 	}
 
 	closeIdle(): void {
-		// The connections are the peer's.
+		// The connections belong to the peer.
 	}
 
 	private _heldTransaction(heldId: number): HeldTransaction {
@@ -84,7 +84,7 @@
 		};
 
 		return {
-			run: async statement => this._counted(async () => calls.runHeld(peer, heldId, statement)),
+			run: async statement => this._track(async () => calls.runHeld(peer, heldId, statement)),
 			release() {
 				void end('release');
 			},
@@ -95,7 +95,7 @@
 		};
 	}
 
-	private async _counted<T>(work: () => Promise<Either<StatementFault, T>>): Promise<Either<StatementFault, T>> {
+	private async _track<T>(work: () => Promise<Either<StatementFault, T>>): Promise<Either<StatementFault, T>> {
 		const {clock} = this._services;
 		const startedAtMs = clock.nowMs();
 		this._load += 1;
@@ -103,7 +103,7 @@
 			const result = await work();
 			this.answerTimes.note(clock.nowMs() - startedAtMs);
 			result.ifLeft(fault => {
-				this._noteFault(fault);
+				this._recordFault(fault);
 			});
 			return result;
 		} finally {
@@ -111,7 +111,7 @@
 		}
 	}
 
-	private _noteFault({cause, isPeerLost = false}: StatementFault): void {
+	private _recordFault({cause, isPeerLost = false}: StatementFault): void {
 		const {clock, avoidMs, onPeerLost} = this._services;
 		if (isPeerLost) {
 			onPeerLost();
--- a/src/node/direct-peers/peer-server.ts
+++ b/src/node/direct-peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the calls of other nodes.
+ * The answering side of links between nodes.
  */
 import {Server, ServerCredentials} from '@grpc/grpc-js';
 import type {ServerDuplexStream} from '@grpc/grpc-js';
@@ -26,14 +26,14 @@
 	readonly configurationVersion: () => number;
 };
 
-const nothing: ForwardedAnswer = {outcome: undefined};
+const emptyAnswer: ForwardedAnswer = {outcome: undefined};
 
-/** Serves peers on one port. */
+/** Answers the calls of peers on one port. */
 export class DirectPeerServer implements Disposable {
 	private readonly _services: ServerServices;
 	private readonly _server = new Server(directChannelOptions);
 	private readonly _streams = new Set<LinkStream>();
-	private _farewell: LinkAnswer | undefined;
+	private _leavingNotice: LinkAnswer | undefined;
 
 	constructor(services: ServerServices) {
 		this._services = services;
@@ -44,7 +44,7 @@
 		});
 	}
 
-	/** Listens; port 0 takes a free one. Resolves with the port. */
+	/** Listens on an address, with port 0 on any free port; resolves with the port, and rejects if the address is in use. */
 	async listen(host: string, port: number): Promise<number> {
 		return new Promise((resolve, reject) => {
 			this._server.bindAsync(`${host}:${port}`, ServerCredentials.createInsecure(), (error, boundPort) => {
@@ -58,13 +58,13 @@
 	}
 
 	/**
-	 * Tells every node that is linked to this one, now or later, that this one leaves. They are all
-	 * who use it, so that nobody need be called for it.
+	 * Notifies every node that is linked to this one, now or later, that this one leaves. Only linked
+	 * nodes use this one, so no other node needs to be called.
 	 */
 	announceLeaving(): void {
-		this._farewell = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
+		this._leavingNotice = {id: unsolicitedId, answer: {$case: 'notice', value: toNotice({kind: 'left', name: this._services.requests.self().name})}};
 		for (const stream of this._streams) {
-			this._write(stream, this._farewell);
+			this._write(stream, this._leavingNotice);
 		}
 	}
 
@@ -74,8 +74,8 @@
 
 	private _serve(stream: LinkStream): void {
 		this._streams.add(stream);
-		if (this._farewell) {
-			this._write(stream, this._farewell);
+		if (this._leavingNotice) {
+			this._write(stream, this._leavingNotice);
 		}
 
 		stream.on('close', () => {
@@ -88,7 +88,7 @@
 			stream.end();
 		});
 		stream.on('error', () => {
-			// The peer went away; what it asked for is answered to nobody.
+			// The peer is gone, and answers to its calls are dropped.
 		});
 	}
 
@@ -175,31 +175,31 @@
 		switch (work?.$case) {
 			case 'run': {
 				const result = await requests.run(endpointId, fromForwarded(work.value, clock));
-				return answered(result);
+				return toForwardedAnswer(result);
 			}
 
 			case 'begin': {
 				const {statement, isReadOnly} = work.value;
-				return statement ? this._begin(endpointId, fromForwarded(statement, clock), isReadOnly) : nothing;
+				return statement ? this._begin(endpointId, fromForwarded(statement, clock), isReadOnly) : emptyAnswer;
 			}
 
 			case 'runHeld': {
 				const {heldId, statement} = work.value;
 				if (!statement) {
-					return nothing;
+					return emptyAnswer;
 				}
 
 				const result = await requests.runHeld(heldId, fromForwarded(statement, clock));
-				return answered(result);
+				return toForwardedAnswer(result);
 			}
 
 			case 'end': {
 				await requests.end(work.value.heldId, mannerOf(work.value.manner));
-				return nothing;
+				return emptyAnswer;
 			}
 
 			case undefined: {
-				return nothing;
+				return emptyAnswer;
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-function answered(result: Either<StatementFault, TimedAnswer>): ForwardedAnswer {
+function toForwardedAnswer(result: Either<StatementFault, TimedAnswer>): ForwardedAnswer {
 	return result.isLeft()
 		? {outcome: toFault(result.extract())}
 		: {outcome: {$case: 'reply', value: toReply(result.unsafeCoerce().answer)}};
