--- a/src/common/catalog/endpoint-registry.ts
+++ b/src/common/catalog/endpoint-registry.ts
@@ -15,7 +15,7 @@
 import {TableFollower} from './table-follower.js';
 
 /** What tells the starts of an endpoint apart, and the store's era in which it was known last. */
-type Start = Pick<EndpointRegistration, 'startedAtMs' | 'reportNumber'> & {readonly incarnation: number; readonly era: number};
+type EndpointStart = Pick<EndpointRegistration, 'startedAtMs' | 'reportNumber'> & {readonly incarnation: number; readonly era: number};
 
 /** What showed that an endpoint started again. */
 type RestartSign = 'startTime' | 'reportNumber';
@@ -37,7 +37,7 @@
 	private readonly _onReturn = new Emitter<RegisteredEndpoint>();
 	private readonly _endpoints = new Map<string, RegisteredEndpoint>();
 	/** The latest start of each endpoint, by id; those that are gone may come back. */
-	private readonly _starts = new Map<string, Start>();
+	private readonly _starts = new Map<string, EndpointStart>();
 	/** Endpoints whose registrations are gone, by id, and since when. */
 	private readonly _lapsed = new Map<string, {readonly endpoint: RegisteredEndpoint; readonly sinceMs: number}>();
 	/** Keys whose registrations cannot be read; each is logged once. */
@@ -45,7 +45,7 @@
 	/** The same by service: every statement asks for them. */
 	private _byService = new Map<string, readonly RegisteredEndpoint[]>();
 	/** Timers of endpoints that a snapshot lacked and that may come back, by id. */
-	private readonly _missing = new Map<string, Disposable>();
+	private readonly _pendingRemovals = new Map<string, Disposable>();
 	private _isLoaded = false;
 
 	constructor(services: FollowerServices, formats: RowFormats) {
@@ -107,7 +107,7 @@
 		for (const key of [...this._endpoints.keys(), ...this._unreadable]) {
 			if (!present.has(key)) {
 				this._unreadable.delete(key);
-				this._noteMissing(key);
+				this._scheduleRemoval(key);
 			}
 		}
 
@@ -121,15 +121,15 @@
 	applyRow({key, value, version}: StoredRow): void {
 		if (value === undefined) {
 			this._unreadable.delete(key);
-			this._noteMissing(key);
+			this._scheduleRemoval(key);
 			return;
 		}
 
 		const registration = this._formats.decodeEndpoint(key, value);
 		if (registration) {
 			this._unreadable.delete(key);
-			this._keep(key);
-			this._learn(registration, eraOf(version));
+			this._cancelRemoval(key);
+			this._applyRegistration(registration, eraOf(version));
 		} else {
 			this._noteUnreadable(key);
 		}
@@ -139,7 +139,7 @@
 		this._follower.dispose();
 		this._onChange.dispose();
 		this._onReturn.dispose();
-		for (const timer of this._missing.values()) {
+		for (const timer of this._pendingRemovals.values()) {
 			timer.dispose();
 		}
 	}
@@ -148,22 +148,22 @@
 	 * Whether an entry that is gone may have lapsed because the store was away. Such removals
 	 * arrive right after its return: a primary that lived was dropped, with its connections.
 	 */
-	private get _mayReturn(): boolean {
+	private get _isInReturnGrace(): boolean {
 		return this._follower.isUnavailable || this._follower.recoveredForMs < this._services.options.returnGraceMs;
 	}
 
 	/** Nobody knows what runs there until its endpoint, if it lives, has said so again. */
 	private _noteUnreadable(key: string): void {
-		this._forget(key);
+		this._remove(key);
 		if (!this._unreadable.has(key)) {
 			this._unreadable.add(key);
 			this._services.log.event('registrationUnreadable', {key});
 		}
 	}
 
-	private _learn({startedAtMs, reportNumber, ...rest}: EndpointRegistration, era: number): void {
+	private _applyRegistration({startedAtMs, reportNumber, ...rest}: EndpointRegistration, era: number): void {
 		const before = this._starts.get(rest.id);
-		if (isOfEarlierStart(startedAtMs, before) || this._isOfOlderCopy({startedAtMs, reportNumber, era}, rest.id, before)) {
+		if (isOfEarlierStart(startedAtMs, before) || this._isOutdatedByRestore({startedAtMs, reportNumber, era}, rest.id, before)) {
 			// A write of the earlier process that took effect late, or one that is known to be outdated.
 			return;
 		}
@@ -176,7 +176,7 @@
 		const endpoint: RegisteredEndpoint = {...rest, incarnation};
 		const isNew = this._isLoaded && !this._endpoints.has(endpoint.id);
 		this._lapsed.delete(endpoint.id);
-		this._take(endpoint);
+		this._upsert(endpoint);
 		if (sign) {
 			this._services.log.event('endpointRestarted', {
 				endpoint: endpoint.id, service: endpoint.service, sign, startedAtMs,
@@ -192,7 +192,7 @@
 	 * Whether a row stood in the copy from which the store came back, while more is known of its
 	 * endpoint, or that it is gone. An endpoint that lives says more within the grace time.
 	 */
-	private _isOfOlderCopy({startedAtMs, reportNumber, era}: Omit<Start, 'incarnation'>, id: string, before: Start | undefined): boolean {
+	private _isOutdatedByRestore({startedAtMs, reportNumber, era}: Omit<EndpointStart, 'incarnation'>, id: string, before: EndpointStart | undefined): boolean {
 		if (!before || era <= before.era || this._follower.recoveredForMs >= this._services.options.returnGraceMs) {
 			return false;
 		}
@@ -214,7 +214,7 @@
 		this._lapsed.set(endpoint.id, {endpoint, sinceMs: nowMs});
 	}
 
-	private _noteStart(id: string, start: Start): void {
+	private _noteStart(id: string, start: EndpointStart): void {
 		this._starts.delete(id);
 		this._starts.set(id, start);
 		if (this._starts.size > this._services.options.rememberedStarts) {
@@ -223,14 +223,14 @@
 		}
 	}
 
-	private _take(endpoint: RegisteredEndpoint): void {
+	private _upsert(endpoint: RegisteredEndpoint): void {
 		const known = this._endpoints.get(endpoint.id);
-		if (known && isSame(known, endpoint)) {
+		if (known && isSameRegistration(known, endpoint)) {
 			return;
 		}
 
 		this._endpoints.set(endpoint.id, endpoint);
-		this._index();
+		this._rebuildIndex();
 
 		const {id, service, isDraining, claimsPrimary} = endpoint;
 		this._services.log.event('endpointRegistered', {
@@ -239,57 +239,57 @@
 		this._onChange.fire(service);
 	}
 
-	private _index(): void {
+	private _rebuildIndex(): void {
 		this._byService = groupBy(this._endpoints.values(), ({service}) => service);
 	}
 
 	/** Entries may lapse falsely while the store is away; then an endpoint gets time to return. */
-	private _noteMissing(id: string): void {
-		if (!this._endpoints.has(id) || this._missing.has(id)) {
+	private _scheduleRemoval(id: string): void {
+		if (!this._endpoints.has(id) || this._pendingRemovals.has(id)) {
 			return;
 		}
 
-		if (!this._mayReturn) {
-			this._forget(id);
+		if (!this._isInReturnGrace) {
+			this._remove(id);
 			return;
 		}
 
 		const {clock, options} = this._services;
-		this._missing.set(id, clock.setTimer(options.returnGraceMs, () => {
-			this._forget(id);
+		this._pendingRemovals.set(id, clock.setTimer(options.returnGraceMs, () => {
+			this._remove(id);
 		}));
 	}
 
-	private _keep(id: string): void {
-		this._missing.get(id)?.dispose();
-		this._missing.delete(id);
+	private _cancelRemoval(id: string): void {
+		this._pendingRemovals.get(id)?.dispose();
+		this._pendingRemovals.delete(id);
 	}
 
-	private _forget(id: string): void {
-		this._keep(id);
+	private _remove(id: string): void {
+		this._cancelRemoval(id);
 		const endpoint = this._endpoints.get(id);
 		if (endpoint) {
 			this._endpoints.delete(id);
 			this._noteLapse(endpoint);
-			this._index();
+			this._rebuildIndex();
 			this._services.log.event('endpointGone', {endpoint: id, service: endpoint.service});
 			this._onChange.fire(endpoint.service);
 		}
 	}
 }
 
-function isSame(a: RegisteredEndpoint, b: RegisteredEndpoint): boolean {
+function isSameRegistration(a: RegisteredEndpoint, b: RegisteredEndpoint): boolean {
 	return a.service === b.service && a.host === b.host && a.port === b.port && a.isDraining === b.isDraining
 		&& a.claimsPrimary === b.claimsPrimary && a.slots === b.slots && a.availabilityZone === b.availabilityZone
 		&& a.incarnation === b.incarnation;
 }
 
-function isOfEarlierStart(startedAtMs: number | undefined, known: Start | undefined): boolean {
+function isOfEarlierStart(startedAtMs: number | undefined, known: EndpointStart | undefined): boolean {
 	return startedAtMs !== undefined && known?.startedAtMs !== undefined && startedAtMs < known.startedAtMs;
 }
 
 /** A later start time, or, where endpoints say none, a count of reports that began anew. */
-function restartSign(now: Pick<Start, 'startedAtMs' | 'reportNumber'>, before: Start): RestartSign | undefined {
+function restartSign(now: Pick<EndpointStart, 'startedAtMs' | 'reportNumber'>, before: EndpointStart): RestartSign | undefined {
 	if (now.startedAtMs !== undefined && before.startedAtMs !== undefined) {
 		return now.startedAtMs > before.startedAtMs ? 'startTime' : undefined;
 	}
--- a/src/common/catalog/route-catalog.ts
+++ b/src/common/catalog/route-catalog.ts
@@ -53,7 +53,7 @@
 		this._services = services;
 		this._formats = formats;
 		this._follower = new TableFollower(formats.configurationTable, this, services, {
-			waitMs: () => this._mustProve ? services.options.provingWaitMs : services.options.followWaitMs,
+			waitMs: () => this._mustProveFreshness ? services.options.provingWaitMs : services.options.followWaitMs,
 			redactValue: value => formats.redactKeys(value),
 			canProveFreshness: () => services.restores.isSettled && this._storedVersion >= this._table.version,
 		});
@@ -126,7 +126,7 @@
 	async findRoute(database: string): Promise<Route | undefined> {
 		const known = this.route(database);
 		if (known === undefined) {
-			await this._lookAgain();
+			await this._refreshIfStale();
 		}
 
 		return this.route(database);
@@ -136,7 +136,7 @@
 	async findOrganisation(keyDigest: string): Promise<Organisation | undefined> {
 		const known = this._organisations?.holder(keyDigest);
 		if (known === undefined) {
-			await this._lookAgain();
+			await this._refreshIfStale();
 		}
 
 		return this._organisations?.holder(keyDigest);
@@ -155,7 +155,7 @@
 
 		const boundMs = keyRevocationMs - options.proofMarginMs;
 		if (this._follower.ageMs > keyRevocationMs * options.renewProofAtShare) {
-			const renewal = this._renew();
+			const renewal = this._renewProof();
 			if (this._follower.ageMs > boundMs && renewal) {
 				await withTimeout(clock, renewal, options.provingTimeoutMs);
 			}
@@ -204,12 +204,12 @@
 		this._onChange.dispose();
 	}
 
-	private get _mustProve(): boolean {
+	private get _mustProveFreshness(): boolean {
 		return this._services.keyRevocationMs !== undefined && this._organisations !== undefined;
 	}
 
 	/** Reads the newest version, unless what is known was current a moment ago. */
-	private async _lookAgain(): Promise<void> {
+	private async _refreshIfStale(): Promise<void> {
 		const {clock, options} = this._services;
 		if (this.isLoaded && this._follower.ageMs < options.freshEnoughMs) {
 			return;
@@ -222,7 +222,7 @@
 	}
 
 	/** The question that is on its way, or a new one; undefined right after one that failed. */
-	private _renew(): Promise<void> | undefined {
+	private _renewProof(): Promise<void> | undefined {
 		const {clock, options, provingStore} = this._services;
 		if (!this._renewal && clock.nowMs() - this._renewedAtMs >= options.renewProofEveryMs) {
 			this._renewedAtMs = clock.nowMs();
--- a/src/common/catalog/table-follower.ts
+++ b/src/common/catalog/table-follower.ts
@@ -47,11 +47,11 @@
 export class TableFollower implements Disposable {
 	private readonly _services: FollowerServices;
 	private readonly _table: string;
-	private readonly _reader: TableSubscriber;
+	private readonly _subscriber: TableSubscriber;
 	private readonly _sleep: WakeableSleep;
 	private readonly _waitMs: () => number;
-	private readonly _keep: (value: string) => string;
-	private readonly _mayProve: () => boolean;
+	private readonly _redactValue: (value: string) => string;
+	private readonly _canProveFreshness: () => boolean;
 	private readonly _onChange = new Emitter<void>();
 	/** Rows as they were last seen, the latest of those that were removed included. */
 	private readonly _rows = new Map<string, StoredRow>();
@@ -64,18 +64,18 @@
 	private _isHistoryGone = false;
 	/** When nothing newer was known to the store. */
 	private _proved: Moment | undefined;
-	private _isAway = false;
-	private _backAtMs = Number.NEGATIVE_INFINITY;
+	private _isUnavailable = false;
+	private _recoveredAtMs = Number.NEGATIVE_INFINITY;
 	private _isProbing = false;
 	private _isDisposed = false;
 
-	constructor(table: string, reader: TableSubscriber, services: FollowerServices, {waitMs, redactValue: keep, canProveFreshness: mayProve}: FollowedTableOptions = {}) {
+	constructor(table: string, subscriber: TableSubscriber, services: FollowerServices, {waitMs, redactValue, canProveFreshness}: FollowedTableOptions = {}) {
 		this._table = table;
-		this._reader = reader;
+		this._subscriber = subscriber;
 		this._services = services;
 		this._waitMs = waitMs ?? (() => services.options.followWaitMs);
-		this._keep = keep ?? (value => value);
-		this._mayProve = mayProve ?? (() => true);
+		this._redactValue = redactValue ?? (value => value);
+		this._canProveFreshness = canProveFreshness ?? (() => true);
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
@@ -86,12 +86,12 @@
 
 	/** Whether the table could not be followed at the last try. */
 	get isUnavailable(): boolean {
-		return this._isAway;
+		return this._isUnavailable;
 	}
 
 	/** Time since the table could be followed again; infinite where it always could. */
 	get recoveredForMs(): number {
-		return this._services.clock.nowMs() - this._backAtMs;
+		return this._services.clock.nowMs() - this._recoveredAtMs;
 	}
 
 	/**
@@ -100,21 +100,21 @@
 	 */
 	async changes(afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
 		const arrivedAtMs = this._services.clock.nowMs();
-		if (this._version !== undefined && this._version <= afterVersion && !this._isAway) {
+		if (this._version !== undefined && this._version <= afterVersion && !this._isUnavailable) {
 			await waitForEvent(this._services.clock, this._onChange.event, waitMs);
 		}
 
-		if (this._version === undefined || this._isAway) {
+		if (this._version === undefined || this._isUnavailable) {
 			return undefined;
 		}
 
-		const isWhole = afterVersion === 0;
-		const rows = [...this._rows.values()].filter(({version, value}) => isWhole ? value !== undefined : version > afterVersion);
+		const isFullRead = afterVersion === 0;
+		const rows = [...this._rows.values()].filter(({version, value}) => isFullRead ? value !== undefined : version > afterVersion);
 		return {
 			rows,
 			version: this._version,
 			storeNowMs: 0,
-			isHistoryGone: !isWhole && afterVersion < this._completeSince,
+			isHistoryGone: !isFullRead && afterVersion < this._completeSince,
 			provedAfterMs: this._services.clock.nowMs() - arrivedAtMs - this.ageMs,
 		};
 	}
@@ -141,7 +141,7 @@
 	 */
 	async probe(): Promise<void> {
 		const {clock, store, options} = this._services;
-		if (this._isAway || this._isProbing) {
+		if (this._isUnavailable || this._isProbing) {
 			return;
 		}
 
@@ -166,7 +166,7 @@
 
 		const {rows, version, provedAfterMs} = result.unsafeCoerce();
 		// What was known before an answer that was held up on its way is newer: it proves nothing.
-		if (this._takeSnapshot(rows, version)) {
+		if (this._applySnapshot(rows, version)) {
 			this._noteAnswer(asked, provedAfterMs);
 		}
 
@@ -188,7 +188,7 @@
 		result.ifRight(answer => {
 			// A table that is to be read anew meanwhile must not pass for complete.
 			if (!answer.isHistoryGone && !this._isHistoryGone) {
-				this._takeChanges(answer, asked);
+				this._applyChanges(answer, asked);
 			}
 		}).ifLeft(fault => {
 			this._services.log.event('tableNotRenewed', {table: this._table, ...fault});
@@ -217,7 +217,7 @@
 			return undefined;
 		}
 
-		this._takeChanges(answer, asked);
+		this._applyChanges(answer, asked);
 		if (answer.rows.length > 0) {
 			const pauseMs = paceMs?.() ?? 0;
 			if (pauseMs > 0) {
@@ -229,9 +229,9 @@
 	}
 
 	/** The moment counts only once the changes are known here. */
-	private _takeChanges({rows, version, provedAfterMs}: StoredRows, asked: Moment): void {
+	private _applyChanges({rows, version, provedAfterMs}: StoredRows, asked: Moment): void {
 		for (const row of rows) {
-			this._takeChange(row);
+			this._applyChange(row);
 		}
 
 		this._dropRemovals();
@@ -243,10 +243,10 @@
 	}
 
 	/** Resolves to whether the rows are at least as new as what is known. */
-	private _takeSnapshot(found: readonly StoredRow[], version: number): boolean {
+	private _applySnapshot(found: readonly StoredRow[], version: number): boolean {
 		const known = this._version;
-		if (this._isAway) {
-			this._noteBack();
+		if (this._isUnavailable) {
+			this._noteRecovery();
 		}
 
 		const isTaken = known === undefined || version >= known;
@@ -263,10 +263,10 @@
 
 		if (eraOf(version) > eraOf(known ?? version)) {
 			// Whoever writes there has to do so again.
-			this._noteBack();
+			this._noteRecovery();
 		}
 
-		const rows = found.map(row => this._kept(row));
+		const rows = found.map(row => this._redactRow(row));
 		this._rows.clear();
 		this._removed.clear();
 		for (const row of rows) {
@@ -276,22 +276,22 @@
 		this._version = version;
 		this._isHistoryGone = false;
 		this._completeSince = version;
-		this._reader.applySnapshot(rows);
+		this._subscriber.applySnapshot(rows);
 		this._onChange.fire();
 		return true;
 	}
 
-	private _kept(row: StoredRow): StoredRow {
-		return row.value === undefined ? row : {...row, value: this._keep(row.value)};
+	private _redactRow(row: StoredRow): StoredRow {
+		return row.value === undefined ? row : {...row, value: this._redactValue(row.value)};
 	}
 
-	private _takeChange(found: StoredRow): void {
+	private _applyChange(found: StoredRow): void {
 		// What is not among the rows was absent, or removed, at the version since which they are complete.
 		if (found.version <= (this._rows.get(found.key)?.version ?? this._completeSince)) {
 			return;
 		}
 
-		const row = this._kept(found);
+		const row = this._redactRow(found);
 
 		this._rows.set(row.key, row);
 		this._removed.delete(row.key);
@@ -299,7 +299,7 @@
 			this._removed.add(row.key);
 		}
 
-		this._reader.applyRow(row);
+		this._subscriber.applyRow(row);
 	}
 
 	/** Drops the earliest removals beyond the bound: every change since the last of them is still there. */
@@ -318,24 +318,24 @@
 	private _noteAnswer(asked: Moment, provedAfterMs = 0): void {
 		const proved = momentAfter(asked, provedAfterMs);
 		// An answer that was held up on its way takes nothing back.
-		if (this._mayProve() && (!this._proved || proved.steadyMs > this._proved.steadyMs)) {
+		if (this._canProveFreshness() && (!this._proved || proved.steadyMs > this._proved.steadyMs)) {
 			this._proved = proved;
 		}
 
-		if (this._isAway && this._version !== undefined) {
-			this._noteBack();
+		if (this._isUnavailable && this._version !== undefined) {
+			this._noteRecovery();
 			this._services.log.event('storeFollowed', {table: this._table, ...versionFields(this._version)});
 		}
 	}
 
-	private _noteBack(): void {
-		this._isAway = false;
-		this._backAtMs = this._services.clock.nowMs();
+	private _noteRecovery(): void {
+		this._isUnavailable = false;
+		this._recoveredAtMs = this._services.clock.nowMs();
 	}
 
 	private _noteFault(fault: PlatformFault): PlatformFault {
-		if (!this._isAway) {
-			this._isAway = true;
+		if (!this._isUnavailable) {
+			this._isUnavailable = true;
 			this._onChange.fire();
 			this._services.log.event('storeNotFollowed', {table: this._table, ...fault});
 		}
--- a/src/common/primacy/duty-changes.ts
+++ b/src/common/primacy/duty-changes.ts
@@ -15,7 +15,7 @@
 	private readonly _store: RowStore;
 	/** Lowest version of those that wait for the next question. */
 	private _sinceVersion = Number.POSITIVE_INFINITY;
-	private _next: Answer | undefined;
+	private _nextRequest: Answer | undefined;
 
 	constructor(store: RowStore) {
 		this._store = store;
@@ -27,8 +27,8 @@
 	 */
 	async unchangedSince(version: number): Promise<number | undefined> {
 		this._sinceVersion = Math.min(this._sinceVersion, version);
-		this._next ??= this._ask();
-		const answer = await this._next;
+		this._nextRequest ??= this._sendRequest();
+		const answer = await this._nextRequest;
 		return answer
 			.toMaybe()
 			.filter(({rows, isHistoryGone}) => rows.length === 0 && !isHistoryGone)
@@ -36,12 +36,12 @@
 			.extract();
 	}
 
-	private async _ask(): Answer {
+	private async _sendRequest(): Answer {
 		// Other groups that are looked at for the same reason join before it is sent.
 		await Promise.resolve();
 		const since = this._sinceVersion;
 		this._sinceVersion = Number.POSITIVE_INFINITY;
-		this._next = undefined;
+		this._nextRequest = undefined;
 		return this._store.follow(dutyTable, since, 0);
 	}
 }
--- a/src/common/primacy/endpoint-reports.ts
+++ b/src/common/primacy/endpoint-reports.ts
@@ -17,19 +17,19 @@
 	readonly atMs: number;
 };
 
-type Knowledge = {
+type EndpointKnowledge = {
 	report?: {readonly reported: ReportedStatus; readonly atMs: number};
 	applied?: AppliedPosition;
 	/** Starts and returns that were noticed. */
-	returns: number;
+	returnCount: number;
 	/** Whether a promotion may have begun since the last one without fencing it. */
-	isBarred: boolean;
+	mayHaveMissedFence: boolean;
 };
 
 /** Reports by endpoint. */
 export class EndpointReports {
 	private readonly _clock: Clock;
-	private readonly _known = new Map<string, Knowledge>();
+	private readonly _known = new Map<string, EndpointKnowledge>();
 
 	constructor(clock: Clock) {
 		this._clock = clock;
@@ -54,19 +54,19 @@
 
 	/** Whether its word may prove a term: it has not missed a fence. */
 	mayProve(endpointId: string): boolean {
-		return this._known.get(endpointId)?.isBarred !== true;
+		return this._known.get(endpointId)?.mayHaveMissedFence !== true;
 	}
 
 	/** Counts the returns of an endpoint, so that a look that began before the last one clears nothing. */
 	returnCount(endpointId: string): number {
-		return this._known.get(endpointId)?.returns ?? 0;
+		return this._known.get(endpointId)?.returnCount ?? 0;
 	}
 
 	/** No promotion has begun without the endpoint: its word counts again, unless it returned once more. */
-	clearMissedFence(endpointId: string, returns: number): void {
+	clearMissedFence(endpointId: string, returnCount: number): void {
 		const known = this._known.get(endpointId);
-		if (known?.returns === returns) {
-			known.isBarred = false;
+		if (known?.returnCount === returnCount) {
+			known.mayHaveMissedFence = false;
 		}
 	}
 
@@ -104,7 +104,7 @@
 
 	/** An endpoint started again, or came back: nothing of before counts. */
 	forget(endpointId: string): void {
-		this._known.set(endpointId, {returns: this.returnCount(endpointId) + 1, isBarred: true});
+		this._known.set(endpointId, {returnCount: this.returnCount(endpointId) + 1, mayHaveMissedFence: true});
 	}
 
 	/** Positions count anew: those of a term that ended may have been rolled back. */
@@ -114,10 +114,10 @@
 		}
 	}
 
-	private _knowledge(endpointId: string): Knowledge {
+	private _knowledge(endpointId: string): EndpointKnowledge {
 		let known = this._known.get(endpointId);
 		if (!known) {
-			known = {returns: 0, isBarred: false};
+			known = {returnCount: 0, mayHaveMissedFence: false};
 			this._known.set(endpointId, known);
 		}
 
--- a/src/common/primacy/failover.ts
+++ b/src/common/primacy/failover.ts
@@ -9,16 +9,16 @@
 import type {GroupServices, PromotionReason, Primary} from './types.js';
 
 /** Time between two looks at a primary that something speaks against. */
-const lookEveryMs = 50;
+const checkIntervalMs = 50;
 
 /**
  * The same where nothing does. Whatever may, wakes the watch at once, so that only what a look
  * would find by time alone is found later: an asker of 14 groups looked 280 times a second.
  */
-const calmLookEveryMs = 500;
+const quietCheckIntervalMs = 500;
 
 /** Losses that the endpoints themselves showed, or the store, so that other nodes need not be asked. */
-const evident: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
+const lossesWithoutPeerCheck: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
 
 /** Watches over one group. */
 export class Failover implements Disposable {
@@ -28,9 +28,9 @@
 	/** Waits within a replacement, which nothing cuts short. */
 	private readonly _sleep: WakeableSleep;
 	/** The wait between two looks. */
-	private readonly _pause: WakeableSleep;
-	private readonly _wakes: Disposable;
-	private _isCalm = false;
+	private readonly _checkSleep: WakeableSleep;
+	private readonly _wakeListener: Disposable;
+	private _isQuiet = false;
 	private _fencesSinceMs = new Map<string, number>();
 	private _isDisposed = false;
 
@@ -39,11 +39,11 @@
 		this._group = group;
 		this._promoter = new Promoter(group, services);
 		this._sleep = new WakeableSleep(services.clock);
-		this._pause = new WakeableSleep(services.clock);
-		this._wakes = group.onWake(() => {
-			if (this._isCalm) {
-				this._isCalm = false;
-				this._pause.wake();
+		this._checkSleep = new WakeableSleep(services.clock);
+		this._wakeListener = group.onWake(() => {
+			if (this._isQuiet) {
+				this._isQuiet = false;
+				this._checkSleep.wake();
 			}
 		});
 	}
@@ -55,22 +55,22 @@
 
 	dispose(): void {
 		this._isDisposed = true;
-		this._wakes.dispose();
+		this._wakeListener.dispose();
 		this._sleep.dispose();
-		this._pause.dispose();
+		this._checkSleep.dispose();
 	}
 
 	private async _run(): Promise<void> {
 		while (!this._isDisposed) {
-			this._isCalm = !this._group.mayPollEndpoints || !(this._group.isUnhealthy || this._group.promotionReason !== undefined);
-			await this._pause.wait(this._isCalm ? calmLookEveryMs : lookEveryMs);
+			this._isQuiet = !this._group.mayPollEndpoints || !(this._group.isUnhealthy || this._group.promotionReason !== undefined);
+			await this._checkSleep.wait(this._isQuiet ? quietCheckIntervalMs : checkIntervalMs);
 			if (!this._isDisposed && this._group.mayPollEndpoints) {
-				await this._look();
+				await this._check();
 			}
 		}
 	}
 
-	private async _look(): Promise<void> {
+	private async _check(): Promise<void> {
 		const reason = this._group.promotionReason;
 		if (reason) {
 			await this._replace(reason);
@@ -88,7 +88,7 @@
 			return;
 		}
 
-		if (primary && !evident.has(reason) && !await this._isLostEverywhere(primary, reason)) {
+		if (primary && !lossesWithoutPeerCheck.has(reason) && !await this._isLostEverywhere(primary, reason)) {
 			await this._sleep.wait(options.promotionRetryMs);
 			return;
 		}
@@ -111,8 +111,8 @@
 		}
 
 		const {answered, asked} = opinions;
-		const areEnoughAsked = answered * 2 > asked || this._group.silentForMs >= this._services.options.silentAloneAfterMs;
-		const isLost = opinions.heard.length === 0 && opinions.later.length === 0 && areEnoughAsked;
+		const hasEnoughAnswers = answered * 2 > asked || this._group.silentForMs >= this._services.options.silentAloneAfterMs;
+		const isLost = opinions.heard.length === 0 && opinions.later.length === 0 && hasEnoughAnswers;
 		if (!isLost) {
 			log.event('promotionDeferred', {
 				group: service,
--- a/src/common/primacy/group-poller.ts
+++ b/src/common/primacy/group-poller.ts
@@ -11,7 +11,7 @@
 import type {Primary, PrimacyServices} from './types.js';
 
 /** Least time between two questions to replicas. */
-const leastPauseMs = 1;
+const minimumPauseMs = 1;
 
 /** What is known of the group, and takes in what is found out. */
 export type PolledGroup = {
@@ -37,7 +37,7 @@
 	/** Takes in that no replica that was asked proved the primary's term. */
 	noteUnproved(): void;
 	/** Takes in what all endpoints that answered said, and whether others are there that had no room for the question. */
-	noteSearch(answered: readonly ReportedStatus[], hasOthers: boolean): void;
+	noteSearch(answered: readonly ReportedStatus[], hasOverloadedEndpoints: boolean): void;
 };
 
 /** One task for the group, and questions of others beside it. */
@@ -46,7 +46,7 @@
 	private readonly _services: PrimacyServices;
 	private readonly _sleep: WakeableSleep;
 	private _usedAtMs: number;
-	private _proof: Promise<void> | undefined;
+	private _pendingProof: Promise<void> | undefined;
 	private _isDisposed = false;
 
 	constructor(group: PolledGroup, services: PrimacyServices) {
@@ -81,10 +81,10 @@
 		const {clock, options} = this._services;
 		const endMs = clock.nowMs() + timeoutMs;
 		while (!this._group.isLeased && clock.nowMs() < endMs && !this._isDisposed) {
-			this._proof ??= this._seekProof().finally(() => {
-				this._proof = undefined;
+			this._pendingProof ??= this._requestProof().finally(() => {
+				this._pendingProof = undefined;
 			});
-			await withTimeout(clock, this._proof, endMs - clock.nowMs());
+			await withTimeout(clock, this._pendingProof, endMs - clock.nowMs());
 			if (!this._group.isLeased) {
 				await waitForEvent(clock, this._group.onProof, Math.min(options.searchMs / 4, Math.max(1, endMs - clock.nowMs())));
 			}
@@ -104,7 +104,7 @@
 
 	/** Asks one endpoint for its state and takes the answer in. */
 	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
-		const result = await this._question(endpoint);
+		const result = await this._requestStatus(endpoint);
 		return result.toMaybe().extract();
 	}
 
@@ -113,7 +113,7 @@
 		const [replica] = this._replicasByDistance();
 		await Promise.all([
 			replica && this.refreshStatus(replica),
-			waitForEvent(this._services.clock, this._group.onProof, leastPauseMs),
+			waitForEvent(this._services.clock, this._group.onProof, minimumPauseMs),
 		]);
 	}
 
@@ -128,10 +128,10 @@
 			const startedAtMs = clock.nowMs();
 			const isInUse = startedAtMs - this._usedAtMs < options.idleAfterMs;
 			if (isInUse || !this._group.primary) {
-				await this._look();
+				await this._poll();
 			}
 
-			const leftMs = this._everyMs - (clock.nowMs() - startedAtMs);
+			const leftMs = this._pollIntervalMs - (clock.nowMs() - startedAtMs);
 			await this._sleep.wait(isInUse ? Math.max(leftMs, options.sampleSpacingMs) : options.idleAfterMs);
 		}
 	}
@@ -141,22 +141,22 @@
 	 * well, and is woken when that changes: with 14 groups looks at all of them four times a second
 	 * were most of what it woke up for.
 	 */
-	private get _everyMs(): number {
+	private get _pollIntervalMs(): number {
 		const {options} = this._services;
-		const {isPossiblyReplaced: isDoubted, isFailing, primary, mayPollEndpoints: mayAsk} = this._group;
-		if (isDoubted || isFailing || !primary) {
+		const {isPossiblyReplaced, isFailing, primary, mayPollEndpoints} = this._group;
+		if (isPossiblyReplaced || isFailing || !primary) {
 			return options.searchMs;
 		}
 
-		return mayAsk ? options.leasePollMs : options.idleAfterMs;
+		return mayPollEndpoints ? options.leasePollMs : options.idleAfterMs;
 	}
 
-	private async _question(endpoint: RegisteredEndpoint): Promise<Either<StatementFault, ReportedStatus>> {
-		const {clock, pools, endpointPools: ways, options} = this._services;
+	private async _requestStatus(endpoint: RegisteredEndpoint): Promise<Either<StatementFault, ReportedStatus>> {
+		const {clock, pools, endpointPools, options} = this._services;
 		const startedAtMs = clock.nowMs();
 		const result = await (this._group.mayPollEndpoints
 			? pools.pool(endpoint).control({kind: 'status'}, options.statusTimeoutMs)
-			: ways.status(endpoint, options.statusTimeoutMs));
+			: endpointPools.status(endpoint, options.statusTimeoutMs));
 		return result
 			.ifLeft(({cause}) => {
 				this._group.noteFault(endpoint.id, cause, startedAtMs);
@@ -166,30 +166,30 @@
 			});
 	}
 
-	private async _look(): Promise<void> {
-		const {isPossiblyReplaced: isDoubted, primary, mayPollEndpoints: mayAsk} = this._group;
-		if (primary && !isDoubted) {
-			await (mayAsk ? this._askWhatIsDue() : undefined);
+	private async _poll(): Promise<void> {
+		const {isPossiblyReplaced, primary, mayPollEndpoints} = this._group;
+		if (primary && !isPossiblyReplaced) {
+			await (mayPollEndpoints ? this._pollDueEndpoints() : undefined);
 			return;
 		}
 
 		// An endpoint may have no room for this node's question, and have answered another node.
-		const hasToLearn = !mayAsk || !primary;
+		const hasToLearn = !mayPollEndpoints || !primary;
 		await Promise.all([
-			mayAsk ? this._search() : undefined,
+			mayPollEndpoints ? this._pollAllEndpoints() : undefined,
 			hasToLearn ? this._services.sharing.refresh() : undefined,
 		]);
 	}
 
-	private async _askWhatIsDue(): Promise<void> {
+	private async _pollDueEndpoints(): Promise<void> {
 		const {clock, options, sharing} = this._services;
 		const {primaryEndpoint, provedAtMs, sampledAtMs, isFailing, primaryHeardAtMs} = this._group;
 		const nowMs = clock.nowMs();
 		// What the asking node shares arrives a little later than it would ask again itself.
-		const patienceMs = sharing.isCoordinator ? 0 : options.leasePollMs;
-		const isProofDue = nowMs - provedAtMs >= (options.leasePollMs / 2) + patienceMs;
-		const isSampleDue = nowMs - sampledAtMs >= options.sampleEveryMs + patienceMs;
-		const isCheckDue = isFailing || nowMs - primaryHeardAtMs >= options.primaryCheckMs + patienceMs;
+		const graceMs = sharing.isCoordinator ? 0 : options.leasePollMs;
+		const isProofDue = nowMs - provedAtMs >= (options.leasePollMs / 2) + graceMs;
+		const isSampleDue = nowMs - sampledAtMs >= options.sampleEveryMs + graceMs;
+		const isCheckDue = isFailing || nowMs - primaryHeardAtMs >= options.primaryCheckMs + graceMs;
 		await Promise.all([
 			isProofDue ? this._pollReplicas() : undefined,
 			primaryEndpoint && (isSampleDue || isCheckDue) ? this.refreshStatus(primaryEndpoint) : undefined,
@@ -197,13 +197,13 @@
 	}
 
 	/** Asks every endpoint. */
-	private async _search(): Promise<void> {
-		const results = await Promise.all(this._group.endpoints().map(async endpoint => this._question(endpoint)));
+	private async _pollAllEndpoints(): Promise<void> {
+		const results = await Promise.all(this._group.endpoints().map(async endpoint => this._requestStatus(endpoint)));
 		this._group.noteSearch(Either.rights(results), Either.lefts(results).some(({refusal}) => refusal.kind === 'overloaded'));
 	}
 
 	/** Looks for a proof of the primary's term: here, or at the node that asks for all. */
-	private async _seekProof(): Promise<void> {
+	private async _requestProof(): Promise<void> {
 		await (this._group.mayPollEndpoints ? this._pollReplicas() : this._services.sharing.refresh());
 	}
 
--- a/src/common/primacy/primary-health.ts
+++ b/src/common/primacy/primary-health.ts
@@ -63,8 +63,8 @@
 
 	/** An attempt that began at a time failed. */
 	onFault(cause: StatementFault['cause'], sinceMs: number): void {
-		const unheardSinceMs = Math.max(sinceMs, this._heardAtMs);
-		this._failingSinceMs = Math.min(this._failingSinceMs ?? unheardSinceMs, unheardSinceMs);
+		const failingSinceMs = Math.max(sinceMs, this._heardAtMs);
+		this._failingSinceMs = Math.min(this._failingSinceMs ?? failingSinceMs, failingSinceMs);
 		if (cause === 'refused') {
 			this._refusals += 1;
 		}
--- a/src/common/primacy/primary-tracker.ts
+++ b/src/common/primacy/primary-tracker.ts
@@ -44,7 +44,7 @@
 	readonly onWake: Event<void>;
 
 	private readonly _services: GroupServices;
-	private readonly _inquiry: GroupPoller;
+	private readonly _poller: GroupPoller;
 	private readonly _samples: PositionSamples;
 	private readonly _lease: TermLease;
 	private readonly _receipts: WriteReceipts;
@@ -53,20 +53,20 @@
 	private readonly _onProof = new Emitter<void>();
 	private readonly _onWake = new Emitter<void>();
 	private readonly _reports: EndpointReports;
-	private readonly _returned: ReturnedReplicas;
+	private readonly _returnedReplicas: ReturnedReplicas;
 	private _primary: Primary | undefined;
 	private _health: PrimaryHealth;
 	/** Newest proof that was granted, also once it no longer counts. */
-	private _proof: LeaseProof | undefined;
+	private _grantedProof: LeaseProof | undefined;
 	/** Newest proof that waits for the store's word. */
-	private _waitingProof: LeaseProof | undefined;
+	private _pendingProof: LeaseProof | undefined;
 	private readonly _checks: ReplacementChecks;
 	/** What the store said at its newest version that is known, to this node or to a peer. */
-	private _known: KnownReplacement | undefined;
+	private _newestReplacement: KnownReplacement | undefined;
 	/** What the store said last about the replacement of the primary. */
-	private _replacement: ReplacementState | undefined;
-	private _isDoubted = true;
-	private _isExplored = false;
+	private _replacementState: ReplacementState | undefined;
+	private _isPossiblyReplaced = true;
+	private _hasEndpointReport = false;
 	private _vacantSinceMs: number | undefined;
 
 	constructor(service: string, services: GroupServices, changes: DutyChanges) {
@@ -76,16 +76,16 @@
 		this._services = services;
 		this.onProof = this._onProof.event;
 		this.onWake = this._onWake.event;
-		this._inquiry = new GroupPoller(this, services);
+		this._poller = new GroupPoller(this, services);
 		this._samples = new PositionSamples(options.sampleSpacingMs, options.sampleKeptMs);
 		this._lease = new TermLease(clock, {leaseMs: options.leaseMs, chainMs: leaseExpiryWaitMs(options)});
 		this._checks = new ReplacementChecks(this, changes, services);
 		this._reports = new EndpointReports(clock);
-		this._returned = new ReturnedReplicas(this, this._reports, services);
+		this._returnedReplicas = new ReturnedReplicas(this, this._reports, services);
 		this._receipts = new WriteReceipts(clock, options, {
 			reports: () => this.replicas().flatMap(({id}) => this._reports.status(id) ?? []),
 			term: () => this._primary?.term,
-			pollNearest: async () => this._inquiry.pollNearestReplica(),
+			pollNearest: async () => this._poller.pollNearestReplica(),
 		});
 		this._suspension = new SuspensionWatch(clock, options.suspensionMs);
 		this._health = new PrimaryHealth(options, clock.nowMs());
@@ -113,8 +113,8 @@
 
 	/** Whether it is proved that the primary's term has not been replaced. */
 	get isLeased(): boolean {
-		this._forgetAfterSuspension();
-		return this._services.peers.registeredAtMs !== undefined && this._wasLeasedAt(this._services.clock.nowMs());
+		this._resetAfterSuspension();
+		return this._services.peers.registeredAtMs !== undefined && this._isLeasedAt(this._services.clock.nowMs());
 	}
 
 	/** Time since the primary was last both heard and proved from here. */
@@ -138,23 +138,23 @@
 			return undefined;
 		}
 
-		if (this._isReplacementFree && this._replacement!.orderedTerm >= this._primary.term) {
+		if (this._mayTakeOverReplacement && this._replacementState!.orderedTerm >= this._primary.term) {
 			return 'ordered';
 		}
 
-		const loss = this.primaryEndpoint?.isDraining ? 'draining' : this._health.loss(nowMs);
-		return loss ?? (this._isReplacementFree ? 'abandoned' : undefined);
+		const healthReason = this.primaryEndpoint?.isDraining ? 'draining' : this._health.loss(nowMs);
+		return healthReason ?? (this._mayTakeOverReplacement ? 'abandoned' : undefined);
 	}
 
 	/** Whether this node may ask endpoints itself, and so may replace a primary. */
 	get mayPollEndpoints(): boolean {
-		const {isCoordinator: isAsker, isCoordinatorOnly: isExclusive} = this._services.sharing;
-		return isAsker || !isExclusive;
+		const {isCoordinator, isCoordinatorOnly} = this._services.sharing;
+		return isCoordinator || !isCoordinatorOnly;
 	}
 
 	/** Whether the primary may have been replaced; whoever has been promoted is then looked for. */
 	get isPossiblyReplaced(): boolean {
-		return this._isDoubted || this._isBeingReplaced;
+		return this._isPossiblyReplaced || this._isBeingReplaced;
 	}
 
 	/** Whether anything speaks against the primary, or there is none: time alone may then make it lost. */
@@ -165,8 +165,8 @@
 
 	/** Whether a proof waits for the store's word. */
 	get isCheckDue(): boolean {
-		return this._waitingProof !== undefined && this._waitingProof.term === this._primary?.term
-			&& this._services.clock.nowMs() - this._waitingProof.provedAtMs < this._services.options.leaseMs;
+		return this._pendingProof !== undefined && this._pendingProof.term === this._primary?.term
+			&& this._services.clock.nowMs() - this._pendingProof.provedAtMs < this._services.options.leaseMs;
 	}
 
 	/**
@@ -174,13 +174,13 @@
 	 * while one has been begun: who may go on with it changes by time alone, so that the row is read.
 	 */
 	get knownReplacement(): KnownReplacement | undefined {
-		const isBegun = this._isBeingReplaced || (this._known?.begunTerm ?? 0) >= (this._primary?.term ?? 0);
-		return isBegun ? undefined : this._known;
+		const isBegun = this._isBeingReplaced || (this._newestReplacement?.begunTerm ?? 0) >= (this._primary?.term ?? 0);
+		return isBegun ? undefined : this._newestReplacement;
 	}
 
 	/** Whether any endpoint has said who it is: before that, nothing speaks against a primary. */
 	get hasEndpointReport(): boolean {
-		return this._isExplored;
+		return this._hasEndpointReport;
 	}
 
 	/** Whether attempts to reach the primary failed since it was last heard. */
@@ -196,7 +196,7 @@
 	/** The proof that the lease on the primary's term rests on, for logs; undefined without one. */
 	get proof(): ProofFields | undefined {
 		const isProved = this._lease.provedAgoMs(this._primary?.term ?? 0) !== undefined;
-		return isProved && this._proof ? proofFields(this._proof, this._services.clock.nowMs()) : undefined;
+		return isProved && this._grantedProof ? proofFields(this._grantedProof, this._services.clock.nowMs()) : undefined;
 	}
 
 	/** When the newest position of the primary was asked for. */
@@ -226,17 +226,17 @@
 
 	/** Starts to follow the group. */
 	start(): void {
-		this._inquiry.start();
+		this._poller.start();
 	}
 
 	/** Statements of the group come: it is polled for a while. */
 	noteUse(): void {
-		this._inquiry.noteUse();
+		this._poller.noteUse();
 	}
 
 	/** Looks at the group at once. */
 	wake(): void {
-		this._inquiry.wake();
+		this._poller.wake();
 		this._onWake.fire();
 	}
 
@@ -255,17 +255,17 @@
 
 	/** Waits for a proof that the primary's term stands; resolves with whether there is one. */
 	async ensureLease(timeoutMs: number): Promise<boolean> {
-		return this._inquiry.ensureLease(timeoutMs);
+		return this._poller.ensureLease(timeoutMs);
 	}
 
 	/** Looks whether the primary answers, unless it did a moment ago. */
 	async checkPrimary(): Promise<void> {
-		await this._inquiry.checkPrimary();
+		await this._poller.checkPrimary();
 	}
 
 	/** Asks one endpoint for its state and takes the answer in. */
 	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
-		return this._inquiry.refreshStatus(endpoint);
+		return this._poller.refreshStatus(endpoint);
 	}
 
 	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
@@ -278,13 +278,13 @@
 	 * undefined when none is proved.
 	 */
 	floor(arrivedAtMs: number, maximumAgeMs: number): LogPosition | undefined {
-		this._forgetAfterSuspension();
+		this._resetAfterSuspension();
 		return this._samples.floor(arrivedAtMs - maximumAgeMs + this._services.options.ageMarginMs);
 	}
 
 	/** Takes in the position that an answer carried; resolves to whether the answer counts. */
 	noteAnswer(endpointId: string, position: LogPosition | undefined, sentAtMs: number): boolean {
-		if (this._forgetAfterSuspension()) {
+		if (this._resetAfterSuspension()) {
 			return true;
 		}
 
@@ -297,7 +297,7 @@
 		}
 
 		this._health.onHeard(this._services.clock.nowMs());
-		if (position && position.term <= this._primary.term && this._wasLeasedAt(sentAtMs)) {
+		if (position && position.term <= this._primary.term && this._isLeasedAt(sentAtMs)) {
 			this._samples.add(sentAtMs, position);
 		}
 
@@ -307,10 +307,10 @@
 	/** Takes in that an endpoint started again, or came back: it may have missed a fence. */
 	noteReturn(endpointId: string): void {
 		this._reports.forget(endpointId);
-		void this._returned.clearWhenSafe(endpointId);
+		void this._returnedReplicas.clearWhenSafe(endpointId);
 		if (this._primary?.endpointId === endpointId) {
 			// Whether it still leads its term with all of its log, its answer says.
-			this._isDoubted = true;
+			this._isPossiblyReplaced = true;
 		}
 
 		this.wake();
@@ -338,8 +338,8 @@
 
 	/** Takes in that what was believed to be the primary refuses writes. */
 	noteNotPrimary(endpointId: string): void {
-		if (this._primary?.endpointId === endpointId && !this._isDoubted) {
-			this._isDoubted = true;
+		if (this._primary?.endpointId === endpointId && !this._isPossiblyReplaced) {
+			this._isPossiblyReplaced = true;
 			this.wake();
 		}
 	}
@@ -353,7 +353,7 @@
 
 	/** What this node knows, for another one. */
 	overview(): GroupOverview | undefined {
-		this._forgetAfterSuspension();
+		this._resetAfterSuspension();
 		if (!this._primary) {
 			return undefined;
 		}
@@ -376,14 +376,14 @@
 
 	/** Takes in what a peer said in answer to a question that was sent at a time. */
 	noteOverview(overview: GroupOverview, sentAtMs: number, peer: string): void {
-		if (this._forgetAfterSuspension()) {
+		if (this._resetAfterSuspension()) {
 			return;
 		}
 
 		this.learnPrimary({endpointId: overview.primaryId, term: overview.term}, 'peer');
 		if (overview.replacement) {
 			const {begunTerm, agoMs, version} = overview.replacement;
-			this._noteKnown(begunTerm, version);
+			this._noteReplacementVersion(begunTerm, version);
 			this._noteCheck({begunTerm, version, checkedAtMs: sentAtMs - agoMs});
 		}
 
@@ -396,10 +396,10 @@
 		}
 
 		if (!this.mayPollEndpoints) {
-			this._noteHearsay(overview, sentAtMs);
+			this._applyPollerOverview(overview, sentAtMs);
 		}
 
-		if (overview.sample && this._wasLeasedAt(sentAtMs - overview.sample.agoMs)) {
+		if (overview.sample && this._isLeasedAt(sentAtMs - overview.sample.agoMs)) {
 			const {position, agoMs} = overview.sample;
 			this._samples.add(sentAtMs - agoMs, position);
 			// Known from another node, it shows as well whether the primary has lost its log since.
@@ -440,10 +440,10 @@
 
 	/** Takes in what the store said about the replacement of the primary. */
 	noteReplacement(state: ReplacementState, checkedAtMs: number): void {
-		this._forgetAfterSuspension();
-		this._replacement = state;
+		this._resetAfterSuspension();
+		this._replacementState = state;
 		const {begunTerm, storeVersion: version} = state;
-		this._noteKnown(begunTerm, version);
+		this._noteReplacementVersion(begunTerm, version);
 		this._noteCheck({begunTerm, version, checkedAtMs});
 		if (this._isBeingReplaced) {
 			this.wake();
@@ -452,14 +452,14 @@
 
 	/** Takes in that nobody has begun to replace anything since the store said what is known. */
 	noteUnchanged({begunTerm, version}: KnownReplacement, checkedAtMs: number): void {
-		this._forgetAfterSuspension();
-		this._noteKnown(begunTerm, version);
+		this._resetAfterSuspension();
+		this._noteReplacementVersion(begunTerm, version);
 		this._noteCheck({begunTerm, version, checkedAtMs});
 	}
 
 	/** Takes in a state that an endpoint reported. */
 	noteStatus(endpointId: string, report: ReportedStatus): void {
-		if (this._forgetAfterSuspension()) {
+		if (this._resetAfterSuspension()) {
 			return;
 		}
 
@@ -480,7 +480,7 @@
 		}
 
 		if (this._primary?.endpointId === endpointId && this._primary.term === status.term) {
-			this._isDoubted = false;
+			this._isPossiblyReplaced = false;
 			this._vacantSinceMs = undefined;
 			this.noteAnswer(endpointId, status.received, sentAtMs);
 			this._compareWithReplicas(status.received, sentAtMs);
@@ -494,13 +494,13 @@
 	 * primary that gave no answer: whether it is lost is for its silence to show, and for other
 	 * nodes to say, since a cut may lie between.
 	 */
-	noteSearch(answered: readonly ReportedStatus[], hasOthers: boolean): void {
-		this._isExplored ||= answered.length > 0;
+	noteSearch(answered: readonly ReportedStatus[], hasOverloadedEndpoints: boolean): void {
+		this._hasEndpointReport ||= answered.length > 0;
 		const known = this.primaryEndpoint && this._reports.status(this.primaryEndpoint.id);
 		const hasKnownAnswered = this.primaryEndpoint === undefined || (known !== undefined && answered.includes(known));
-		const isVacant = answered.length > 0 && !hasOthers && hasKnownAnswered && answered.every(({status}) => !status.isPrimary);
+		const isVacant = answered.length > 0 && !hasOverloadedEndpoints && hasKnownAnswered && answered.every(({status}) => !status.isPrimary);
 		this._vacantSinceMs = isVacant ? this._vacantSinceMs ?? this._services.clock.nowMs() : undefined;
-		this._isDoubted = answered.every(({status}) => !status.isPrimary || status.term !== this._primary?.term);
+		this._isPossiblyReplaced = answered.every(({status}) => !status.isPrimary || status.term !== this._primary?.term);
 		// Replicas that answered before the primary proved a term that was not known then.
 		for (const {id} of this.replicas()) {
 			const report = this._reports.status(id);
@@ -511,9 +511,9 @@
 	}
 
 	dispose(): void {
-		this._inquiry.dispose();
+		this._poller.dispose();
 		this._checks.dispose();
-		this._returned.dispose();
+		this._returnedReplicas.dispose();
 		this._onPrimaryFault.dispose();
 		this._onProof.dispose();
 		this._onWake.dispose();
@@ -521,18 +521,18 @@
 
 	/** Whether the store says that somebody has begun to replace the primary. */
 	private get _isBeingReplaced(): boolean {
-		return this._primary !== undefined && (this._replacement?.begunTerm ?? 0) >= this._primary.term;
+		return this._primary !== undefined && (this._replacementState?.begunTerm ?? 0) >= this._primary.term;
 	}
 
 	/** Whether a replacement that somebody began may be brought to its end by this node. */
-	private get _isReplacementFree(): boolean {
-		return this._isBeingReplaced && this._replacement?.mayTakeOver === true;
+	private get _mayTakeOverReplacement(): boolean {
+		return this._isBeingReplaced && this._replacementState?.mayTakeOver === true;
 	}
 
 	/** Versions only go up: what a peer says of an earlier one is no news. */
-	private _noteKnown(begunTerm: number, version: number | undefined): void {
-		if (version !== undefined && version >= (this._known?.version ?? 0)) {
-			this._known = {begunTerm, version};
+	private _noteReplacementVersion(begunTerm: number, version: number | undefined): void {
+		if (version !== undefined && version >= (this._newestReplacement?.version ?? 0)) {
+			this._newestReplacement = {begunTerm, version};
 		}
 	}
 
@@ -551,31 +551,31 @@
 		}
 
 		if (this.isCheckDue) {
-			this._grant(this._waitingProof!);
+			this._grant(this._pendingProof!);
 		}
 	}
 
 	/** What the asking node says of the primary stands for what this node may not ask itself. */
-	private _noteHearsay({heardAgoMs, provedAgoMs}: GroupOverview, sentAtMs: number): void {
+	private _applyPollerOverview({heardAgoMs, provedAgoMs}: GroupOverview, sentAtMs: number): void {
 		if (heardAgoMs !== undefined) {
 			this._health.onHeardBy(sentAtMs - heardAgoMs);
 		}
 
 		if (provedAgoMs !== undefined && this._lease.isValidAt(this._primary?.term, sentAtMs)) {
-			this._isDoubted = false;
+			this._isPossiblyReplaced = false;
 		}
 	}
 
 	private _noteReplicaStatus(endpointId: string, report: ReportedStatus): void {
 		const {status} = report;
 		if (this._primary?.endpointId === endpointId) {
-			this._isDoubted = true;
+			this._isPossiblyReplaced = true;
 			return;
 		}
 
 		const knownTerm = this._primary?.term ?? 0;
 		if (status.term > knownTerm) {
-			this._isDoubted = true;
+			this._isPossiblyReplaced = true;
 			return;
 		}
 
@@ -611,26 +611,26 @@
 			return;
 		}
 
-		void this._returned.clearWhenSafe(endpointId);
+		void this._returnedReplicas.clearWhenSafe(endpointId);
 	}
 
 	private _grant(proof: LeaseProof): void {
 		const nowMs = this._services.clock.nowMs();
-		const wasLeased = this._wasLeasedAt(nowMs);
+		const wasLeased = this._isLeasedAt(nowMs);
 		const newestBeforeMs = this._lease.provedAtMs;
 		if (!this._lease.grant(proof)) {
 			this._awaitCheck(proof);
 			return;
 		}
 
-		this._waitingProof = undefined;
+		this._pendingProof = undefined;
 
-		if (!wasLeased && this._wasLeasedAt(nowMs)) {
+		if (!wasLeased && this._isLeasedAt(nowMs)) {
 			this._logLeaseStart(proof);
 		}
 
 		if (proof.provedAtMs > newestBeforeMs) {
-			this._proof = proof;
+			this._grantedProof = proof;
 		}
 
 		this._onProof.fire();
@@ -643,8 +643,8 @@
 			return;
 		}
 
-		if (!this.isCheckDue || proof.provedAtMs > this._waitingProof!.provedAtMs) {
-			this._waitingProof = proof;
+		if (!this.isCheckDue || proof.provedAtMs > this._pendingProof!.provedAtMs) {
+			this._pendingProof = proof;
 		}
 
 		this._checks.checkUnlessRunning();
@@ -654,7 +654,7 @@
 		const {clock, log} = this._services;
 		const {source, sourceKind, provedAgoMs} = proofFields(proof, clock.nowMs());
 		log.event('leaseStarted', {
-			group: this.service, term: proof.term, source, sourceKind, askedAgoMs: provedAgoMs, gapMs: proofGapMs(this._proof, proof),
+			group: this.service, term: proof.term, source, sourceKind, askedAgoMs: provedAgoMs, gapMs: proofGapMs(this._grantedProof, proof),
 		});
 	}
 
@@ -685,7 +685,7 @@
 		this._samples.clear();
 		this._reports.clearApplied();
 		this._lease.revoke();
-		this._waitingProof = undefined;
+		this._pendingProof = undefined;
 		this._vacantSinceMs = undefined;
 		log.event('primaryAdopted', {
 			group: this.service, primary: primary.endpointId, term: primary.term, before: before?.endpointId, from,
@@ -700,19 +700,19 @@
 	}
 
 	/** Times measured before the machine was suspended say nothing afterwards. */
-	private _forgetAfterSuspension(): boolean {
+	private _resetAfterSuspension(): boolean {
 		if (!this._suspension.checkForSuspension()) {
 			return false;
 		}
 
 		this._samples.clear();
 		this._lease.breakChain();
-		this._waitingProof = undefined;
+		this._pendingProof = undefined;
 		this._services.log.event('clockJumped', {group: this.service});
 		return true;
 	}
 
-	private _wasLeasedAt(sentAtMs: number): boolean {
+	private _isLeasedAt(sentAtMs: number): boolean {
 		return this._lease.isValidAt(this._primary?.term, sentAtMs);
 	}
 }
--- a/src/common/primacy/primary-trackers.ts
+++ b/src/common/primacy/primary-trackers.ts
@@ -21,28 +21,28 @@
 export class PrimaryTrackers implements Disposable {
 	private readonly _services: GroupServices;
 	private readonly _groups = new Map<string, TrackedGroup>();
-	private readonly _changes: DutyChanges;
+	private readonly _dutyChanges: DutyChanges;
 	private readonly _onPrimaryFault = new Emitter<PrimaryTracker>();
-	private readonly _watch: Disposable;
-	private readonly _returns: Disposable;
-	private readonly _restores: Disposable;
+	private readonly _registrationListener: Disposable;
+	private readonly _returnListener: Disposable;
+	private readonly _restoreListener: Disposable;
 	private readonly _sleep: WakeableSleep;
-	private _isPuttingBack = false;
+	private _isRewriting = false;
 	private _isDisposed = false;
 
 	constructor(services: PrimacyServices) {
 		this._services = {...services, duties: new PromotionDuties(services, services.options.dutyLeaseMs)};
 		this._sleep = new WakeableSleep(services.clock);
-		this._changes = new DutyChanges(services.store);
-		this._watch = services.registry.onChange(service => {
+		this._dutyChanges = new DutyChanges(services.store);
+		this._registrationListener = services.registry.onChange(service => {
 			services.pools.disposeUnregistered(service, services.registry.ofService(service));
 			this._groups.get(service)?.primacy.wake();
 		});
-		this._returns = services.registry.onReturn(({id, service}) => {
+		this._returnListener = services.registry.onReturn(({id, service}) => {
 			this._groups.get(service)?.primacy.noteReturn(id);
 		});
-		this._restores = services.restores.onRestore(() => {
-			void this._putBack();
+		this._restoreListener = services.restores.onRestore(() => {
+			void this._rewriteLostDuties();
 		});
 	}
 
@@ -70,7 +70,7 @@
 
 	/** The group of a service; followed from now on. */
 	group(service: string): PrimaryTracker {
-		return this._followed(service).primacy;
+		return this._track(service).primacy;
 	}
 
 	/** The group of a service if it is followed. */
@@ -120,7 +120,7 @@
 	/** Follows the groups of these services. */
 	follow(services: readonly string[]): void {
 		for (const service of services) {
-			this._followed(service);
+			this._track(service);
 		}
 	}
 
@@ -132,9 +132,9 @@
 	dispose(): void {
 		this._isDisposed = true;
 		this._sleep.dispose();
-		this._watch.dispose();
-		this._returns.dispose();
-		this._restores.dispose();
+		this._registrationListener.dispose();
+		this._returnListener.dispose();
+		this._restoreListener.dispose();
 		for (const {primacy, failover} of this._groups.values()) {
 			failover.dispose();
 			primacy.dispose();
@@ -142,28 +142,28 @@
 	}
 
 	/** Until the store's word counts again: a promotion may take effect, or its promoter die, meanwhile. */
-	private async _putBack(): Promise<void> {
-		if (this._isPuttingBack) {
+	private async _rewriteLostDuties(): Promise<void> {
+		if (this._isRewriting) {
 			return;
 		}
 
-		this._isPuttingBack = true;
+		this._isRewriting = true;
 		const {restores} = this._services;
 		while (!this._isDisposed && !restores.isSettled) {
 			await Promise.all([...this._groups.values()].map(async ({primacy}) => primacy.rewriteLostDuty()));
 			await this._sleep.wait(restores.options.putBackEveryMs);
 		}
 
-		this._isPuttingBack = false;
+		this._isRewriting = false;
 	}
 
-	private _followed(service: string): TrackedGroup {
-		let followed = this._groups.get(service);
-		if (!followed) {
-			const primacy = new PrimaryTracker(service, this._services, this._changes);
+	private _track(service: string): TrackedGroup {
+		let tracked = this._groups.get(service);
+		if (!tracked) {
+			const primacy = new PrimaryTracker(service, this._services, this._dutyChanges);
 			const failover = new Failover(primacy, this._services);
-			followed = {primacy, failover};
-			this._groups.set(service, followed);
+			tracked = {primacy, failover};
+			this._groups.set(service, tracked);
 			primacy.onPrimaryFault(() => {
 				this._onPrimaryFault.fire(primacy);
 			});
@@ -171,6 +171,6 @@
 			failover.start();
 		}
 
-		return followed;
+		return tracked;
 	}
 }
--- a/src/common/primacy/promoter.ts
+++ b/src/common/primacy/promoter.ts
@@ -24,10 +24,10 @@
 export type PromotionOutcome = 'done' | 'notNeeded' | 'noDuty' | 'noReplica' | 'notFenced' | 'dutyLost' | 'refused' | 'noEffect';
 
 /** Losses that end when the primary answers. */
-const unheard: ReadonlySet<PromotionReason> = new Set(['silent', 'crashed']);
+const lossesEndedByAnswer: ReadonlySet<PromotionReason> = new Set(['silent', 'crashed']);
 
 /** Outcomes after which an order may still be carried out, or another node may be at work: nothing is taken back. */
-const unresolved: ReadonlySet<PromotionOutcome> = new Set(['dutyLost', 'noEffect']);
+const unresolvedOutcomes: ReadonlySet<PromotionOutcome> = new Set(['dutyLost', 'noEffect']);
 
 type FencedReplica = {
 	readonly endpoint: RegisteredEndpoint;
@@ -35,7 +35,7 @@
 };
 
 /** What a promotion has come to before it is ordered. */
-type FencedGroup = {
+type PendingPromotion = {
 	readonly duty: HeldDuty;
 	readonly reason: PromotionReason;
 	readonly fenced: readonly FencedReplica[];
@@ -74,7 +74,7 @@
 
 	private async _promote(reason: PromotionReason, knownTerm: number): Promise<PromotionOutcome> {
 		const {service} = this._group;
-		if (reason !== 'abandoned' && !await this._areReplicasInReach()) {
+		if (reason !== 'abandoned' && !await this._areReplicasReachable()) {
 			return 'notFenced';
 		}
 
@@ -84,10 +84,10 @@
 			return 'noDuty';
 		}
 
-		const duty = await this._supersede(taken.unsafeCoerce());
+		const duty = await this._reacquireIfOrderedEndpointIsGone(taken.unsafeCoerce());
 		if (reason === 'abandoned' && duty.orderedId === undefined) {
 			// Nothing was ordered, and whoever began it cannot put an order on record any more.
-			await this._giveUp(duty, [], 'notNeeded');
+			await this._cancel(duty, [], 'notNeeded');
 			return 'notNeeded';
 		}
 
@@ -97,14 +97,14 @@
 
 		// From here on replicas receive nothing that this node could still acknowledge: writes that
 		// the old primary answered during the wait for others' leases were lost by the promotion.
-		this._group.fence(duty.term, true, this._promoterName(duty));
+		this._group.fence(duty.term, true, this._promoterId(duty));
 		const fenced = await this._fence(duty.term + 1, {epoch: duty.epoch, why: reason});
-		const group: FencedGroup = {
+		const pending: PendingPromotion = {
 			duty, reason, fenced, fencedAtMs: this._services.clock.nowMs(),
 		};
-		const best = await this._prepare(group);
-		const outcome = typeof best === 'string' ? best : await this._order(group, best);
-		await this._finish(group, outcome);
+		const target = await this._prepare(pending);
+		const outcome = typeof target === 'string' ? target : await this._order(pending, target);
+		await this._finish(pending, outcome);
 		return outcome;
 	}
 
@@ -112,7 +112,7 @@
 	 * Whoever was ordered to lead after the term may do so, and be gone: then it is the term that it
 	 * leads that is replaced, so that nodes that follow it are told.
 	 */
-	private async _supersede(duty: HeldDuty): Promise<HeldDuty> {
+	private async _reacquireIfOrderedEndpointIsGone(duty: HeldDuty): Promise<HeldDuty> {
 		if (duty.orderedId === undefined || this._services.registry.endpoint(duty.orderedId)) {
 			return duty;
 		}
@@ -122,7 +122,7 @@
 	}
 
 	/** Does all that comes before the order; resolves with whom to order, or why not. */
-	private async _prepare({duty, reason, fenced, fencedAtMs}: FencedGroup): Promise<FencedReplica | PromotionOutcome> {
+	private async _prepare({duty, reason, fenced, fencedAtMs}: PendingPromotion): Promise<FencedReplica | PromotionOutcome> {
 		const {clock, options, peers} = this._services;
 		const {service} = this._group;
 		const {term} = duty;
@@ -130,8 +130,8 @@
 			return 'notNeeded';
 		}
 
-		const best = this._best(fenced, duty.orderedId);
-		if (!best) {
+		const target = this._choosePromotionTarget(fenced, duty.orderedId);
+		if (!target) {
 			return 'noReplica';
 		}
 
@@ -139,7 +139,7 @@
 			return 'notFenced';
 		}
 
-		if (await peers.fence(service, term, this._promoterName(duty)) === 'partly') {
+		if (await peers.fence(service, term, this._promoterId(duty)) === 'partly') {
 			// No replica has granted a lease since it was fenced, so that time counts from then.
 			await pauseFor(clock, Math.max(0, fencedAtMs + leaseExpiryWaitMs(options) - clock.nowMs()));
 		}
@@ -153,15 +153,15 @@
 		}
 
 		// A primary that was ordered away is not spared for answering again.
-		const isSpared = duty.orderedId === undefined && this._isHeardAgain(reason);
-		return this._isReplaced(term) || isSpared ? 'notNeeded' : best;
+		const hasRecovered = duty.orderedId === undefined && this._hasPrimaryRecovered(reason);
+		return this._isReplaced(term) || hasRecovered ? 'notNeeded' : target;
 	}
 
 	/** Puts the order on record, sends it, and waits for its effect. */
-	private async _order({duty, fenced}: FencedGroup, best: FencedReplica): Promise<PromotionOutcome> {
+	private async _order({duty, fenced}: PendingPromotion, target: FencedReplica): Promise<PromotionOutcome> {
 		const {clock, options, promotions, node, log} = this._services;
 		const {service} = this._group;
-		const {id} = best.endpoint;
+		const {id} = target.endpoint;
 		const startedAtMs = clock.nowMs();
 		const suspension = new SuspensionWatch(clock, options.suspensionMs);
 		const recorded = await this._services.duties.recordOrder(service, duty, id);
@@ -186,28 +186,28 @@
 			log.event('promotionRefused', {...order, kind, detail});
 			// A call without an answer may still be carried out, and so may an earlier one.
 			if (kind !== 'unavailable' && duty.orderedId === undefined) {
-				await this._giveUp(recorded.unsafeCoerce(), fenced, 'refused', duty);
+				await this._cancel(recorded.unsafeCoerce(), fenced, 'refused', duty);
 				return 'refused';
 			}
 		} else {
 			log.event('promotionAccepted', order);
 		}
 
-		return this._awaitEffect(best.endpoint, recorded.unsafeCoerce());
+		return this._awaitEffect(target.endpoint, recorded.unsafeCoerce());
 	}
 
-	private async _finish({duty, fenced}: FencedGroup, outcome: PromotionOutcome): Promise<void> {
+	private async _finish({duty, fenced}: PendingPromotion, outcome: PromotionOutcome): Promise<void> {
 		if (this._isReplaced(duty.term)) {
 			await this._removeFences(fenced, duty, outcome);
-		} else if (outcome !== 'refused' && !unresolved.has(outcome) && duty.orderedId === undefined) {
-			await this._giveUp(duty, fenced, outcome);
+		} else if (outcome !== 'refused' && !unresolvedOutcomes.has(outcome) && duty.orderedId === undefined) {
+			await this._cancel(duty, fenced, outcome);
 		}
 	}
 
 	/** Takes back a replacement that was not ordered, or whose order was refused: in the store first, where others look. */
-	private async _giveUp(duty: HeldDuty, fenced: readonly FencedReplica[], outcome: PromotionOutcome, refusedBefore?: HeldDuty): Promise<void> {
+	private async _cancel(duty: HeldDuty, fenced: readonly FencedReplica[], outcome: PromotionOutcome, refusedBefore?: HeldDuty): Promise<void> {
 		const {service} = this._group;
-		const promoter = this._promoterName(duty);
+		const promoter = this._promoterId(duty);
 		await this._services.duties.cancelReplacement(service, duty, refusedBefore);
 		await this._removeFences(fenced, duty, outcome);
 		this._group.fence(duty.term, false, promoter);
@@ -237,12 +237,12 @@
 	/** An orderly change: the old primary stops first, and a replica takes in what it lacks. */
 	private async _stepDown(term: number): Promise<void> {
 		const {pools, options} = this._services;
-		const old = this._group.primaryEndpoint;
-		if (!old) {
+		const oldPrimary = this._group.primaryEndpoint;
+		if (!oldPrimary) {
 			return;
 		}
 
-		const result = await pools.pool(old).control({kind: 'stepDown', term}, options.statusTimeoutMs);
+		const result = await pools.pool(oldPrimary).control({kind: 'stepDown', term}, options.statusTimeoutMs);
 		const last = result.toMaybe().extract()?.status.received;
 		if (last) {
 			await this._awaitCatchUp(last);
@@ -264,7 +264,7 @@
 	}
 
 	/** A fence that cannot be put everywhere would only keep replicas from receiving. */
-	private async _areReplicasInReach(): Promise<boolean> {
+	private async _areReplicasReachable(): Promise<boolean> {
 		const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.refreshStatus(endpoint)));
 		return reports.every(report => report !== undefined);
 	}
@@ -315,9 +315,9 @@
 	private async _removeFences(fenced: readonly FencedReplica[], {epoch}: HeldDuty, outcome: PromotionOutcome): Promise<void> {
 		const {pools, options, log} = this._services;
 		const {service} = this._group;
-		const promoted = outcome === 'done' ? this._group.primary?.endpointId : undefined;
+		const promotedId = outcome === 'done' ? this._group.primary?.endpointId : undefined;
 		await Promise.all(fenced
-			.filter(({endpoint}) => endpoint.id !== promoted)
+			.filter(({endpoint}) => endpoint.id !== promotedId)
 			.map(async ({endpoint}) => {
 				const result = await pools.pool(endpoint).control({kind: 'resume'}, options.statusTimeoutMs);
 				log.event('replicaResumed', {
@@ -326,14 +326,14 @@
 			}));
 	}
 
-	private _promoterName({epoch}: HeldDuty): PromoterId {
+	private _promoterId({epoch}: HeldDuty): PromoterId {
 		return {holder: this._services.node, epoch};
 	}
 
 	/** Whether a primary that was taken for lost has answered since: it needs not be replaced. */
-	private _isHeardAgain(reason: PromotionReason): boolean {
+	private _hasPrimaryRecovered(reason: PromotionReason): boolean {
 		const {isFailing} = this._group;
-		return unheard.has(reason) && !isFailing;
+		return lossesEndedByAnswer.has(reason) && !isFailing;
 	}
 
 	private _isReplaced(term: number): boolean {
@@ -349,15 +349,15 @@
 	 * The replica that was ordered before, if one was: ordering it again changes nothing where it
 	 * leads already, and nothing has been acknowledged since that it could lack. Else the one that has most of the log; one that is not about to leave goes before an equal one.
 	 */
-	private _best(fenced: readonly FencedReplica[], orderedId: string | undefined): FencedReplica | undefined {
+	private _choosePromotionTarget(fenced: readonly FencedReplica[], orderedId: string | undefined): FencedReplica | undefined {
 		const {registry} = this._services;
 		const registered = fenced.filter(({endpoint}) => registry.endpoint(endpoint.id));
 		if (orderedId !== undefined) {
 			return registered.find(({endpoint}) => endpoint.id === orderedId);
 		}
 
-		const staying = registered.filter(({endpoint}) => !endpoint.isDraining);
-		return (staying.length > 0 ? staying : registered)
+		const notDraining = registered.filter(({endpoint}) => !endpoint.isDraining);
+		return (notDraining.length > 0 ? notDraining : registered)
 			.toSorted((a, b) => comparePositions(b.status.received, a.status.received))
 			.at(0);
 	}
--- a/src/common/primacy/promotion-duty.ts
+++ b/src/common/primacy/promotion-duty.ts
@@ -109,18 +109,18 @@
 };
 
 /** Epochs of one era of the store. */
-const epochsOfEra = 1_000_000;
+const epochsPerEra = 1_000_000;
 
 /** A duty that nobody has taken. */
-const nobody: DutyRecord = {
+const emptyRecord: DutyRecord = {
 	holder: '', epoch: 0, usedAtMs: 0, claimId: '', term: 0, orderedTerm: 0, seenTerm: 0,
 };
 
 /** Why the store's word on a duty does not count. */
-const unsettled: PlatformFault = {kind: 'unavailable', detail: 'the store came back from an older copy a moment ago'};
+const restoreNotSettled: PlatformFault = {kind: 'unavailable', detail: 'the store came back from an older copy a moment ago'};
 
 /** Time after which a write whose answer was lost is looked for. */
-const lookAgainMs = 50;
+const rereadDelayMs = 50;
 
 /** Takes duties for this node. */
 export class PromotionDuties {
@@ -150,7 +150,7 @@
 
 		const record: DutyRecord = {
 			holder: node,
-			epoch: Math.max(current?.epoch ?? 0, eraOf(storeVersion) * epochsOfEra) + 1,
+			epoch: Math.max(current?.epoch ?? 0, eraOf(storeVersion) * epochsPerEra) + 1,
 			usedAtMs: storeNowMs,
 			term: Math.max(term, begunTermOf(current), current?.seenTerm ?? 0),
 			orderedTerm: current?.orderedTerm ?? 0,
@@ -158,8 +158,8 @@
 			seenTerm: current?.seenTerm ?? 0,
 			claimId: `${node}-${Math.floor(random.next() * Number.MAX_SAFE_INTEGER).toString(36)}`,
 		};
-		const written = await this._writeForSure(service, record, {version, era: eraOf(storeVersion)});
-		return written.map(newVersion => this._held(record, newVersion, storeNowMs));
+		const written = await this._writeAndVerify(service, record, {version, era: eraOf(storeVersion)});
+		return written.map(newVersion => this._toHeldDuty(record, newVersion, storeNowMs));
 	}
 
 	/**
@@ -171,8 +171,8 @@
 		const record: DutyRecord = {
 			...duty.record, usedAtMs: storeNowMs, orderedTerm: duty.term, orderedId: endpointId,
 		};
-		const written = await this._writeForSure(service, record, placeOf(duty));
-		return written.map(version => ({...this._held(record, version, storeNowMs), orderedId: duty.orderedId}));
+		const written = await this._writeAndVerify(service, record, rowVersionOf(duty));
+		return written.map(version => ({...this._toHeldDuty(record, version, storeNowMs), orderedId: duty.orderedId}));
 	}
 
 	/** How far a replacement has come. */
@@ -180,7 +180,7 @@
 		const read = await this._read(service);
 		return read.chain<PlatformFault, ReplacementState>(({record, version, storeNowMs, storeVersion}) => {
 			if (!this._services.restores.isSettled) {
-				return Left(unsettled);
+				return Left(restoreNotSettled);
 			}
 
 			if (!record && version > 0) {
@@ -206,7 +206,7 @@
 		const record: DutyRecord = {
 			...duty.record, term: 0, orderedTerm, orderedId,
 		};
-		const written = await this._writeForSure(service, record, placeOf(duty));
+		const written = await this._writeAndVerify(service, record, rowVersionOf(duty));
 		written.ifLeft(fault => {
 			this._services.log.event('promotionNotGivenUp', {group: service, ...fault});
 		});
@@ -214,7 +214,7 @@
 
 	/** Puts on record which term an order has led to: whoever replaces a primary next replaces none of an earlier one. */
 	async recordEffect(service: string, duty: HeldDuty, seenTerm: number): Promise<void> {
-		const written = await this._writeForSure(service, {...duty.record, seenTerm}, placeOf(duty));
+		const written = await this._writeAndVerify(service, {...duty.record, seenTerm}, rowVersionOf(duty));
 		written.ifLeft(fault => {
 			this._services.log.event('promotionDutyMissed', {group: service, ...fault});
 		});
@@ -231,13 +231,13 @@
 		}
 
 		const {record: current, version, storeVersion} = read.unsafeCoerce();
-		const record = withLost(current ?? nobody, seen, known);
+		const record = mergeLostState(current ?? emptyRecord, seen, known);
 		if (record === undefined) {
 			return;
 		}
 
 		const {epoch, orderedTerm, orderedId, seenTerm} = record;
-		const written = await this._writeForSure(service, record, {version, era: eraOf(storeVersion)});
+		const written = await this._writeAndVerify(service, record, {version, era: eraOf(storeVersion)});
 		written
 			.ifLeft(refusal => {
 				log.event('dutyNotPutBack', {group: service, ...refusal});
@@ -249,7 +249,7 @@
 			});
 	}
 
-	private _held(record: DutyRecord, version: number, storeNowMs: number): HeldDuty {
+	private _toHeldDuty(record: DutyRecord, version: number, storeNowMs: number): HeldDuty {
 		const {epoch, term, orderedTerm, orderedId} = record;
 		return {
 			epoch, term, record, version, storeNowMs, orderedId: orderedTerm >= term ? orderedId : undefined, acquiredAtMs: this._services.clock.nowMs(),
@@ -278,13 +278,13 @@
 	}
 
 	/** Writes the row if it still has a version; resolves with its new one. A write whose answer was lost may have taken effect: the row says so. */
-	private async _writeForSure(service: string, record: DutyRecord, {version: expectedVersion, era}: RowPlace): Promise<Either<DutyRefusal, number>> {
+	private async _writeAndVerify(service: string, record: DutyRecord, {version: expectedVersion, era}: RowVersion): Promise<Either<DutyRefusal, number>> {
 		const {store, clock} = this._services;
 		const value = JSON.stringify(record);
 		const written = await store.write({
 			table: dutyTable, partition: service, key: dutyKey, value, expectedVersion,
 		});
-		const asOfEra = (version: number): Either<DutyRefusal, number> => {
+		const checkEra = (version: number): Either<DutyRefusal, number> => {
 			if (eraOf(version) !== era) {
 				return Left({reason: 'raced', detail: 'the store came back from an older copy meanwhile'});
 			}
@@ -294,7 +294,7 @@
 		};
 
 		if (!written.isLeft()) {
-			return asOfEra(written.unsafeCoerce().version);
+			return checkEra(written.unsafeCoerce().version);
 		}
 
 		const fault = written.extract();
@@ -302,24 +302,24 @@
 			return Left({reason: 'storeAway', detail: `write: ${fault.detail}`});
 		}
 
-		await pauseFor(clock, lookAgainMs);
+		await pauseFor(clock, rereadDelayMs);
 		const read = await store.read(dutyTable, service);
 		return read
 			.mapLeft((failed): DutyRefusal => ({reason: 'storeAway', detail: `write: ${fault.detail}, read: ${failed.detail}`}))
 			.chain<DutyRefusal, number>(({rows}) => {
 				const row = rows.find(({key}) => key === dutyKey);
-				return row?.value === value ? asOfEra(row.version) : Left({reason: 'raced'});
+				return row?.value === value ? checkEra(row.version) : Left({reason: 'raced'});
 			});
 	}
 }
 
 /** A row's version, zero where there was none, and the store's era when it was read. */
-type RowPlace = {
+type RowVersion = {
 	readonly version: number;
 	readonly era: number;
 };
 
-function placeOf({version}: HeldDuty): RowPlace {
+function rowVersionOf({version}: HeldDuty): RowVersion {
 	return {version, era: eraOf(version)};
 }
 
@@ -327,15 +327,15 @@
  * A record with what was seen before a restore and is known from the group; undefined where
  * nothing of it is lost. A replacement that the copy shows begun may have been ordered since.
  */
-function withLost(current: DutyRecord, seen: DutyRecord | undefined, {primaryTerm, begunTerm}: KnownTerms): DutyRecord | undefined {
+function mergeLostState(current: DutyRecord, seen: DutyRecord | undefined, {primaryTerm, begunTerm}: KnownTerms): DutyRecord | undefined {
 	const last = seen && seen.orderedTerm > current.orderedTerm ? seen : current;
-	const goneTerm = Math.max(primaryTerm - 1, begunTerm, current.term);
-	const isReplaced = primaryTerm > 1 && goneTerm < primaryTerm;
+	const replacedTerm = Math.max(primaryTerm - 1, begunTerm, current.term);
+	const isReplaced = primaryTerm > 1 && replacedTerm < primaryTerm;
 	const record: DutyRecord = {
 		...current,
 		epoch: Math.max(current.epoch, seen?.epoch ?? 0),
-		orderedTerm: Math.max(last.orderedTerm, goneTerm),
-		orderedId: last.orderedTerm >= goneTerm ? last.orderedId : undefined,
+		orderedTerm: Math.max(last.orderedTerm, replacedTerm),
+		orderedId: last.orderedTerm >= replacedTerm ? last.orderedId : undefined,
 		seenTerm: Math.max(current.seenTerm, seen?.seenTerm ?? 0, isReplaced ? primaryTerm : 0),
 	};
 	return record.orderedTerm === current.orderedTerm && record.seenTerm === current.seenTerm ? undefined : record;
--- a/src/common/primacy/replacement-checks.ts
+++ b/src/common/primacy/replacement-checks.ts
@@ -30,9 +30,9 @@
 	private readonly _sleep: WakeableSleep;
 	private _isRunning = false;
 	/** Whether a look was asked for that has not begun. */
-	private _isAsked = false;
+	private _isRequested = false;
 	private _isDisposed = false;
-	private _lookedAtMs = Number.NEGATIVE_INFINITY;
+	private _lastCheckAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(group: CheckedGroup, changes: DutyChanges, services: GroupServices) {
 		this._group = group;
@@ -43,12 +43,12 @@
 
 	/** When the last look began. */
 	get lastCheckAtMs(): number {
-		return this._lookedAtMs;
+		return this._lastCheckAtMs;
 	}
 
 	/** Looks now, and again until no proof waits. Without a registration no look would count. */
 	checkNow(): void {
-		this._isAsked = true;
+		this._isRequested = true;
 		if (this._isRunning) {
 			this._sleep.wake();
 		} else if (this._services.peers.registeredAtMs !== undefined) {
@@ -72,8 +72,8 @@
 		const {options} = this._services;
 		this._isRunning = true;
 		let pauseMs: number = options.replacementLookMs;
-		while (!this._isDisposed && (this._isAsked || this._group.isCheckDue)) {
-			await this._lookOnce();
+		while (!this._isDisposed && (this._isRequested || this._group.isCheckDue)) {
+			await this._checkOnce();
 			if (this._group.isCheckDue) {
 				await this._sleep.wait(pauseMs);
 				pauseMs = Math.min(pauseMs * 2, options.longestReplacementLookMs);
@@ -83,10 +83,10 @@
 		this._isRunning = false;
 	}
 
-	private async _lookOnce(): Promise<void> {
-		this._isAsked = false;
+	private async _checkOnce(): Promise<void> {
+		this._isRequested = false;
 		const checkedAtMs = this._services.clock.nowMs();
-		this._lookedAtMs = checkedAtMs;
+		this._lastCheckAtMs = checkedAtMs;
 		if (await this._isUnchanged(checkedAtMs)) {
 			return;
 		}
--- a/src/common/primacy/returned-replicas.ts
+++ b/src/common/primacy/returned-replicas.ts
@@ -34,17 +34,17 @@
 	/** Looks until the replica's word counts again, or it has returned once more. */
 	async clearWhenSafe(endpointId: string): Promise<void> {
 		const {clock, options} = this._services;
-		const returns = this._reports.returnCount(endpointId);
-		let lookMs = options.returnLookMs;
-		while (this._isAwaited(endpointId, returns)) {
-			if (this._group.mayPollEndpoints && await this._isUnchallenged()) {
-				this._reports.clearMissedFence(endpointId, returns);
+		const returnCount = this._reports.returnCount(endpointId);
+		let pauseMs = options.returnLookMs;
+		while (this._isStillReturned(endpointId, returnCount)) {
+			if (this._group.mayPollEndpoints && await this._isTermUncontested()) {
+				this._reports.clearMissedFence(endpointId, returnCount);
 				this._group.wake();
 				return;
 			}
 
-			await pauseFor(clock, lookMs);
-			lookMs = Math.min(lookMs * 2, options.longestReturnLookMs);
+			await pauseFor(clock, pauseMs);
+			pauseMs = Math.min(pauseMs * 2, options.longestReturnLookMs);
 		}
 	}
 
@@ -52,12 +52,12 @@
 		this._isDisposed = true;
 	}
 
-	private _isAwaited(endpointId: string, returns: number): boolean {
-		return !this._isDisposed && this._reports.returnCount(endpointId) === returns && this._services.registry.endpoint(endpointId) !== undefined;
+	private _isStillReturned(endpointId: string, returnCount: number): boolean {
+		return !this._isDisposed && this._reports.returnCount(endpointId) === returnCount && this._services.registry.endpoint(endpointId) !== undefined;
 	}
 
 	/** Whether nobody has begun to replace the primary of the term that this node knows. */
-	private async _isUnchallenged(): Promise<boolean> {
+	private async _isTermUncontested(): Promise<boolean> {
 		const term = this._group.primary?.term;
 		const state = await this._services.duties.state(this._group.service);
 		return term !== undefined && term === this._group.primary?.term && state.map(({begunTerm}) => begunTerm < term).orDefault(false);
--- a/src/common/primacy/suspension-watch.ts
+++ b/src/common/primacy/suspension-watch.ts
@@ -8,22 +8,22 @@
 /** Compares the steps of both clocks between two looks. */
 export class SuspensionWatch {
 	private readonly _clock: Clock;
-	private readonly _boundMs: number;
+	private readonly _toleranceMs: number;
 	private _offsetMs: number;
 
 	constructor(clock: Clock, boundMs: number) {
 		this._clock = clock;
-		this._boundMs = boundMs;
+		this._toleranceMs = boundMs;
 		this._offsetMs = this._currentOffsetMs();
 	}
 
 	/** Whether the clocks moved apart since the last look. */
 	checkForSuspension(): boolean {
 		const offsetMs = this._currentOffsetMs();
-		const isApart = Math.abs(offsetMs - this._offsetMs) > this._boundMs;
+		const hasJumped = Math.abs(offsetMs - this._offsetMs) > this._toleranceMs;
 		// Slow drift is followed, so that it never adds up to a jump.
 		this._offsetMs = offsetMs;
-		return isApart;
+		return hasJumped;
 	}
 
 	private _currentOffsetMs(): number {
--- a/src/common/primacy/term-lease.ts
+++ b/src/common/primacy/term-lease.ts
@@ -40,8 +40,8 @@
 	private _provedAtMs = Number.NEGATIVE_INFINITY;
 	private _check: ReplacementCheck | undefined;
 	/** Highest term of which this node was told that its proofs count no more, and when it was told last. */
-	private _barredTerm = 0;
-	private _barredAtMs = Number.NEGATIVE_INFINITY;
+	private _invalidatedTerm = 0;
+	private _invalidatedAtMs = Number.NEGATIVE_INFINITY;
 	/** Links from before this moment are none: the clock stood still since. */
 	private _chainFromMs = Number.NEGATIVE_INFINITY;
 
@@ -62,8 +62,8 @@
 
 	/** Highest term whose replacement has begun, as far as the store or promoters said; zero for none. */
 	get begunTerm(): number {
-		const isBarCleared = this._clearedAtMs(this._barredTerm) > this._barredAtMs;
-		return Math.max(this._check?.begunTerm ?? 0, isBarCleared ? 0 : this._barredTerm);
+		const isInvalidationCleared = this._uncontestedAtMs(this._invalidatedTerm) > this._invalidatedAtMs;
+		return Math.max(this._check?.begunTerm ?? 0, isInvalidationCleared ? 0 : this._invalidatedTerm);
 	}
 
 	/** Time since that question; undefined without a proof of this term. */
@@ -82,8 +82,8 @@
 	 * replica's word has to continue a chain. A peer's lease did so where it was granted.
 	 */
 	grant({term, provedAtMs, origin}: LeaseProof): boolean {
-		const isContinued = origin.kind === 'endpoint' ? this._isContinued(term, provedAtMs) : provedAtMs >= this._chainFromMs;
-		if (this._isBarred(term) || !isContinued) {
+		const continuesChain = origin.kind === 'endpoint' ? this._continuesChain(term, provedAtMs) : provedAtMs >= this._chainFromMs;
+		if (this._isInvalidated(term) || !continuesChain) {
 			return false;
 		}
 
@@ -94,8 +94,8 @@
 
 	/** Voids proofs of a term; those to come count only after the store has said that nobody replaces it. */
 	invalidate(term: number): void {
-		this._barredTerm = Math.max(this._barredTerm, term);
-		this._barredAtMs = this._clock.nowMs();
+		this._invalidatedTerm = Math.max(this._invalidatedTerm, term);
+		this._invalidatedAtMs = this._clock.nowMs();
 		if (this._term <= term) {
 			this.revoke();
 		}
@@ -128,18 +128,18 @@
 	}
 
 	/** When the store said last that nobody had begun to replace the term. */
-	private _clearedAtMs(term: number): number {
+	private _uncontestedAtMs(term: number): number {
 		return this._check && this._check.begunTerm < term ? this._check.checkedAtMs : Number.NEGATIVE_INFINITY;
 	}
 
-	private _isBarred(term: number): boolean {
-		const clearedAtMs = this._clearedAtMs(term);
-		return !Number.isFinite(clearedAtMs) || (term <= this._barredTerm && clearedAtMs <= this._barredAtMs);
+	private _isInvalidated(term: number): boolean {
+		const clearedAtMs = this._uncontestedAtMs(term);
+		return !Number.isFinite(clearedAtMs) || (term <= this._invalidatedTerm && clearedAtMs <= this._invalidatedAtMs);
 	}
 
 	/** The answer's time counts: the replica may have been asked while it was fenced, and have answered after that. */
-	private _isContinued(term: number, provedAtMs: number): boolean {
-		const linkMs = Math.max(this._clearedAtMs(term), this._term === term ? this._provedAtMs : Number.NEGATIVE_INFINITY);
+	private _continuesChain(term: number, provedAtMs: number): boolean {
+		const linkMs = Math.max(this._uncontestedAtMs(term), this._term === term ? this._provedAtMs : Number.NEGATIVE_INFINITY);
 		return linkMs >= this._chainFromMs && Math.max(this._clock.nowMs(), provedAtMs) - linkMs < this._times.chainMs;
 	}
 }
--- a/src/common/primacy/write-receipts.ts
+++ b/src/common/primacy/write-receipts.ts
@@ -25,8 +25,8 @@
 	private readonly _clock: Clock;
 	private readonly _options: ReceiptOptions;
 	private readonly _replicas: ReplicaReports;
-	private _question: Promise<unknown> | undefined;
-	private _waitAgainAtMs = Number.NEGATIVE_INFINITY;
+	private _pendingPoll: Promise<unknown> | undefined;
+	private _waitResumesAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock, options: ReceiptOptions, replicas: ReplicaReports) {
 		this._clock = clock;
@@ -36,21 +36,21 @@
 
 	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
 	async confirm(position: LogPosition): Promise<boolean> {
-		if (this._clock.nowMs() < this._waitAgainAtMs) {
+		if (this._clock.nowMs() < this._waitResumesAtMs) {
 			return this._isReceived(position);
 		}
 
 		const endMs = this._clock.nowMs() + this._options.confirmationWaitMs;
 		while (!this._isReceived(position) && this._clock.nowMs() < endMs) {
-			this._question ??= this._replicas.pollNearest().finally(() => {
-				this._question = undefined;
+			this._pendingPoll ??= this._replicas.pollNearest().finally(() => {
+				this._pendingPoll = undefined;
 			});
-			await withTimeout(this._clock, this._question, endMs - this._clock.nowMs());
+			await withTimeout(this._clock, this._pendingPoll, endMs - this._clock.nowMs());
 		}
 
 		const isReceived = this._isReceived(position);
 		if (!isReceived) {
-			this._waitAgainAtMs = this._clock.nowMs() + this._options.confirmationPauseMs;
+			this._waitResumesAtMs = this._clock.nowMs() + this._options.confirmationPauseMs;
 		}
 
 		return isReceived;
--- a/src/common/store/store-version.ts
+++ b/src/common/store/store-version.ts
@@ -6,21 +6,21 @@
  */
 
 /** Counters of one era; with 13 bits of eras above it a version is a safe integer. */
-const countersOfEra = 2 ** 40;
+const countersPerEra = 2 ** 40;
 
 /** The version at a counter of an era. */
 export function storeVersion(era: number, counter: number): number {
-	return (era * countersOfEra) + counter;
+	return (era * countersPerEra) + counter;
 }
 
 /** How often the store had come back from a copy at a version. */
 export function eraOf(version: number): number {
-	return Math.floor(version / countersOfEra);
+	return Math.floor(version / countersPerEra);
 }
 
 /** The store's own number of a version. */
 export function counterOf(version: number): number {
-	return version % countersOfEra;
+	return version % countersPerEra;
 }
 
 /** Both parts, for logs. */
--- a/src/common/store/version-observing-store.ts
+++ b/src/common/store/version-observing-store.ts
@@ -18,18 +18,18 @@
 	}
 
 	async read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>> {
-		return this._noted(await this._store.read(table, partition));
+		return this._observeVersion(await this._store.read(table, partition));
 	}
 
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
-		return this._noted(await this._store.follow(table, afterVersion, waitMs));
+		return this._observeVersion(await this._store.follow(table, afterVersion, waitMs));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {readonly version: number; readonly storeNowMs: number}>> {
-		return this._noted(await this._store.write(write));
+		return this._observeVersion(await this._store.write(write));
 	}
 
-	private _noted<Answer extends {readonly version: number}>(answer: Either<PlatformFault, Answer>): Either<PlatformFault, Answer> {
+	private _observeVersion<Answer extends {readonly version: number}>(answer: Either<PlatformFault, Answer>): Either<PlatformFault, Answer> {
 		return answer.ifRight(({version}) => {
 			this._restores.note(version);
 		});
