--- a/src/common/primacy/constants.ts
+++ b/src/common/primacy/constants.ts
@@ -1,108 +1,132 @@
 /**
- * Options of following a group's primary, in one table. Every time is in milliseconds.
+ * Options for tracking and replacing the primary of a group, in one table. Every time is in
+ * milliseconds.
  */
 
-/** Options of the primacy slice. */
+/** Default options of the primacy module. */
 export const primacyDefaults = {
 	/**
-	 * Time for which a replica's word that it follows a term, and is not fenced, proves that no
-	 * later term has begun. A promoter fences every replica and then waits for this time, so it
-	 * is part of every failover gap; several polls fit into it, so one lost answer is harmless.
+	 * Lease duration: how long a replica's report that it follows a term and is not fenced proves
+	 * that no later term has begun. A promoter fences every replica and then waits this long, so the
+	 * duration is part of every failover gap. Several polls fit into it, so that one lost response is
+	 * harmless.
 	 */
 	leaseMs: 900,
-	/** Time between two questions that renew a lease. */
+	/** Time between two status requests that renew a lease. */
 	leasePollMs: 250,
-	/** Longest wait for one answer about an endpoint's state: it may wait behind statements. */
+	/** Timeout of one status request to an endpoint, which may be queued behind statements. */
 	statusTimeoutMs: 350,
-	/** Longest wait of a statement for a lease, where none is valid. */
+	/** Maximum time that a statement waits for a lease when none is valid. */
 	leaseWaitMs: 350,
-	/** The same for the acknowledgement of what was committed: without it the outcome is unknown. */
+	/** Maximum time that the acknowledgement of a commit waits for a lease; without one the outcome is unknown. */
 	acknowledgementWaitMs: 500,
 	/**
-	 * Longest wait of a write's answer for a replica that has received it: one that has is never
-	 * passed over by a promotion. A replica answers in 2 to 5 ms, later behind statements.
+	 * Maximum time that the response to a write is held until a replica has received the write: a
+	 * promotion never skips a replica that has. A replica responds within 2 to 5 ms, or later when
+	 * the request is queued behind statements.
 	 */
 	confirmationWaitMs: 40,
-	/** Time for which writes are answered without that wait after one waited in vain. */
+	/** Time for which writes are acknowledged without that wait after one such wait has timed out. */
 	confirmationPauseMs: 500,
-	/** The primary is asked for its position when no answer has carried one for this long. */
+	/** The primary is polled for its position when no response has carried one for this long. */
 	sampleEveryMs: 900,
-	/** Least time between two kept samples. */
+	/** Minimum time between two retained position samples. */
 	sampleSpacingMs: 20,
-	/** Samples older than this are dropped: above the largest age that routes allow today. */
+	/** Position samples older than this are dropped; above the largest staleness that routes allow. */
 	sampleKeptMs: 6000,
-	/** Part of the allowed age that is not used, for what happens between arrival and sending. */
+	/**
+	 * Safety margin subtracted from the allowed staleness, for the time between a statement's arrival
+	 * and its sending.
+	 */
 	ageMarginMs: 30,
-	/** Difference between the steps of both clocks that counts as a suspension; drift stays far below. */
+	/**
+	 * Difference between the progress of the steady and the wall clock that counts as a suspension;
+	 * drift stays far below it.
+	 */
 	suspensionMs: 100,
 	/** Time without statements after which a group is no longer polled. */
 	idleAfterMs: 5000,
-	/** Wait before a group without a known primary is looked at again. */
+	/** Time between two polls of a group without a known primary. */
 	searchMs: 100,
 
-	/** The primary is asked for its state when it said nothing for this long, and at once when an attempt failed. */
+	/**
+	 * The primary's status is requested when nothing was received from it for this long, and at once
+	 * after a failed attempt.
+	 */
 	primaryCheckMs: 400,
-	/** A node that is asked about a primary looks itself when it heard nothing for this long. */
+	/**
+	 * A node that is asked for its opinion of a primary polls the primary first when it last heard
+	 * from it longer ago than this.
+	 */
 	opinionFreshMs: 100,
-	/** Longest time of that look; below the time that the asking node waits. */
+	/** Timeout of that poll; shorter than the requesting node waits for the opinion. */
 	opinionLookMs: 200,
-	/** Refused attempts to connect, without an answer between them, that mean a crash. */
+	/** Number of refused connection attempts, with no response in between, after which the primary counts as crashed. */
 	crashRefusals: 2,
 	/**
-	 * Silence of the primary that is taken as its loss, unless another node hears it; a false
-	 * alarm costs a promotion's second. Longer than one question may take, 350 ms, and the
-	 * 100 ms until the next.
+	 * Silence after which the primary counts as lost, unless another node still hears from it; a
+	 * false alarm costs a promotion, about a second. Longer than the timeout of one status request
+	 * (350 ms) plus the 100 ms until the next one.
 	 */
 	silentAfterMs: 600,
 	/**
-	 * Silence after which a primary is replaced though most other nodes cannot be asked: those
-	 * that reach it have no proofs once every replica is fenced, so that nothing is risked but
-	 * a needless change. Twice the other one; after 3 s a group whose primary stood between two
-	 * halves of the nodes refused for 4 s.
+	 * Silence after which a primary is replaced even though most other nodes cannot be reached. This
+	 * is safe: nodes that still reach the primary get no proofs once every replica is fenced, so the
+	 * only risk is a needless change of primary. Twice `silentAfterMs`; with 3 s, a group whose
+	 * primary was partitioned from half of the nodes refused statements for 4 s.
 	 */
 	silentAloneAfterMs: 1200,
-	/** Time without any primary, with endpoints that answer, after which one is promoted. */
+	/** Time without any primary, while endpoints respond, after which a replica is promoted. */
 	vacantAfterMs: 600,
-	/** Nodes that see a loss act one after the other by rank, this far apart. */
+	/** Delay per rank between the nodes that detect the same loss, so that they act one after the other. */
 	staggerMs: 150,
 
 	/**
-	 * Time in which duties don't change hands again after a holder used one, on the store's clock.
-	 * The platform's own bound is not published; this is above its window for stable machines.
+	 * Lease duration of a promotion duty: after its holder used it, no other node can acquire it for
+	 * this long on the store's clock. The platform does not publish its own bound; this is above its
+	 * window for stable machines.
 	 */
 	dutyLeaseMs: 5000,
-	/** Least time between a promotion's order and its effect: the platform states some hundred. */
+	/** Minimum time between a promotion order and its effect; the platform specifies a few hundred milliseconds. */
 	promotionMinimumMs: 100,
-	/** Longest wait for a promotion to take effect: some hundred milliseconds, a second as a rule. */
+	/** Maximum time to wait for a promotion to take effect, which takes a few hundred milliseconds to about a second. */
 	promotionTimeoutMs: 2500,
-	/** Time between two looks whether it has taken effect. */
+	/** Time between two status requests that check whether a promotion has taken effect. */
 	promotionPollMs: 50,
-	/** Longest wait for a replica to have all of a primary that stepped down. */
+	/** Maximum time to wait until a replica has caught up with a primary that stepped down. */
 	handOverMs: 400,
-	/** Wait after a promotion that failed. */
+	/** Wait after a failed promotion. */
 	promotionRetryMs: 500,
-	/** Time between two looks whether a promotion began without a replica that returned; doubles up to the longest. */
+	/**
+	 * Time between two checks whether a promotion may have begun without fencing a returned replica;
+	 * doubles up to the maximum below.
+	 */
 	returnLookMs: 400,
 	longestReturnLookMs: 5000,
 	/**
-	 * Time between two looks in the store whether a term is being replaced, while a proof waits for
-	 * that; doubles up to the longest. A promotion takes one to two seconds, and its end is told.
+	 * Time between two store reads that check whether a term is being replaced, while a proof is
+	 * pending on the answer; doubles up to the maximum below. A promotion takes one to two seconds,
+	 * and its end is announced.
 	 */
 	replacementLookMs: 200,
 	longestReplacementLookMs: 1000,
-	/** Longest time between putting an order on record and sending it: a host that was paused meanwhile sends none. */
+	/**
+	 * Maximum time between recording an order in the store and sending it: a host that was paused in
+	 * between must not send it.
+	 */
 	orderFreshMs: 1000,
-	/** A fence that nobody has removed for this long is left from a node that stopped half-way. */
+	/** A fence that has been in place for this long was left by a promoter that stopped half-way, and is removed. */
 	orphanedFenceMs: 4000,
 } as const;
 
-/** Options of the slice, as they may be set. */
+/** Configurable options of the primacy module. */
 export type PrimacyOptions = {readonly [Name in keyof typeof primacyDefaults]: number};
 
 /**
- * Time from the fences of all replicas until a promotion may be ordered without telling every
- * node, in milliseconds: leases granted before the fences have run out when it takes effect.
- * Proofs further apart than that are no chain, since a promotion may lie between them.
+ * Time in milliseconds to wait, after all replicas are fenced, before a promotion may be ordered
+ * without notifying every node: leases granted before the fences have then expired by the time the
+ * promotion takes effect. Proofs further apart than this do not form a chain, since a promotion may
+ * lie between them.
  */
 export function leaseExpiryWaitMs({leaseMs, promotionMinimumMs}: PrimacyOptions): number {
 	return leaseMs - promotionMinimumMs;
--- a/src/common/primacy/duty-changes.test.ts
+++ b/src/common/primacy/duty-changes.test.ts
@@ -16,20 +16,20 @@
 		return {clock, store, changes: new DutyChanges(store)};
 	}
 
-	it('asks once for all that want to know at one time, since the earliest version', async () => {
+	it('sends one request for concurrent callers, since the lowest version', async () => {
 		const {clock, store, changes} = make();
 		store.put(dutyTable, 'holder', '{}', 'g1');
 		const answers = await clock.advanceUntil(Promise.all([12, 11, 15].map(async version => changes.unchangedSince(version))));
 		expect([answers, store.calls]).toEqual([[11, 11, 11].map((now, index) => Math.max(now, [12, 11, 15][index])), 1]);
 	});
 
-	it('says nothing where any duty has changed since, whichever group wants to know', async () => {
+	it('returns undefined if any duty has changed, whichever group asked', async () => {
 		const {clock, store, changes} = make();
 		store.put(dutyTable, 'holder', '{}', 'g1');
 		expect(await clock.advanceUntil(Promise.all([changes.unchangedSince(11), changes.unchangedSince(10)]))).toEqual([undefined, undefined]);
 	});
 
-	it('says nothing where the store is away, or has dropped the history', async () => {
+	it('returns undefined if the store is unavailable or has dropped the history', async () => {
 		const {clock, store, changes} = make();
 		store.isUnavailable = true;
 		const away = await clock.advanceUntil(changes.unchangedSince(10));
@@ -39,7 +39,7 @@
 		expect([away, await clock.advanceUntil(changes.unchangedSince(5))]).toEqual([undefined, undefined]);
 	});
 
-	it('does not answer a question with an answer that was asked for before', async () => {
+	it('does not serve a caller from a request that was sent before its call', async () => {
 		const {clock, store, changes} = make();
 		const first = changes.unchangedSince(10);
 		await Promise.resolve();
--- a/src/common/primacy/duty-changes.ts
+++ b/src/common/primacy/duty-changes.ts
@@ -1,19 +1,19 @@
 /**
- * Asks the store whether any duty has changed since a version: one question for all groups that
- * want to know at one time, in place of a read of each group's row. 195 nodes that started at once
- * before 14 groups made 2,730 reads, most of all their calls to the store.
+ * Asks the store whether any promotion duty has changed since a version. All groups that need to know
+ * at the same time share one request, instead of one read per group: 195 nodes that started together
+ * with 14 groups made 2,730 reads, most of all their calls to the store.
  */
 import type {Either} from 'purify-ts';
 import type {PlatformFault, RowStore, StoredRows} from '../services/services.js';
 import {dutyTable} from './promotion-duty.js';
 
-/** What the store said, and when it was asked at the latest: after whoever wanted to know. */
+/** The store's response to a shared request, which is sent after every caller that shares it has called. */
 type Answer = Promise<Either<PlatformFault, StoredRows>>;
 
-/** Shares questions between groups. */
+/** Coalesces requests for duty changes across groups. */
 export class DutyChanges {
 	private readonly _store: RowStore;
-	/** Lowest version of those that wait for the next question. */
+	/** Lowest version among the callers that wait for the next request. */
 	private _sinceVersion = Number.POSITIVE_INFINITY;
 	private _nextRequest: Answer | undefined;
 
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * The store's version if no duty has changed since a version, asked after this call; undefined
-	 * where one has, or nobody can tell.
+	 * Returns the store's current version if no duty has changed since the given version, from a
+	 * request sent after this call; undefined if one has changed, or the store cannot tell.
 	 */
 	async unchangedSince(version: number): Promise<number | undefined> {
 		this._sinceVersion = Math.min(this._sinceVersion, version);
@@ -37,7 +37,7 @@
 	}
 
 	private async _sendRequest(): Answer {
-		// Other groups that are looked at for the same reason join before it is sent.
+		// Lets other groups that are checked in the same tick join before the request is sent.
 		await Promise.resolve();
 		const since = this._sinceVersion;
 		this._sinceVersion = Number.POSITIVE_INFINITY;
--- a/src/common/primacy/endpoint-reports.test.ts
+++ b/src/common/primacy/endpoint-reports.test.ts
@@ -21,34 +21,34 @@
 		await clock.advance(1000);
 	});
 
-	it('takes a position that went down within a term for another start', async () => {
+	it('takes a position that decreased within a term as a restart', async () => {
 		expect(reports.noteStatus('i-1', report(7))).toEqual(false);
 		await clock.advance(10);
 		expect(reports.noteStatus('i-1', report(2))).toEqual(true);
 		expect(reports.status('i-1')?.status.received.offset).toEqual(2);
 	});
 
-	it('takes no answer to an earlier question for another start', async () => {
+	it('does not take a late response to an earlier request as a restart', async () => {
 		const earlier = report(2);
 		await clock.advance(10);
 		reports.noteStatus('i-1', report(7));
 		expect(reports.noteStatus('i-1', earlier)).toEqual(false);
 	});
 
-	it('takes nothing that a promotion rolled back for another start', async () => {
+	it('does not take a rollback by a promotion as a restart', async () => {
 		reports.noteStatus('i-1', report(7));
 		await clock.advance(10);
 		expect(reports.noteStatus('i-1', report(2, {term: 4}))).toEqual(false);
 	});
 
-	it('takes an applied position that went down for another start', async () => {
+	it('takes an applied position that decreased as a restart', async () => {
 		reports.noteApplied('i-1', {term: 3, offset: 7}, clock.nowMs());
 		await clock.advance(10);
 		expect(reports.noteApplied('i-1', {term: 3, offset: 6}, clock.nowMs())).toEqual(true);
 		expect(reports.applied('i-1')?.position.offset).toEqual(6);
 	});
 
-	it('believes no proof of an endpoint that started again until it is cleared', () => {
+	it('accepts no proof from a restarted endpoint until it is cleared', () => {
 		expect(reports.mayProve('i-1')).toEqual(true);
 		reports.forget('i-1');
 		expect(reports.mayProve('i-1')).toEqual(false);
@@ -56,7 +56,7 @@
 		expect(reports.mayProve('i-1')).toEqual(true);
 	});
 
-	it('is not cleared by a look that began before the endpoint started once more', () => {
+	it('is not cleared by a check that began before another restart', () => {
 		reports.forget('i-1');
 		const returns = reports.returnCount('i-1');
 		reports.forget('i-1');
--- a/src/common/primacy/endpoint-reports.ts
+++ b/src/common/primacy/endpoint-reports.ts
@@ -1,17 +1,17 @@
 /**
- * What the endpoints of one group said of themselves since their last start.
+ * What the endpoints of one group have reported since their last start.
  *
- * An endpoint may start again under its id, and then holds and knows nothing of before: what
- * it had received confirms no write, what it had applied serves no read, and a fence that it
- * was given is forgotten. Within a term positions only go up, so one that went down shows such
- * a start even where the registration does not say so yet.
+ * An endpoint may restart under the same id, and then has lost its state: what it had received
+ * confirms no write, what it had applied serves no read, and a fence that it was given is forgotten.
+ * Within a term positions only increase, so a position that decreased shows a restart even where the
+ * registration does not show it yet.
  */
 import type {ReportedStatus} from '../pools/types.js';
 import type {LogPosition} from '../positions/log-position.js';
 import {laterPosition} from '../positions/log-position.js';
 import type {Clock} from '../services/services.js';
 
-/** Position that an endpoint's reads were known to include at some time. */
+/** Position that an endpoint's reads are known to include, and when this was learned. */
 export type AppliedPosition = {
 	readonly position: LogPosition;
 	readonly atMs: number;
@@ -20,13 +20,13 @@
 type EndpointKnowledge = {
 	report?: {readonly reported: ReportedStatus; readonly atMs: number};
 	applied?: AppliedPosition;
-	/** Starts and returns that were noticed. */
+	/** Number of restarts and returns that were observed. */
 	returnCount: number;
-	/** Whether a promotion may have begun since the last one without fencing it. */
+	/** Whether a promotion may have begun without fencing the endpoint since its last restart or return. */
 	mayHaveMissedFence: boolean;
 };
 
-/** Reports by endpoint. */
+/** Keeps the latest reports by endpoint. */
 export class EndpointReports {
 	private readonly _clock: Clock;
 	private readonly _known = new Map<string, EndpointKnowledge>();
@@ -35,34 +35,43 @@
 		this._clock = clock;
 	}
 
-	/** What an endpoint last reported. */
+	/** Returns the last status that an endpoint reported; undefined without one since its last restart. */
 	status(endpointId: string): ReportedStatus | undefined {
 		return this._known.get(endpointId)?.report?.reported;
 	}
 
-	/** Position that an endpoint's reads are known to include. */
+	/** Returns the position that an endpoint's reads are known to include; undefined if none is known. */
 	applied(endpointId: string): AppliedPosition | undefined {
 		return this._known.get(endpointId)?.applied;
 	}
 
-	/** Whether an endpoint's last state, if it had arrived at a time, shows more of a term than a position. */
+	/**
+	 * Returns whether an endpoint's last status, if received by the given time, shows a log of the
+	 * term that extends beyond the position.
+	 */
 	isAhead(endpointId: string, position: LogPosition, term: number, momentMs: number): boolean {
 		const report = this._known.get(endpointId)?.report;
 		return report !== undefined && report.atMs <= momentMs && report.reported.status.term === term
 			&& isLostPosition(position, report.reported.status.received, term);
 	}
 
-	/** Whether its word may prove a term: it has not missed a fence. */
+	/** Returns whether an endpoint's status may prove a term, which requires that it cannot have missed a fence. */
 	mayProve(endpointId: string): boolean {
 		return this._known.get(endpointId)?.mayHaveMissedFence !== true;
 	}
 
-	/** Counts the returns of an endpoint, so that a look that began before the last one clears nothing. */
+	/**
+	 * Returns how often an endpoint has restarted or returned, so that a check that began before the
+	 * last time clears nothing.
+	 */
 	returnCount(endpointId: string): number {
 		return this._known.get(endpointId)?.returnCount ?? 0;
 	}
 
-	/** No promotion has begun without the endpoint: its word counts again, unless it returned once more. */
+	/**
+	 * Accepts an endpoint's proofs again, since no promotion has begun without fencing it; does
+	 * nothing if it has returned again.
+	 */
 	clearMissedFence(endpointId: string, returnCount: number): void {
 		const known = this._known.get(endpointId);
 		if (known?.returnCount === returnCount) {
@@ -70,7 +79,7 @@
 		}
 	}
 
-	/** Takes in a state; resolves to whether the endpoint has started again since the last one. */
+	/** Records a status and returns whether it shows that the endpoint has restarted since the last one. */
 	noteStatus(endpointId: string, reported: ReportedStatus): boolean {
 		const known = this._knowledge(endpointId);
 		const before = known.report;
@@ -85,7 +94,7 @@
 		return hasRestarted;
 	}
 
-	/** Takes in the position that an answer carried; resolves to whether the endpoint has started again since. */
+	/** Records the position that a response carried and returns whether it shows a restart of the endpoint. */
 	noteApplied(endpointId: string, position: LogPosition, sentAtMs: number): boolean {
 		const before = this._knowledge(endpointId).applied;
 		const hasRestarted = before !== undefined && sentAtMs > before.atMs
@@ -102,12 +111,12 @@
 		return hasRestarted;
 	}
 
-	/** An endpoint started again, or came back: nothing of before counts. */
+	/** Discards everything known of an endpoint that restarted or whose registration returned. */
 	forget(endpointId: string): void {
 		this._known.set(endpointId, {returnCount: this.returnCount(endpointId) + 1, mayHaveMissedFence: true});
 	}
 
-	/** Positions count anew: those of a term that ended may have been rolled back. */
+	/** Discards all applied positions: those of a term that ended may have been rolled back. */
 	clearApplied(): void {
 		for (const known of this._known.values()) {
 			known.applied = undefined;
@@ -125,13 +134,13 @@
 	}
 }
 
-/** Whether an endpoint says something else of its role than before, or says it for the first time. */
+/** Returns whether a status reports another role, term or fence than the previous one, or is the first. */
 export function hasRoleChanged(before: ReportedStatus | undefined, {status}: ReportedStatus): boolean {
 	return before?.status.isPrimary !== status.isPrimary || before.status.term !== status.term
 		|| before.status.fencedForTerm !== status.fencedForTerm;
 }
 
-/** Whether a log that held a position of a term holds it no more; entries of earlier terms may be rolled back. */
+/** Whether a log that held a position of a term no longer holds it; entries of earlier terms may be rolled back. */
 function isLostPosition(now: LogPosition, before: LogPosition, term: number): boolean {
 	return before.term === term && (now.term < term || (now.term === term && now.offset < before.offset));
 }
--- a/src/common/primacy/failover.ts
+++ b/src/common/primacy/failover.ts
@@ -1,6 +1,6 @@
 /**
- * Decides when a group's primary is replaced: this node has lost it, no other node hears
- * it, and it is this node's turn.
+ * Decides when a group's primary is replaced: this node has lost contact with it, no other node hears
+ * from it, and it is this node's turn by rank.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -8,26 +8,27 @@
 import {Promoter} from './promoter.js';
 import type {GroupServices, PromotionReason, Primary} from './types.js';
 
-/** Time between two looks at a primary that something speaks against. */
+/** Time between two checks of a group whose primary shows any sign of trouble. */
 const checkIntervalMs = 50;
 
 /**
- * The same where nothing does. Whatever may, wakes the watch at once, so that only what a look
- * would find by time alone is found later: an asker of 14 groups looked 280 times a second.
+ * Time between two checks of a healthy group. Every event that may change its health wakes the loop
+ * at once, so only what becomes true by the passing of time is detected later. With the short
+ * interval, a coordinator of 14 groups made 280 checks per second.
  */
 const quietCheckIntervalMs = 500;
 
-/** Losses that the endpoints themselves showed, or the store, so that other nodes need not be asked. */
+/** Reasons that the endpoints or the store themselves have shown, so that other nodes need not confirm them. */
 const lossesWithoutPeerCheck: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
 
-/** Watches over one group. */
+/** Watches one group and has its primary replaced when it is lost. */
 export class Failover implements Disposable {
 	private readonly _services: GroupServices;
 	private readonly _group: PrimaryTracker;
 	private readonly _promoter: Promoter;
-	/** Waits within a replacement, which nothing cuts short. */
+	/** Waits within a replacement; they are not cut short by events. */
 	private readonly _sleep: WakeableSleep;
-	/** The wait between two looks. */
+	/** Wait between two checks. */
 	private readonly _checkSleep: WakeableSleep;
 	private readonly _wakeListener: Disposable;
 	private _isQuiet = false;
@@ -48,7 +49,7 @@
 		});
 	}
 
-	/** Starts to watch. */
+	/** Starts the checks, which run until disposal. */
 	start(): void {
 		void this._run();
 	}
@@ -101,7 +102,7 @@
 		this._fencesSinceMs = new Map([...this._fencesSinceMs.keys()].map(id => [id, clock.nowMs()]));
 	}
 
-	/** Whether no other node hears the primary, and most of them could be asked. */
+	/** Whether no other node hears from the primary, and a majority of them could be asked. */
 	private async _isLostEverywhere(primary: Primary, reason: PromotionReason): Promise<boolean> {
 		const {peers, log} = this._services;
 		const {service} = this._group;
@@ -128,7 +129,7 @@
 		return isLost;
 	}
 
-	/** A node that stopped half-way left replicas that receive nothing. */
+	/** Removes fences left by a promoter that stopped half-way; a fenced replica receives nothing. */
 	private async _removeOrphanedFences(): Promise<void> {
 		const {clock, pools, options, log} = this._services;
 		for (const endpoint of this._group.endpoints()) {
--- a/src/common/primacy/group-poller.ts
+++ b/src/common/primacy/group-poller.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the endpoints of one group for their states: as often as proofs and positions are
- * needed while statements of the group come, and at once where something failed.
+ * Polls the endpoints of one group for their status: as often as proofs and positions are needed
+ * while statements for the group arrive, and at once after a failure.
  */
 import {Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -10,12 +10,12 @@
 import type {RegisteredEndpoint} from '../services/services.js';
 import type {Primary, PrimacyServices} from './types.js';
 
-/** Least time between two questions to replicas. */
+/** Minimum time between two status requests to replicas. */
 const minimumPauseMs = 1;
 
-/** What is known of the group, and takes in what is found out. */
+/** State of the group that the poller needs, and the methods that receive its results. */
 export type PolledGroup = {
-	/** Fires when a proof of the primary's term has come. */
+	/** Fires when a proof of the primary's term has been granted. */
 	readonly onProof: Event<void>;
 	readonly primary: Primary | undefined;
 	readonly primaryEndpoint: RegisteredEndpoint | undefined;
@@ -24,23 +24,26 @@
 	readonly isLeased: boolean;
 	/** Whether the primary may have been replaced. */
 	readonly isPossiblyReplaced: boolean;
-	/** Whether attempts to reach the primary failed since it was last heard. */
+	/** Whether attempts to reach the primary have failed since it was last heard from. */
 	readonly isFailing: boolean;
-	/** When the question was sent that proved the primary's term. */
+	/** When the status request was sent whose response proved the primary's term. */
 	readonly provedAtMs: number;
-	/** When the newest position of the primary was asked for. */
+	/** When the request was sent that returned the newest position of the primary. */
 	readonly sampledAtMs: number;
 	endpoints(): readonly RegisteredEndpoint[];
 	replicas(): readonly RegisteredEndpoint[];
 	noteFault(endpointId: string, cause: StatementFault['cause'], sinceMs: number): void;
 	noteStatus(endpointId: string, report: ReportedStatus): void;
-	/** Takes in that no replica that was asked proved the primary's term. */
+	/** Called when none of the polled replicas proved the primary's term. */
 	noteUnproved(): void;
-	/** Takes in what all endpoints that answered said, and whether others are there that had no room for the question. */
+	/**
+	 * Called with the reports of all endpoints that responded, and whether others exist that were too
+	 * overloaded to respond.
+	 */
 	noteSearch(answered: readonly ReportedStatus[], hasOverloadedEndpoints: boolean): void;
 };
 
-/** One task for the group, and questions of others beside it. */
+/** Runs the polling loop of one group, and status requests that callers make in between. */
 export class GroupPoller implements Disposable {
 	private readonly _group: PolledGroup;
 	private readonly _services: PrimacyServices;
@@ -56,12 +59,12 @@
 		this._usedAtMs = services.clock.nowMs();
 	}
 
-	/** Starts the task. */
+	/** Starts the polling loop, which runs until disposal. */
 	start(): void {
 		void this._run();
 	}
 
-	/** Statements of the group come: it is asked for a while. */
+	/** Records that a statement for the group arrived; the group is polled until it has been idle for `idleAfterMs`. */
 	noteUse(): void {
 		const {clock, options} = this._services;
 		const wasIdle = clock.nowMs() - this._usedAtMs > options.idleAfterMs;
@@ -71,12 +74,15 @@
 		}
 	}
 
-	/** Looks at the group at once. */
+	/** Polls the group at once. */
 	wake(): void {
 		this._sleep.wake();
 	}
 
-	/** Waits for a proof that the primary's term stands; resolves with whether there is one. */
+	/**
+	 * Waits up to a timeout for a proof that the primary's term has not been replaced, and resolves
+	 * to whether one is valid.
+	 */
 	async ensureLease(timeoutMs: number): Promise<boolean> {
 		const {clock, options} = this._services;
 		const endMs = clock.nowMs() + timeoutMs;
@@ -93,7 +99,7 @@
 		return this._group.isLeased;
 	}
 
-	/** Looks whether the primary answers, unless it did a moment ago. */
+	/** Polls the primary unless it was heard from within `opinionFreshMs`. */
 	async checkPrimary(): Promise<void> {
 		const {clock, options} = this._services;
 		const {primaryEndpoint, primaryHeardAtMs} = this._group;
@@ -102,13 +108,13 @@
 		}
 	}
 
-	/** Asks one endpoint for its state and takes the answer in. */
+	/** Requests one endpoint's status, applies the response and resolves to it; undefined if the request failed. */
 	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
 		const result = await this._requestStatus(endpoint);
 		return result.toMaybe().extract();
 	}
 
-	/** Asks the nearest replica, and at least a millisecond passes: a replica may receive a moment later. */
+	/** Polls the nearest replica, taking at least a millisecond: the replica may receive the write a moment later. */
 	async pollNearestReplica(): Promise<void> {
 		const [replica] = this._replicasByDistance();
 		await Promise.all([
@@ -137,9 +143,9 @@
 	}
 
 	/**
-	 * Time between two looks. A node that may not ask is told by the asking node of a group that is
-	 * well, and is woken when that changes: with 14 groups looks at all of them four times a second
-	 * were most of what it woke up for.
+	 * Time between two polls. A node that may not poll endpoints learns about a healthy group from
+	 * the coordinator, and is woken when its health changes; with 14 groups, polling all of them four
+	 * times a second caused most of such a node's wake-ups.
 	 */
 	private get _pollIntervalMs(): number {
 		const {options} = this._services;
@@ -173,7 +179,7 @@
 			return;
 		}
 
-		// An endpoint may have no room for this node's question, and have answered another node.
+		// An endpoint may be too overloaded to respond to this node, and yet have responded to another one.
 		const hasToLearn = !mayPollEndpoints || !primary;
 		await Promise.all([
 			mayPollEndpoints ? this._pollAllEndpoints() : undefined,
@@ -185,7 +191,7 @@
 		const {clock, options, sharing} = this._services;
 		const {primaryEndpoint, provedAtMs, sampledAtMs, isFailing, primaryHeardAtMs} = this._group;
 		const nowMs = clock.nowMs();
-		// What the asking node shares arrives a little later than it would ask again itself.
+		// The coordinator's overviews arrive a little later than the coordinator itself would poll again.
 		const graceMs = sharing.isCoordinator ? 0 : options.leasePollMs;
 		const isProofDue = nowMs - provedAtMs >= (options.leasePollMs / 2) + graceMs;
 		const isSampleDue = nowMs - sampledAtMs >= options.sampleEveryMs + graceMs;
@@ -196,18 +202,18 @@
 		]);
 	}
 
-	/** Asks every endpoint. */
+	/** Requests the status of every endpoint. */
 	private async _pollAllEndpoints(): Promise<void> {
 		const results = await Promise.all(this._group.endpoints().map(async endpoint => this._requestStatus(endpoint)));
 		this._group.noteSearch(Either.rights(results), Either.lefts(results).some(({refusal}) => refusal.kind === 'overloaded'));
 	}
 
-	/** Looks for a proof of the primary's term: here, or at the node that asks for all. */
+	/** Requests a proof of the primary's term, from the replicas or from the coordinator. */
 	private async _requestProof(): Promise<void> {
 		await (this._group.mayPollEndpoints ? this._pollReplicas() : this._services.sharing.refresh());
 	}
 
-	/** Asks replicas, those nearby first, until one has proved the term. */
+	/** Polls replicas, nearest first, until one has proved the term. */
 	private async _pollReplicas(): Promise<void> {
 		for (const replica of this._replicasByDistance()) {
 			const report = await this.refreshStatus(replica);
--- a/src/common/primacy/lease-proof.test.ts
+++ b/src/common/primacy/lease-proof.test.ts
@@ -5,12 +5,12 @@
 
 const proof: LeaseProof = {term: 3, provedAtMs: 1000.4, origin: {kind: 'endpoint', name: 'i-2'}};
 
-describe('the proof of a lease', () => {
-	it('is named by its origin and its age', () => {
+describe('LeaseProof', () => {
+	it('is logged with its origin and its age', () => {
 		expect(proofFields(proof, 1100)).toEqual({source: 'i-2', sourceKind: 'endpoint', provedAgoMs: 100});
 	});
 
-	it('has a gap to an earlier one of its term, and none to another term\'s', () => {
+	it('has a gap to an earlier proof of its term, and none to a proof of another term', () => {
 		expect(proofGapMs({...proof, provedAtMs: 400}, proof)).toEqual(600);
 		expect(proofGapMs({...proof, term: 2}, proof)).toEqual(undefined);
 		expect(proofGapMs(undefined, proof)).toEqual(undefined);
--- a/src/common/primacy/position-samples.test.ts
+++ b/src/common/primacy/position-samples.test.ts
@@ -4,8 +4,8 @@
 
 const at = (offset: number) => ({term: 1, offset});
 
-describe('FreshnessSamples', () => {
-	it('gives the lowest position that holds all before a moment', () => {
+describe('PositionSamples', () => {
+	it('returns the lowest position that covers everything before a moment', () => {
 		const samples = new PositionSamples(0, 10_000);
 		for (const [sentAtMs, offset] of [[100, 1], [200, 5], [300, 9]] as const) {
 			samples.add(sentAtMs, at(offset));
@@ -16,13 +16,13 @@
 		expect(samples.floor(300)).toEqual(at(9));
 	});
 
-	it('gives nothing for a moment after the newest sample', () => {
+	it('returns undefined for a moment after the newest sample', () => {
 		const samples = new PositionSamples(0, 10_000);
 		samples.add(100, at(1));
 		expect(samples.floor(101)).toEqual(undefined);
 	});
 
-	it('takes no sample that is older than the newest, and drops old ones', () => {
+	it('ignores samples older than the newest, and drops expired ones', () => {
 		const samples = new PositionSamples(20, 1000);
 		samples.add(100, at(1));
 		samples.add(90, at(7));
--- a/src/common/primacy/position-samples.ts
+++ b/src/common/primacy/position-samples.ts
@@ -1,16 +1,16 @@
 /**
- * Positions that a group's primary was proved to have, and when: the floor of reads that
- * accept data of some age.
+ * Positions that a group's primary was proved to have reached, and when. They give the minimum
+ * position for reads that accept some staleness.
  */
 import type {LogPosition} from '../positions/log-position.js';
 
 type Sample = {
-	/** When the question was sent: the primary had at least this position afterwards. */
+	/** When the request was sent; the primary had reached at least this position afterwards. */
 	readonly sentAtMs: number;
 	readonly position: LogPosition;
 };
 
-/** Samples of one term, oldest first. */
+/** Keeps position samples of one term, oldest first. */
 export class PositionSamples {
 	private readonly _spacingMs: number;
 	private readonly _keptMs: number;
@@ -21,12 +21,12 @@
 		this._keptMs = keptMs;
 	}
 
-	/** When the newest sample's question was sent; minus infinity without any. */
+	/** When the request of the newest sample was sent; minus infinity without a sample. */
 	get newestMs(): number {
 		return this._samples.at(-1)?.sentAtMs ?? Number.NEGATIVE_INFINITY;
 	}
 
-	/** Position of the newest sample. */
+	/** Position of the newest sample; undefined without a sample. */
 	get newest(): LogPosition | undefined {
 		return this._samples.at(-1)?.position;
 	}
@@ -44,8 +44,8 @@
 	}
 
 	/**
-	 * The lowest position that holds everything acknowledged before a moment; undefined when
-	 * no sample is that new.
+	 * Returns the lowest sampled position that covers everything acknowledged before a moment;
+	 * undefined if no sample is that recent.
 	 */
 	floor(momentMs: number): LogPosition | undefined {
 		return this._samples.find(({sentAtMs}) => sentAtMs >= momentMs)?.position;
--- a/src/common/primacy/primary-health.test.ts
+++ b/src/common/primacy/primary-health.test.ts
@@ -5,11 +5,11 @@
 const options = {crashRefusals: 2, silentAfterMs: 900};
 
 describe('PrimaryHealth', () => {
-	it('does not count time in which nobody asked as silence', () => {
+	it('does not count time without requests as silence', () => {
 		expect(new PrimaryHealth(options, 0).loss(1_000_000)).toEqual(undefined);
 	});
 
-	it('counts silence from the first question without an answer', () => {
+	it('counts silence from the first request without a response', () => {
 		const health = new PrimaryHealth(options, 0);
 		health.onFault('silent', 5000);
 		health.onFault('silent', 5600);
@@ -17,7 +17,7 @@
 		expect(health.loss(5900)).toEqual('silent');
 	});
 
-	it('forgets faults with the next answer', () => {
+	it('clears faults on the next response', () => {
 		const health = new PrimaryHealth(options, 0);
 		health.onFault('refused', 10);
 		health.onHeard(20);
@@ -27,14 +27,14 @@
 		expect(health.loss(40)).toEqual('crashed');
 	});
 
-	it('does not count a question from before the last answer', () => {
+	it('does not count time before the last response as failing', () => {
 		const health = new PrimaryHealth(options, 0);
 		health.onHeard(1000);
 		health.onFault('silent', 200);
 		expect(health.failingForMs(1300)).toEqual(300);
 	});
 
-	it('takes one that lost its log for lost, whatever it answers', () => {
+	it('considers a primary that lost its log as lost, even while it responds', () => {
 		const health = new PrimaryHealth(options, 0);
 		health.onLogLost();
 		health.onHeard(1000);
--- a/src/common/primacy/primary-health.ts
+++ b/src/common/primacy/primary-health.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a primary answers this node: when it was last heard, how attempts failed since, and
- * whether it still has its log.
+ * Health of a primary as seen by this node: when it was last heard from, which attempts have failed
+ * since, and whether it still has its log.
  */
 import type {StatementFault} from '../pools/types.js';
 import type {PrimacyOptions} from './constants.js';
@@ -8,12 +8,12 @@
 
 type HealthOptions = Pick<PrimacyOptions, 'crashRefusals' | 'silentAfterMs'>;
 
-/** Follows one primary from this node. */
+/** Tracks the health of one primary. */
 export class PrimaryHealth {
 	private readonly _options: HealthOptions;
 	private _heardAtMs: number;
 	private _refusals = 0;
-	/** First of the attempts that failed since it was last heard. */
+	/** Start of the first attempt that has failed since the primary was last heard from. */
 	private _failingSinceMs: number | undefined;
 	private _hasLostLog = false;
 
@@ -22,46 +22,46 @@
 		this._heardAtMs = nowMs;
 	}
 
-	/** When it last said anything, on the node's clock. */
+	/** When anything was last received from the primary, on this node's clock. */
 	get heardAtMs(): number {
 		return this._heardAtMs;
 	}
 
-	/** Whether attempts failed since it was last heard. */
+	/** Whether attempts have failed since the primary was last heard from. */
 	get isFailing(): boolean {
 		return this._failingSinceMs !== undefined;
 	}
 
-	/** Whether it started again and lost what it had acknowledged; it never has that back. */
+	/** Whether the primary restarted and lost acknowledged writes, which it never regains. */
 	get hasLostLog(): boolean {
 		return this._hasLostLog;
 	}
 
-	/** Time since the first attempt that failed; zero while none has. */
+	/** Returns the time in milliseconds since the first failed attempt; zero while none has failed. */
 	failingForMs(nowMs: number): number {
 		return this._failingSinceMs === undefined ? 0 : nowMs - this._failingSinceMs;
 	}
 
-	/** It answered; refusing work is an answer too. */
+	/** Records a response of the primary; a refusal counts as a response. */
 	onHeard(nowMs: number): void {
 		this._heardAtMs = Math.max(this._heardAtMs, nowMs);
 		this._refusals = 0;
 		this._failingSinceMs = undefined;
 	}
 
-	/** Another node heard it at a time; attempts of this node that failed since then count on. */
+	/** Records when another node heard from the primary; this node's attempts that failed after that still count. */
 	onHeardBy(heardAtMs: number): void {
 		if (this._failingSinceMs === undefined || heardAtMs > this._failingSinceMs) {
 			this.onHeard(heardAtMs);
 		}
 	}
 
-	/** It started again without its log. */
+	/** Records that the primary restarted without its log. */
 	onLogLost(): void {
 		this._hasLostLog = true;
 	}
 
-	/** An attempt that began at a time failed. */
+	/** Records the failure of an attempt that began at the given time. */
 	onFault(cause: StatementFault['cause'], sinceMs: number): void {
 		const failingSinceMs = Math.max(sinceMs, this._heardAtMs);
 		this._failingSinceMs = Math.min(this._failingSinceMs ?? failingSinceMs, failingSinceMs);
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	 * Why it is taken to be lost; undefined while it is not. Silence counts from the first
-	 * attempt that failed: a primary that nobody asked has not been silent.
+	 * Returns why the primary counts as lost, or undefined while it does not. Silence is measured
+	 * from the first failed attempt: a primary that received no requests has not been silent.
 	 */
 	loss(nowMs: number): PromotionReason | undefined {
 		if (this._hasLostLog) {
--- a/src/common/primacy/primary-tracker.ts
+++ b/src/common/primacy/primary-tracker.ts
@@ -1,9 +1,9 @@
 /**
- * What this node knows about who leads one group, and the proofs it has of it.
+ * Tracks which endpoint is the primary of one group, and the proofs that this node has of it.
  *
- * An endpoint that said that it is primary of a term is the only primary that the term ever
- * has. That the term has not been replaced is proved by replicas' word, in an unbroken chain
- * that began with the store's word; `TermLease` says why both are needed.
+ * An endpoint that reported itself primary of a term is the only primary that the term ever has. That
+ * the term has not been replaced is proved by replicas' reports in an unbroken chain that starts with
+ * a check of the store; `TermLease` explains why both are needed.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {Emitter} from '../lifecycle/emitter.js';
@@ -33,14 +33,14 @@
 } from './types.js';
 import {WriteReceipts} from './write-receipts.js';
 
-/** Follows one group. */
+/** Tracks the primary of one group. */
 export class PrimaryTracker implements PolledGroup, Disposable {
 	readonly service: string;
-	/** Fires when the primary could not be reached or did not answer. */
+	/** Fires when the primary could not be reached or did not respond. */
 	readonly onPrimaryFault: Event<void>;
-	/** Fires when a proof of the primary's term has come. */
+	/** Fires when a proof of the primary's term has been granted. */
 	readonly onProof: Event<void>;
-	/** Fires when something happened after which the group is to be looked at. */
+	/** Fires when an event occurred after which the group should be checked at once. */
 	readonly onWake: Event<void>;
 
 	private readonly _services: GroupServices;
@@ -56,14 +56,14 @@
 	private readonly _returnedReplicas: ReturnedReplicas;
 	private _primary: Primary | undefined;
 	private _health: PrimaryHealth;
-	/** Newest proof that was granted, also once it no longer counts. */
+	/** Newest proof that was granted, even if it is no longer valid. */
 	private _grantedProof: LeaseProof | undefined;
-	/** Newest proof that waits for the store's word. */
+	/** Newest proof that is pending on a check of the store. */
 	private _pendingProof: LeaseProof | undefined;
 	private readonly _checks: ReplacementChecks;
-	/** What the store said at its newest version that is known, to this node or to a peer. */
+	/** Replacement state at the newest store version that this node or a peer has read. */
 	private _newestReplacement: KnownReplacement | undefined;
-	/** What the store said last about the replacement of the primary. */
+	/** Replacement state of the primary as last read from the store. */
 	private _replacementState: ReplacementState | undefined;
 	private _isPossiblyReplaced = true;
 	private _hasEndpointReport = false;
@@ -91,43 +91,46 @@
 		this._health = new PrimaryHealth(options, clock.nowMs());
 	}
 
-	/** Options of following primaries. */
+	/** Options of the primacy module. */
 	get options(): PrimacyOptions {
 		return this._services.options;
 	}
 
-	/** The primary of the highest term known. */
+	/** The primary of the highest known term. */
 	get primary(): Primary | undefined {
 		return this._primary;
 	}
 
-	/** The primary as it registered itself; undefined when there is none to send work to. */
+	/** The primary's registration; undefined if there is no primary to send statements to. */
 	get primaryEndpoint(): RegisteredEndpoint | undefined {
 		return this._primary && !this._health.hasLostLog ? this._services.registry.endpoint(this._primary.endpointId) : undefined;
 	}
 
-	/** When the primary last said anything to this node. */
+	/** When anything was last received from the primary, on this node's clock. */
 	get primaryHeardAtMs(): number {
 		return this._health.heardAtMs;
 	}
 
-	/** Whether it is proved that the primary's term has not been replaced. */
+	/** Whether this node holds a valid lease, that is, a proof that the primary's term has not been replaced. */
 	get isLeased(): boolean {
 		this._resetAfterSuspension();
 		return this._services.peers.registeredAtMs !== undefined && this._isLeasedAt(this._services.clock.nowMs());
 	}
 
-	/** Time since the primary was last both heard and proved from here. */
+	/** Time in milliseconds since the primary was last both heard from and proved by this node. */
 	get unreachableForMs(): number {
 		return this._services.clock.nowMs() - Math.min(this._lease.provedAtMs, this._health.heardAtMs);
 	}
 
-	/** How long the primary has not answered, counted from the first attempt that failed; zero while it answers. */
+	/**
+	 * Time in milliseconds without a response from the primary, counted from the first failed
+	 * attempt; zero while it responds.
+	 */
 	get silentForMs(): number {
 		return this._health.failingForMs(this._services.clock.nowMs());
 	}
 
-	/** Why the primary needs to be replaced, as far as this node can tell. */
+	/** Why the primary needs to be replaced, as far as this node can tell; undefined if it does not. */
 	get promotionReason(): PromotionReason | undefined {
 		const nowMs = this._services.clock.nowMs();
 		if (this._vacantSinceMs !== undefined && nowMs - this._vacantSinceMs >= this._services.options.vacantAfterMs) {
@@ -146,106 +149,110 @@
 		return healthReason ?? (this._mayTakeOverReplacement ? 'abandoned' : undefined);
 	}
 
-	/** Whether this node may ask endpoints itself, and so may replace a primary. */
+	/** Whether this node may poll endpoints itself, and therefore may replace a primary. */
 	get mayPollEndpoints(): boolean {
 		const {isCoordinator, isCoordinatorOnly} = this._services.sharing;
 		return isCoordinator || !isCoordinatorOnly;
 	}
 
-	/** Whether the primary may have been replaced; whoever has been promoted is then looked for. */
+	/** Whether the primary may have been replaced; the new primary is then searched for. */
 	get isPossiblyReplaced(): boolean {
 		return this._isPossiblyReplaced || this._isBeingReplaced;
 	}
 
-	/** Whether anything speaks against the primary, or there is none: time alone may then make it lost. */
+	/**
+	 * Whether there is no primary or any sign of trouble with it, so that it may count as lost by the
+	 * passing of time alone.
+	 */
 	get isUnhealthy(): boolean {
 		return this._primary === undefined || this._vacantSinceMs !== undefined || this.isPossiblyReplaced || this.isFailing
 			|| this.endpoints().some(({id}) => (this._reports.status(id)?.status.fencedForTerm ?? 0) > 0);
 	}
 
-	/** Whether a proof waits for the store's word. */
+	/** Whether a proof is pending on a check of the store. */
 	get isCheckDue(): boolean {
 		return this._pendingProof !== undefined && this._pendingProof.term === this._primary?.term
 			&& this._services.clock.nowMs() - this._pendingProof.provedAtMs < this._services.options.leaseMs;
 	}
 
 	/**
-	 * What is known of the replacement of the primary, and at which version of the store. Undefined
-	 * while one has been begun: who may go on with it changes by time alone, so that the row is read.
+	 * Known replacement state of the primary and the store version at which it was read. Undefined
+	 * once a replacement has begun: who may take it over then changes by the passing of time alone,
+	 * so the row must be read.
 	 */
 	get knownReplacement(): KnownReplacement | undefined {
 		const isBegun = this._isBeingReplaced || (this._newestReplacement?.begunTerm ?? 0) >= (this._primary?.term ?? 0);
 		return isBegun ? undefined : this._newestReplacement;
 	}
 
-	/** Whether any endpoint has said who it is: before that, nothing speaks against a primary. */
+	/** Whether any endpoint has reported its status; before that, no sign of trouble with the primary can be seen. */
 	get hasEndpointReport(): boolean {
 		return this._hasEndpointReport;
 	}
 
-	/** Whether attempts to reach the primary failed since it was last heard. */
+	/** Whether attempts to reach the primary have failed since it was last heard from. */
 	get isFailing(): boolean {
 		return this._health.isFailing;
 	}
 
-	/** When the question was sent that proved the primary's term. */
+	/** When the request was sent whose response proved the primary's term. */
 	get provedAtMs(): number {
 		return this._lease.provedAtMs;
 	}
 
-	/** The proof that the lease on the primary's term rests on, for logs; undefined without one. */
+	/** Log fields of the proof that the lease on the primary's term is based on; undefined without one. */
 	get proof(): ProofFields | undefined {
 		const isProved = this._lease.provedAgoMs(this._primary?.term ?? 0) !== undefined;
 		return isProved && this._grantedProof ? proofFields(this._grantedProof, this._services.clock.nowMs()) : undefined;
 	}
 
-	/** When the newest position of the primary was asked for. */
+	/** When the request was sent that returned the newest position of the primary. */
 	get sampledAtMs(): number {
 		return this._samples.newestMs;
 	}
 
-	/** Endpoints of the group other than the primary. */
+	/** Returns the endpoints of the group other than the primary. */
 	replicas(): readonly RegisteredEndpoint[] {
 		return this.endpoints().filter(({id}) => id !== this._primary?.endpointId);
 	}
 
-	/** All endpoints of the group. */
+	/** Returns all endpoints of the group. */
 	endpoints(): readonly RegisteredEndpoint[] {
 		return this._services.registry.ofService(this.service);
 	}
 
-	/** What an endpoint last reported. */
+	/** Returns the last status that an endpoint reported; undefined without one since its last restart. */
 	status(endpointId: string): ReportedStatus | undefined {
 		return this._reports.status(endpointId);
 	}
 
-	/** Position that an endpoint's reads are known to include. */
+	/** Returns the position that an endpoint's reads are known to include; undefined if none is known. */
 	applied(endpointId: string): AppliedPosition | undefined {
 		return this._reports.applied(endpointId);
 	}
 
-	/** Starts to follow the group. */
+	/** Starts polling the group, until disposal. */
 	start(): void {
 		this._poller.start();
 	}
 
-	/** Statements of the group come: it is polled for a while. */
+	/** Records that a statement for the group arrived; the group is polled until it has been idle for `idleAfterMs`. */
 	noteUse(): void {
 		this._poller.noteUse();
 	}
 
-	/** Looks at the group at once. */
+	/** Polls and checks the group at once. */
 	wake(): void {
 		this._poller.wake();
 		this._onWake.fire();
 	}
 
-	/** Asks the store at once whether the primary is being replaced. */
+	/** Checks in the store at once whether the primary is being replaced. */
 	checkReplacement(): void {
 		this._checks.checkNow();
 	}
 
-	/** Writes again what the store has lost of the group's promotions by coming back from an older copy. */
+	/** Rewrites the group's promotion record if the store lost it by being restored from an older snapshot. */
 	async rewriteLostDuty(): Promise<void> {
 		if (this.mayPollEndpoints && this._primary) {
 			const {term: primaryTerm} = this._primary;
@@ -253,36 +260,45 @@
 		}
 	}
 
-	/** Waits for a proof that the primary's term stands; resolves with whether there is one. */
+	/**
+	 * Waits up to a timeout for a proof that the primary's term has not been replaced, and resolves
+	 * to whether one is valid.
+	 */
 	async ensureLease(timeoutMs: number): Promise<boolean> {
 		return this._poller.ensureLease(timeoutMs);
 	}
 
-	/** Looks whether the primary answers, unless it did a moment ago. */
+	/** Polls the primary unless it was heard from within `opinionFreshMs`. */
 	async checkPrimary(): Promise<void> {
 		await this._poller.checkPrimary();
 	}
 
-	/** Asks one endpoint for its state and takes the answer in. */
+	/** Requests one endpoint's status, applies the response and resolves to it; undefined if the request failed. */
 	async refreshStatus(endpoint: RegisteredEndpoint): Promise<ReportedStatus | undefined> {
 		return this._poller.refreshStatus(endpoint);
 	}
 
-	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
+	/**
+	 * Waits up to `confirmationWaitMs` until a replica has received a position of the current term,
+	 * and resolves to whether one has.
+	 */
 	async confirm(position: LogPosition): Promise<boolean> {
 		return this._receipts.confirm(position);
 	}
 
 	/**
-	 * Position that a log must hold for reads which arrived at a moment and accept an age;
-	 * undefined when none is proved.
+	 * Returns the position that a replica must have reached to serve reads that arrived at a moment
+	 * and accept the given staleness in milliseconds; undefined if none is proved.
 	 */
 	floor(arrivedAtMs: number, maximumAgeMs: number): LogPosition | undefined {
 		this._resetAfterSuspension();
 		return this._samples.floor(arrivedAtMs - maximumAgeMs + this._services.options.ageMarginMs);
 	}
 
-	/** Takes in the position that an answer carried; resolves to whether the answer counts. */
+	/**
+	 * Records a response and the position that it carried, and returns whether the response may be
+	 * used: not if it came from a primary that has lost its log.
+	 */
 	noteAnswer(endpointId: string, position: LogPosition | undefined, sentAtMs: number): boolean {
 		if (this._resetAfterSuspension()) {
 			return true;
@@ -304,19 +320,19 @@
 		return !this._health.hasLostLog;
 	}
 
-	/** Takes in that an endpoint started again, or came back: it may have missed a fence. */
+	/** Called when an endpoint restarted or its registration returned: it may have missed a fence. */
 	noteReturn(endpointId: string): void {
 		this._reports.forget(endpointId);
 		void this._returnedReplicas.clearWhenSafe(endpointId);
 		if (this._primary?.endpointId === endpointId) {
-			// Whether it still leads its term with all of its log, its answer says.
+			// Its next status shows whether it still leads its term with its whole log.
 			this._isPossiblyReplaced = true;
 		}
 
 		this.wake();
 	}
 
-	/** Takes in that an endpoint could not be used, and since when it was tried. */
+	/** Called when an endpoint could not be used; `sinceMs` is when the attempt began. */
 	noteFault(endpointId: string, cause: StatementFault['cause'], sinceMs = this._services.clock.nowMs()): void {
 		if (this._primary?.endpointId !== endpointId) {
 			return;
@@ -330,13 +346,14 @@
 		const isFirst = !this._health.isFailing;
 		this._health.onFault(cause, sinceMs);
 		this._onPrimaryFault.fire();
-		// Later ones don't hurry the next question: a closed port answers at once, again and again.
+		// Later faults don't trigger an early poll: a closed port refuses immediately, so polls would
+		// follow without a pause.
 		if (isFirst) {
 			this.wake();
 		}
 	}
 
-	/** Takes in that what was believed to be the primary refuses writes. */
+	/** Called when the presumed primary refused a write because it is not primary. */
 	noteNotPrimary(endpointId: string): void {
 		if (this._primary?.endpointId === endpointId && !this._isPossiblyReplaced) {
 			this._isPossiblyReplaced = true;
@@ -344,14 +361,14 @@
 		}
 	}
 
-	/** Takes in what another node says: a lower term changes nothing, a higher one is looked for. */
+	/** Applies another node's report of a primary: a primary of a higher term is adopted, others are ignored. */
 	learnPrimary({endpointId, term}: Primary, from: PrimaryOrigin): void {
 		if (term > (this._primary?.term ?? 0)) {
 			this._adopt({endpointId, term}, from);
 		}
 	}
 
-	/** What this node knows, for another one. */
+	/** Returns what this node knows of the group, for another node; undefined without a primary. */
 	overview(): GroupOverview | undefined {
 		this._resetAfterSuspension();
 		if (!this._primary) {
@@ -374,7 +391,7 @@
 		};
 	}
 
-	/** Takes in what a peer said in answer to a question that was sent at a time. */
+	/** Applies a peer's overview of the group, from a response to a request that was sent at the given time. */
 	noteOverview(overview: GroupOverview, sentAtMs: number, peer: string): void {
 		if (this._resetAfterSuspension()) {
 			return;
@@ -402,14 +419,15 @@
 		if (overview.sample && this._isLeasedAt(sentAtMs - overview.sample.agoMs)) {
 			const {position, agoMs} = overview.sample;
 			this._samples.add(sentAtMs - agoMs, position);
-			// Known from another node, it shows as well whether the primary has lost its log since.
+			// A position that another node learned also shows whether the primary has lost its log since.
 			this._reports.noteApplied(overview.primaryId, position, sentAtMs - agoMs);
 		}
 	}
 
 	/**
-	 * Proofs of a term count no more: a promotion is on its way. Or it is said to have been given
-	 * up: a notice that arrives late must not undo a later one, so the store is asked.
+	 * Called when a promoter announces that it replaces a term, so that proofs of the term are
+	 * invalid, or that it has cancelled the replacement. A late cancellation must not undo a newer
+	 * announcement, so the store is checked instead.
 	 */
 	fence(term: number, isFenced: boolean, {holder, epoch}: PromoterId): void {
 		this._services.log.event('termFenced', {
@@ -425,9 +443,10 @@
 	}
 
 	/**
-	 * Takes in that no replica proved the primary's term. While the primary answers and none does,
-	 * the store's word keeps the lease: after a promotion beside a replica that received nothing,
-	 * its group refused everything until the old primary was back, 2.7 s in one run.
+	 * Called when no replica proved the primary's term. While the primary responds and no replica
+	 * proves its term, checks of the store keep the lease valid. Without this, after a promotion
+	 * whose only other replica received nothing, a group refused all statements until the old primary
+	 * was back (2.7 s in one case).
 	 */
 	noteUnproved(): void {
 		const {clock, options} = this._services;
@@ -438,7 +457,10 @@
 		}
 	}
 
-	/** Takes in what the store said about the replacement of the primary. */
+	/**
+	 * Applies the replacement state of the primary that the store returned; `checkedAtMs` is when the
+	 * request was sent.
+	 */
 	noteReplacement(state: ReplacementState, checkedAtMs: number): void {
 		this._resetAfterSuspension();
 		this._replacementState = state;
@@ -450,14 +472,17 @@
 		}
 	}
 
-	/** Takes in that nobody has begun to replace anything since the store said what is known. */
+	/**
+	 * Applies that no replacement has begun since the known state was read; `checkedAtMs` is when the
+	 * request was sent.
+	 */
 	noteUnchanged({begunTerm, version}: KnownReplacement, checkedAtMs: number): void {
 		this._resetAfterSuspension();
 		this._noteReplacementVersion(begunTerm, version);
 		this._noteCheck({begunTerm, version, checkedAtMs});
 	}
 
-	/** Takes in a state that an endpoint reported. */
+	/** Applies a status that an endpoint reported. */
 	noteStatus(endpointId: string, report: ReportedStatus): void {
 		if (this._resetAfterSuspension()) {
 			return;
@@ -488,11 +513,11 @@
 	}
 
 	/**
-	 * Takes in what all endpoints that answered said; none of them may be a primary. Others that
-	 * are there, and had no room for the question, may be: after a power loss nodes without a
-	 * connection to a primary took its group for one without any, and replaced it. So may the known
-	 * primary that gave no answer: whether it is lost is for its silence to show, and for other
-	 * nodes to say, since a cut may lie between.
+	 * Applies the reports of all endpoints that responded to a search; there may be no primary among
+	 * them. An endpoint that exists but was too overloaded to respond may be the primary: after a
+	 * power loss, nodes without a connection to the primary took its group for vacant and replaced
+	 * it. The known primary may also still lead if it did not respond: its silence and the other
+	 * nodes' opinions decide whether it is lost, since only the link to this node may be down.
 	 */
 	noteSearch(answered: readonly ReportedStatus[], hasOverloadedEndpoints: boolean): void {
 		this._hasEndpointReport ||= answered.length > 0;
@@ -501,7 +526,7 @@
 		const isVacant = answered.length > 0 && !hasOverloadedEndpoints && hasKnownAnswered && answered.every(({status}) => !status.isPrimary);
 		this._vacantSinceMs = isVacant ? this._vacantSinceMs ?? this._services.clock.nowMs() : undefined;
 		this._isPossiblyReplaced = answered.every(({status}) => !status.isPrimary || status.term !== this._primary?.term);
-		// Replicas that answered before the primary proved a term that was not known then.
+		// A replica may have responded before the primary did, and so have proved a term that was not yet known.
 		for (const {id} of this.replicas()) {
 			const report = this._reports.status(id);
 			if (report && answered.includes(report)) {
@@ -519,24 +544,27 @@
 		this._onWake.dispose();
 	}
 
-	/** Whether the store says that somebody has begun to replace the primary. */
+	/** Whether a replacement of the primary has begun according to the store. */
 	private get _isBeingReplaced(): boolean {
 		return this._primary !== undefined && (this._replacementState?.begunTerm ?? 0) >= this._primary.term;
 	}
 
-	/** Whether a replacement that somebody began may be brought to its end by this node. */
+	/** Whether this node may take over and complete a replacement that another node has begun. */
 	private get _mayTakeOverReplacement(): boolean {
 		return this._isBeingReplaced && this._replacementState?.mayTakeOver === true;
 	}
 
-	/** Versions only go up: what a peer says of an earlier one is no news. */
+	/** Store versions only increase, so a state that a peer read at an earlier version is ignored. */
 	private _noteReplacementVersion(begunTerm: number, version: number | undefined): void {
 		if (version !== undefined && version >= (this._newestReplacement?.version ?? 0)) {
 			this._newestReplacement = {begunTerm, version};
 		}
 	}
 
-	/** Only what was asked since this node registered counts: an earlier promoter did not know of it. */
+	/**
+	 * Applies a check of the store. Only checks made after this node registered count: an earlier
+	 * promoter did not know this node and would not have notified it.
+	 */
 	private _noteCheck(check: ReplacementCheck): void {
 		const {begunTerm, checkedAtMs} = check;
 		const {registeredAtMs} = this._services.peers;
@@ -555,7 +583,7 @@
 		}
 	}
 
-	/** What the asking node says of the primary stands for what this node may not ask itself. */
+	/** Applies the coordinator's overview in place of the polls that this node may not make itself. */
 	private _applyPollerOverview({heardAgoMs, provedAgoMs}: GroupOverview, sentAtMs: number): void {
 		if (heardAgoMs !== undefined) {
 			this._health.onHeardBy(sentAtMs - heardAgoMs);
@@ -582,14 +610,14 @@
 		this._noteProof(endpointId, report);
 	}
 
-	/** A replica that follows the known term, and is not fenced, proves that it stands. */
+	/** A replica that follows the known term and is not fenced proves that the term has not been replaced. */
 	private _noteProof(endpointId: string, {status: {isPrimary, term, fencedForTerm}, sentAtMs}: ReportedStatus): void {
 		if (!isPrimary && term === this._primary?.term && fencedForTerm === 0 && this._reports.mayProve(endpointId)) {
 			this._grant({term, provedAtMs: sentAtMs, origin: {kind: 'endpoint', name: endpointId}});
 		}
 	}
 
-	/** Replicas never hold more of a term than its primary, unless that started again without its log. */
+	/** A replica never holds more of a term than its primary, unless the primary restarted without its log. */
 	private _compareWithReplicas(position: LogPosition, askedAtMs: number): void {
 		const term = this._primary?.term ?? 0;
 		if (this.replicas().some(({id}) => this._reports.isAhead(id, position, term, askedAtMs))) {
@@ -597,7 +625,7 @@
 		}
 	}
 
-	/** A position showed that an endpoint lost its log. */
+	/** Handles an endpoint whose position showed that it restarted and lost its log. */
 	private _noteRestart(endpointId: string, sign: 'position' | 'replicasAhead'): void {
 		const isPrimary = this._primary?.endpointId === endpointId;
 		this._services.log.event('endpointRestarted', {
@@ -637,7 +665,7 @@
 	}
 
 	private _awaitCheck(proof: LeaseProof): void {
-		// One that would not count any more must not have the store asked: peers repeat old words all the time.
+		// An expired proof must not cause a read of the store: peers keep sending old proofs.
 		const isOutdated = this._services.clock.nowMs() - proof.provedAtMs >= this._services.options.leaseMs;
 		if (isOutdated || proof.term !== this._primary?.term) {
 			return;
@@ -692,14 +720,14 @@
 		});
 		metrics.gauge('groupTerm', primary.term, {group: this.service});
 		if (this.mayPollEndpoints) {
-			// Beside the first questions to replicas, whose word needs it.
+			// Runs in parallel with the first polls of replicas, whose proofs need the check.
 			this._checks.checkNow();
 		}
 
 		this.wake();
 	}
 
-	/** Times measured before the machine was suspended say nothing afterwards. */
+	/** Discards what was measured before a suspension of the machine, and returns whether one occurred. */
 	private _resetAfterSuspension(): boolean {
 		if (!this._suspension.checkForSuspension()) {
 			return false;
--- a/src/common/primacy/primary-trackers.ts
+++ b/src/common/primacy/primary-trackers.ts
@@ -1,5 +1,5 @@
 /**
- * The groups that this node follows: those that its routes lead to.
+ * The groups that this node tracks, which are those that its routes lead to.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {Emitter} from '../lifecycle/emitter.js';
@@ -17,7 +17,7 @@
 	readonly failover: Failover;
 };
 
-/** Keeps what is followed in step with routes and registrations. */
+/** Tracks the primaries of all groups, and forwards registration changes and store restores to them. */
 export class PrimaryTrackers implements Disposable {
 	private readonly _services: GroupServices;
 	private readonly _groups = new Map<string, TrackedGroup>();
@@ -46,12 +46,12 @@
 		});
 	}
 
-	/** Fires with a group whose primary could not be reached or did not answer. */
+	/** Fires with a group whose primary could not be reached or did not respond. */
 	get onPrimaryFault(): Event<PrimaryTracker> {
 		return this._onPrimaryFault.event;
 	}
 
-	/** What this node knows of one group, or of all with an empty name. */
+	/** Returns this node's overview of one group, or of all groups if the name is empty. */
 	overviews(service: string): readonly GroupOverview[] {
 		const groups = [...this._groups.values()].map(({primacy}) => primacy);
 		const asked = groups.filter(group => service === '' || group.service === service);
@@ -62,35 +62,38 @@
 		return asked.flatMap(group => group.overview() ?? []);
 	}
 
-	/** What this node knows of one group, after a look whether its primary answers. */
+	/**
+	 * Returns this node's overview of one group after polling its primary, unless the primary was
+	 * heard from recently.
+	 */
 	async opinion(service: string): Promise<readonly GroupOverview[]> {
 		await this.existing(service)?.checkPrimary();
 		return this.overviews(service);
 	}
 
-	/** The group of a service; followed from now on. */
+	/** Returns the tracker of a service's group, and starts tracking the group if needed. */
 	group(service: string): PrimaryTracker {
 		return this._track(service).primacy;
 	}
 
-	/** The group of a service if it is followed. */
+	/** Returns the tracker of a service's group; undefined if the group is not tracked. */
 	existing(service: string): PrimaryTracker | undefined {
 		return this._groups.get(service)?.primacy;
 	}
 
-	/** Time for which all groups have been out of this node's reach; zero where none is known. */
+	/** Time in milliseconds for which all groups have been unreachable from this node; zero if no group is tracked. */
 	get unreachableForMs(): number {
 		const times = [...this._groups.values()].map(({primacy}) => primacy.unreachableForMs);
 		return times.length === 0 ? 0 : Math.min(...times);
 	}
 
-	/** Whether attempts to reach a primary failed, and every other group has not been proved for as long as a lease lasts. */
+	/** Whether attempts to reach some primary are failing, and every other group has no valid lease. */
 	get hasUnreachablePrimary(): boolean {
 		const groups = [...this._groups.values()].map(({primacy}) => primacy);
 		return groups.some(({isFailing}) => isFailing) && groups.every(({isFailing, isLeased}) => isFailing || !isLeased);
 	}
 
-	/** Looks at all groups at once. */
+	/** Polls and checks all groups at once. */
 	wake(): void {
 		for (const {primacy} of this._groups.values()) {
 			primacy.wake();
@@ -98,33 +101,34 @@
 	}
 
 	/**
-	 * Asks the store for all groups whether their primaries are being replaced: now that it holds
-	 * this node's registration, or, at a node that asks for others, so that what it tells them is
-	 * still within the store's history.
+	 * Checks in the store for all groups whether their primaries are being replaced. Called once the
+	 * store holds this node's registration; a coordinator also calls it so that the versions that it
+	 * passes on stay within the store's history.
 	 */
 	async checkReplacements(): Promise<void> {
 		const {sharing} = this._services;
 		if (sharing.isCoordinatorOnly) {
-			// What the asking node was told spares a read of each group's row.
+			// The coordinator's overviews make a read of each group's row unnecessary.
 			await sharing.refresh();
 		}
 
 		for (const {primacy} of this._groups.values()) {
-			// A node that may not ask learns the primary with what the store said, and then asks for changes.
+			// A node that may not poll endpoints learns the primary together with the replacement
+			// state, and from then on only requests changes.
 			if (primacy.mayPollEndpoints || primacy.primary) {
 				primacy.checkReplacement();
 			}
 		}
 	}
 
-	/** Follows the groups of these services. */
+	/** Starts tracking the groups of these services. */
 	follow(services: readonly string[]): void {
 		for (const service of services) {
 			this._track(service);
 		}
 	}
 
-	/** Takes in another node's notice about a primary. */
+	/** Applies another node's announcement of a primary; ignored if the group is not tracked. */
 	learnPrimary(service: string, primary: Primary): void {
 		this._groups.get(service)?.primacy.learnPrimary(primary, 'notice');
 	}
@@ -141,7 +145,10 @@
 		}
 	}
 
-	/** Until the store's word counts again: a promotion may take effect, or its promoter die, meanwhile. */
+	/**
+	 * Rewrites lost promotion records repeatedly until the store has settled after a restore: a
+	 * promotion may take effect, or its promoter crash, in the meantime.
+	 */
 	private async _rewriteLostDuties(): Promise<void> {
 		if (this._isRewriting) {
 			return;
--- a/src/common/primacy/promoter.ts
+++ b/src/common/primacy/promoter.ts
@@ -1,14 +1,21 @@
 /**
- * Makes another endpoint of a group primary.
+ * Promotes a replica of a group to primary.
  *
- * Order matters: the duty is taken in the store, which then names the term; this node's own lease
- * ends; every replica is fenced, so that no lease on the old term is granted any more; every node
- * is told that those granted count no more, or they run out; the fences and the registrations are
- * looked at again; the order is put on record, under the condition that the duty is still this
- * node's; only then the platform is told. Whatever fails before that is taken back and changes
- * nothing. From the record on nothing is taken back unless the platform refused: the order may
- * be carried out at any later time, so the old term is not believed again, and whoever finds the
- * record orders the same endpoint once more, which changes nothing if it leads already.
+ * The order of the steps matters:
+ *
+ * 1. The promotion duty is acquired in the store, which then names the term to be replaced.
+ * 2. This node's own lease ends.
+ * 3. Every replica is fenced, so that no further lease on the old term is granted.
+ * 4. Every node is notified that the leases already granted are invalid, or the promoter waits until
+ *    they have expired.
+ * 5. The fences and the registrations are checked again.
+ * 6. The order is recorded in the store, on condition that this node still holds the duty.
+ * 7. Only then is the order sent to the platform.
+ *
+ * If a step before the record of the order fails, the promotion is cancelled and nothing has changed.
+ * Once the order is recorded, nothing is undone unless the platform refused the order: it may be
+ * executed at any later time, so the old term is never trusted again, and any node that finds the
+ * record orders the same endpoint again, which has no effect if that endpoint already leads.
  */
 import {pauseFor} from '../lifecycle/timing.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -20,13 +27,13 @@
 import {SuspensionWatch} from './suspension-watch.js';
 import type {GroupServices, PromotionReason, PromoterId} from './types.js';
 
-/** How a promotion ended. */
+/** Outcome of a promotion. */
 export type PromotionOutcome = 'done' | 'notNeeded' | 'noDuty' | 'noReplica' | 'notFenced' | 'dutyLost' | 'refused' | 'noEffect';
 
-/** Losses that end when the primary answers. */
+/** Reasons that no longer apply once the primary responds. */
 const lossesEndedByAnswer: ReadonlySet<PromotionReason> = new Set(['silent', 'crashed']);
 
-/** Outcomes after which an order may still be carried out, or another node may be at work: nothing is taken back. */
+/** Outcomes after which an order may still be executed, or another node may be promoting: nothing is undone. */
 const unresolvedOutcomes: ReadonlySet<PromotionOutcome> = new Set(['dutyLost', 'noEffect']);
 
 type FencedReplica = {
@@ -34,7 +41,7 @@
 	readonly status: EndpointStatus;
 };
 
-/** What a promotion has come to before it is ordered. */
+/** State of a promotion after fencing and before the order. */
 type PendingPromotion = {
 	readonly duty: HeldDuty;
 	readonly reason: PromotionReason;
@@ -42,7 +49,7 @@
 	readonly fencedAtMs: number;
 };
 
-/** Carries out promotions of one group. */
+/** Executes promotions for one group. */
 export class Promoter {
 	private readonly _services: GroupServices;
 	private readonly _group: PrimaryTracker;
@@ -52,7 +59,7 @@
 		this._group = group;
 	}
 
-	/** Promotes the best replica if the reason still stands. */
+	/** Promotes the most up-to-date replica if the reason still applies, and resolves to the outcome. */
 	async promote(reason: PromotionReason): Promise<PromotionOutcome> {
 		const {clock, log, metrics, audit} = this._services;
 		const {service, primary} = this._group;
@@ -86,7 +93,7 @@
 
 		const duty = await this._reacquireIfOrderedEndpointIsGone(taken.unsafeCoerce());
 		if (reason === 'abandoned' && duty.orderedId === undefined) {
-			// Nothing was ordered, and whoever began it cannot put an order on record any more.
+			// No order was recorded, and the node that began the replacement can no longer record one.
 			await this._cancel(duty, [], 'notNeeded');
 			return 'notNeeded';
 		}
@@ -95,8 +102,9 @@
 			await this._stepDown(duty.term + 1);
 		}
 
-		// From here on replicas receive nothing that this node could still acknowledge: writes that
-		// the old primary answered during the wait for others' leases were lost by the promotion.
+		// From here on replicas receive nothing, so this node must not acknowledge writes any more:
+		// without this, writes acknowledged by the old primary while the promoter waited for other
+		// nodes' leases to expire were lost by the promotion.
 		this._group.fence(duty.term, true, this._promoterId(duty));
 		const fenced = await this._fence(duty.term + 1, {epoch: duty.epoch, why: reason});
 		const pending: PendingPromotion = {
@@ -109,8 +117,9 @@
 	}
 
 	/**
-	 * Whoever was ordered to lead after the term may do so, and be gone: then it is the term that it
-	 * leads that is replaced, so that nodes that follow it are told.
+	 * Acquires the duty for the next term if the endpoint that was ordered to lead after this one is
+	 * no longer registered. That endpoint may have begun to lead before it went; its term is then the
+	 * one to be replaced, so that the nodes that follow it are notified.
 	 */
 	private async _reacquireIfOrderedEndpointIsGone(duty: HeldDuty): Promise<HeldDuty> {
 		if (duty.orderedId === undefined || this._services.registry.endpoint(duty.orderedId)) {
@@ -121,7 +130,10 @@
 		return taken.orDefault(duty);
 	}
 
-	/** Does all that comes before the order; resolves with whom to order, or why not. */
+	/**
+	 * Executes the steps before the order; resolves to the replica to promote, or to the outcome if
+	 * none is to be promoted.
+	 */
 	private async _prepare({duty, reason, fenced, fencedAtMs}: PendingPromotion): Promise<FencedReplica | PromotionOutcome> {
 		const {clock, options, peers} = this._services;
 		const {service} = this._group;
@@ -140,7 +152,7 @@
 		}
 
 		if (await peers.fence(service, term, this._promoterId(duty)) === 'partly') {
-			// No replica has granted a lease since it was fenced, so that time counts from then.
+			// No replica has granted a lease since it was fenced, so the wait is measured from then.
 			await pauseFor(clock, Math.max(0, fencedAtMs + leaseExpiryWaitMs(options) - clock.nowMs()));
 		}
 
@@ -152,12 +164,12 @@
 			return 'notFenced';
 		}
 
-		// A primary that was ordered away is not spared for answering again.
+		// Once its replacement was ordered, a primary is replaced even if it responds again.
 		const hasRecovered = duty.orderedId === undefined && this._hasPrimaryRecovered(reason);
 		return this._isReplaced(term) || hasRecovered ? 'notNeeded' : target;
 	}
 
-	/** Puts the order on record, sends it, and waits for its effect. */
+	/** Records the order in the store, sends it to the platform and waits for its effect. */
 	private async _order({duty, fenced}: PendingPromotion, target: FencedReplica): Promise<PromotionOutcome> {
 		const {clock, options, promotions, node, log} = this._services;
 		const {service} = this._group;
@@ -172,7 +184,7 @@
 
 		this._group.noteReplacement({begunTerm: duty.term, orderedTerm: duty.term, mayTakeOver: true}, startedAtMs);
 		if (suspension.checkForSuspension() || clock.nowMs() - startedAtMs > options.orderFreshMs) {
-			// Another node may hold the duty by now; the record has it order the same endpoint.
+			// Another node may hold the duty by now; because of the record, it orders the same endpoint.
 			return 'dutyLost';
 		}
 
@@ -184,7 +196,7 @@
 		if (ordered.isLeft()) {
 			const {kind, detail} = ordered.extract();
 			log.event('promotionRefused', {...order, kind, detail});
-			// A call without an answer may still be carried out, and so may an earlier one.
+			// A call that got no response may still be executed, and so may an earlier order.
 			if (kind !== 'unavailable' && duty.orderedId === undefined) {
 				await this._cancel(recorded.unsafeCoerce(), fenced, 'refused', duty);
 				return 'refused';
@@ -204,7 +216,10 @@
 		}
 	}
 
-	/** Takes back a replacement that was not ordered, or whose order was refused: in the store first, where others look. */
+	/**
+	 * Cancels a replacement that was not ordered, or whose order was refused. The store comes first,
+	 * since other nodes check it.
+	 */
 	private async _cancel(duty: HeldDuty, fenced: readonly FencedReplica[], outcome: PromotionOutcome, refusedBefore?: HeldDuty): Promise<void> {
 		const {service} = this._group;
 		const promoter = this._promoterId(duty);
@@ -214,7 +229,7 @@
 		await this._services.peers.removeFence(service, duty.term, promoter);
 	}
 
-	/** Waits until some endpoint leads a later term. */
+	/** Waits until an endpoint leads a later term, or the promotion times out. */
 	private async _awaitEffect(endpoint: RegisteredEndpoint, duty: HeldDuty): Promise<PromotionOutcome> {
 		const {clock, options, peers} = this._services;
 		const endMs = clock.nowMs() + options.promotionTimeoutMs;
@@ -223,7 +238,8 @@
 			const {primary} = this._group;
 			if (primary && primary.term > duty.term) {
 				peers.announce(this._group.service, primary);
-				// Without it a node that missed the announcement would repeat the order, for the term that is gone.
+				// Without this record, a node that missed the announcement would repeat the order for
+				// the term that has already been replaced.
 				await this._services.duties.recordEffect(this._group.service, duty, primary.term);
 				return 'done';
 			}
@@ -234,7 +250,7 @@
 		return 'noEffect';
 	}
 
-	/** An orderly change: the old primary stops first, and a replica takes in what it lacks. */
+	/** Performs a planned handover: the old primary stops first, and a replica catches up. */
 	private async _stepDown(term: number): Promise<void> {
 		const {pools, options} = this._services;
 		const oldPrimary = this._group.primaryEndpoint;
@@ -249,7 +265,7 @@
 		}
 	}
 
-	/** Waits a while for a replica that has received a position. */
+	/** Waits up to `handOverMs` until a replica has received a position. */
 	private async _awaitCatchUp(last: LogPosition): Promise<void> {
 		const {clock, options} = this._services;
 		const endMs = clock.nowMs() + options.handOverMs;
@@ -263,13 +279,19 @@
 		}
 	}
 
-	/** A fence that cannot be put everywhere would only keep replicas from receiving. */
+	/**
+	 * Whether every replica responds; if one could not be fenced, fencing the others would only stop
+	 * their replication.
+	 */
 	private async _areReplicasReachable(): Promise<boolean> {
 		const reports = await Promise.all(this._group.replicas().map(async endpoint => this._group.refreshStatus(endpoint)));
 		return reports.every(report => report !== undefined);
 	}
 
-	/** Stops replicas from receiving and from proving the old term. */
+	/**
+	 * Fences all replicas, including those whose registration lapsed recently. They then neither receive
+	 * nor prove the old term. Resolves to those that responded.
+	 */
 	private async _fence(term: number, {epoch, why}: {readonly epoch: number; readonly why: PromotionReason}): Promise<FencedReplica[]> {
 		const {pools, options, log} = this._services;
 		const {service, primary} = this._group;
@@ -285,8 +307,9 @@
 	}
 
 	/**
-	 * A replica that this node cannot fence may grant leases to nodes that reach the old
-	 * primary. A closed port proves nothing: cuts can look like it.
+	 * Whether every registered replica was fenced. A replica that this node could not fence may still
+	 * grant leases to nodes that reach the old primary. A refused connection proves nothing: a
+	 * network partition can look the same.
 	 */
 	private _isFencedEverywhere(fenced: readonly FencedReplica[]): boolean {
 		const fencedIds = new Set(fenced.map(({endpoint}) => endpoint.id));
@@ -294,8 +317,9 @@
 	}
 
 	/**
-	 * Whether the store holds no replica that was not there to be fenced. One that registers
-	 * after this read is not believed by any node: it finds that the duty was taken before.
+	 * Whether every replica that is registered in the store was fenced. Proofs from a replica that
+	 * registers after this read are not accepted by any node, since its check finds that the duty was
+	 * acquired before.
 	 */
 	private async _areAllRegisteredFenced(fenced: readonly FencedReplica[]): Promise<boolean> {
 		const {registry, store} = this._services;
@@ -305,9 +329,12 @@
 		return registered.map(ids => ids.every(id => covered.has(id))).orDefault(false);
 	}
 
-	/** A replica that started again meanwhile has forgotten its fence, and may prove the old term; so may one that does not say. */
+	/**
+	 * Whether a replica may have lost its fence: one that restarted since has lost it and may prove
+	 * the old term, and one that does not respond may have restarted.
+	 */
 	private async _isFenceLost(fenced: readonly FencedReplica[], term: number): Promise<boolean> {
-		// A second question where the first found no slot free.
+		// Requests the status a second time, in case the first request found no free slot.
 		const reports = await Promise.all(fenced.map(async ({endpoint}) => await this._group.refreshStatus(endpoint) ?? this._group.refreshStatus(endpoint)));
 		return reports.some(report => report === undefined || (!report.status.isPrimary && report.status.term === term && report.status.fencedForTerm === 0));
 	}
@@ -330,7 +357,7 @@
 		return {holder: this._services.node, epoch};
 	}
 
-	/** Whether a primary that was taken for lost has answered since: it needs not be replaced. */
+	/** Whether a primary that counted as lost has responded since, so that it need not be replaced. */
 	private _hasPrimaryRecovered(reason: PromotionReason): boolean {
 		const {isFailing} = this._group;
 		return lossesEndedByAnswer.has(reason) && !isFailing;
@@ -346,8 +373,10 @@
 	}
 
 	/**
-	 * The replica that was ordered before, if one was: ordering it again changes nothing where it
-	 * leads already, and nothing has been acknowledged since that it could lack. Else the one that has most of the log; one that is not about to leave goes before an equal one.
+	 * Chooses the replica to promote. If one was ordered before, it is that one: ordering it again
+	 * has no effect if it already leads, and nothing has been acknowledged since then that it could
+	 * lack. Otherwise it is the replica with the most of the log among those that are not draining,
+	 * or among all if all are draining.
 	 */
 	private _choosePromotionTarget(fenced: readonly FencedReplica[], orderedId: string | undefined): FencedReplica | undefined {
 		const {registry} = this._services;
--- a/src/common/primacy/promotion-duty.ts
+++ b/src/common/primacy/promotion-duty.ts
@@ -1,15 +1,16 @@
 /**
- * Who promotes endpoints of a service, agreed on by conditional writes in the store. Each
- * taking of the duty has an epoch above every earlier one; it is never used twice.
+ * The promotion duty of a service: a lease on the right to promote its endpoints, granted by
+ * conditional writes in the store. Each acquisition has an epoch above every earlier one, which is
+ * never reused and serves as a fencing token.
  *
- * The duty's row also says which term is being replaced, and, for good, the highest term whose
- * replacement was ordered: an order may be carried out long after its call was given up on, so
- * a term that was ordered away is never believed again.
+ * The duty's row also names the term that is being replaced and, permanently, the highest term whose
+ * replacement was ordered: an order may be executed long after its call timed out, so a term whose
+ * replacement was ordered is never trusted again.
  *
- * A store that comes back from an older copy has lost what was written since. Epochs are counted
- * anew in each era of the store, above all of the era before; nobody takes a duty before a lost
- * one has run out; what nodes know of a group's promotions they put back; until they had time to,
- * the row says nothing.
+ * A store that is restored from an older snapshot has lost what was written since. Therefore epochs
+ * start anew in each era of the store, above all epochs of the era before; no duty is acquired before
+ * a lost one would have expired; nodes rewrite what they know of a group's promotions; and until they
+ * had time to do so, the row is not relied on.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -22,72 +23,72 @@
 import type {RestoreStatus} from '../store/restore-watch.js';
 import {eraOf} from '../store/store-version.js';
 
-/** Table of the duties. */
+/** Store table that holds the promotion duties. */
 export const dutyTable = 'promotion-duties';
 const dutyKey = 'holder';
 
 const recordSchema = z.object({
 	holder: z.string(),
 	epoch: z.number().int().nonnegative(),
-	/** On the store's clock. */
+	/** When the duty was last used, on the store's clock, in milliseconds. */
 	usedAtMs: z.number(),
-	/** Tells apart writes whose answers were lost. */
+	/** Identifies this write, so that it can be recognised when its response was lost. */
 	claimId: z.string(),
-	/** Term that is being replaced; zero once that was given up without an order. */
+	/** Term that is being replaced; zero once the replacement was cancelled without an order. */
 	term: z.number().int().nonnegative().default(0),
 	/** Highest term whose replacement was ordered. */
 	orderedTerm: z.number().int().nonnegative().default(0),
 	/** Endpoint that was ordered to lead after that term. */
 	orderedId: z.string().optional(),
-	/** Highest term that a promoted endpoint was seen to lead. */
+	/** Highest term that a promoted endpoint was observed to lead. */
 	seenTerm: z.number().int().nonnegative().default(0),
 });
 
 type DutyRecord = z.infer<typeof recordSchema>;
 
-/** What the store holds of a duty. */
+/** A duty as read from the store. */
 type ReadDuty = {
 	readonly record: DutyRecord | undefined;
-	/** Version of its row; zero where there is none. */
+	/** Version of the row; zero if there is none. */
 	readonly version: number;
 	readonly storeNowMs: number;
-	/** The store's version at this answer. */
+	/** The store's version at this response. */
 	readonly storeVersion: number;
 };
 
-/** A duty that this node took. */
+/** A duty that this node has acquired. */
 export type HeldDuty = {
 	readonly epoch: number;
-	/** Term to be replaced: the asked one, or a later one that others began to replace. */
+	/** Term to be replaced: the requested one, or a later one that other nodes began to replace. */
 	readonly term: number;
-	/** Endpoint that was ordered before to lead after this term: the order may still be carried out. */
+	/** Endpoint that was already ordered to lead after this term; that order may still be executed. */
 	readonly orderedId: string | undefined;
-	/** The row as it is while nothing else is written. */
+	/** The row's content, valid as long as the row's version is unchanged. */
 	readonly record: DutyRecord;
 	readonly version: number;
 	readonly storeNowMs: number;
-	/** When the store answered, on this node's clock. */
+	/** When the store's response arrived, on this node's clock. */
 	readonly acquiredAtMs: number;
 };
 
-/** Why a duty was not taken. */
+/** Why a duty was not acquired, or its row not written. */
 export type DutyRefusal = {
 	readonly reason: 'storeAway' | 'heldByAnother' | 'raced';
-	/** Time until it may be taken, where that is known. */
+	/** Time in milliseconds until the duty may be acquired, if known. */
 	readonly waitMs?: number;
-	/** What the store's calls came to, where they failed. */
+	/** Details of the store calls that failed, if any did. */
 	readonly detail?: string;
 };
 
-/** How far the replacement of a group's primary has come, by the store's word. */
+/** Progress of the replacement of a group's primary, as recorded in the store. */
 export type ReplacementState = {
-	/** Highest term that is being replaced or whose replacement was ordered; zero for none. */
+	/** Highest term that is being replaced or whose replacement was ordered; zero if there is none. */
 	readonly begunTerm: number;
 	/** Highest term whose replacement was ordered. */
 	readonly orderedTerm: number;
-	/** Whether this node may take the duty: it holds it, or nobody has used it for a while. */
+	/** Whether this node may acquire the duty: it holds the duty already, or the holder's lease has expired. */
 	readonly mayTakeOver: boolean;
-	/** The store's version at its answer, where this is one. */
+	/** The store's version at the response that this state was read from; undefined if it was not read from the store. */
 	readonly storeVersion?: number;
 };
 
@@ -100,33 +101,33 @@
 	readonly node: string;
 };
 
-/** What a node knows of a group's terms from the group itself. */
+/** What a node knows of a group's terms, to be merged into a row of which the store has lost a part. */
 export type KnownTerms = {
-	/** Term that the primary leads. */
+	/** Term that the current primary leads. */
 	readonly primaryTerm: number;
-	/** Highest term whose replacement has begun, as promoters or the store said; it may have been ordered. */
+	/** Highest term whose replacement has begun according to promoters or the store; it may have been ordered. */
 	readonly begunTerm: number;
 };
 
-/** Epochs of one era of the store. */
+/** Number of epochs reserved for each era of the store. */
 const epochsPerEra = 1_000_000;
 
-/** A duty that nobody has taken. */
+/** Record of a duty that was never acquired. */
 const emptyRecord: DutyRecord = {
 	holder: '', epoch: 0, usedAtMs: 0, claimId: '', term: 0, orderedTerm: 0, seenTerm: 0,
 };
 
-/** Why the store's word on a duty does not count. */
+/** Fault that is returned while the store's duties cannot be relied on after a restore. */
 const restoreNotSettled: PlatformFault = {kind: 'unavailable', detail: 'the store came back from an older copy a moment ago'};
 
-/** Time after which a write whose answer was lost is looked for. */
+/** Delay before the row is reread after a write whose response was lost. */
 const rereadDelayMs = 50;
 
-/** Takes duties for this node. */
+/** Acquires promotion duties for this node and records their progress. */
 export class PromotionDuties {
 	private readonly _services: DutyServices;
 	private readonly _leaseMs: number;
-	/** Duties as they were last seen in the store, by service. */
+	/** Records as last read from or written to the store, by service. */
 	private readonly _seen = new Map<string, DutyRecord>();
 
 	constructor(services: DutyServices, leaseMs: number) {
@@ -134,7 +135,10 @@
 		this._leaseMs = leaseMs;
 	}
 
-	/** Takes the duty for replacing the primary of a term, unless another node used it a moment ago. */
+	/**
+	 * Acquires the duty for replacing the primary of a term; refused while another node's lease on it
+	 * has not expired.
+	 */
 	async acquire(service: string, term: number): Promise<Either<DutyRefusal, HeldDuty>> {
 		const {node, random} = this._services;
 		const read = await this._read(service);
@@ -163,8 +167,8 @@
 	}
 
 	/**
-	 * Puts on record that an endpoint is about to be ordered to lead; resolves with the duty if it
-	 * still was this node's, which the write's condition proves.
+	 * Records that an endpoint is about to be ordered to lead. Resolves to the duty if this node
+	 * still held it, which the condition of the write proves.
 	 */
 	async recordOrder(service: string, duty: HeldDuty, endpointId: string): Promise<Either<DutyRefusal, HeldDuty>> {
 		const storeNowMs = duty.storeNowMs + (this._services.clock.nowMs() - duty.acquiredAtMs);
@@ -175,7 +179,10 @@
 		return written.map(version => ({...this._toHeldDuty(record, version, storeNowMs), orderedId: duty.orderedId}));
 	}
 
-	/** How far a replacement has come. */
+	/**
+	 * Reads the progress of a service's replacement; a fault if the store fails, has not settled
+	 * after a restore, or holds an unreadable row.
+	 */
 	async state(service: string): Promise<Either<PlatformFault, ReplacementState>> {
 		const read = await this._read(service);
 		return read.chain<PlatformFault, ReplacementState>(({record, version, storeNowMs, storeVersion}) => {
@@ -184,7 +191,7 @@
 			}
 
 			if (!record && version > 0) {
-				// It may have named any term.
+				// An unreadable row may have named any term.
 				return Left({kind: 'invalid', detail: 'the row cannot be read'});
 			}
 
@@ -198,8 +205,8 @@
 	}
 
 	/**
-	 * Takes back that a term is being replaced: nothing was ordered, or `refusedBefore` says what
-	 * had been ordered before an order that was refused. The duty stays this node's.
+	 * Records that a term is no longer being replaced. Either nothing was ordered, or `refusedBefore`
+	 * holds the duty as it was before an order that the platform refused. This node keeps the duty.
 	 */
 	async cancelReplacement(service: string, duty: HeldDuty, refusedBefore?: HeldDuty): Promise<void> {
 		const {orderedTerm, orderedId} = refusedBefore?.record ?? duty.record;
@@ -212,7 +219,7 @@
 		});
 	}
 
-	/** Puts on record which term an order has led to: whoever replaces a primary next replaces none of an earlier one. */
+	/** Records the term that an order has led to, so that the next promoter does not replace an earlier one. */
 	async recordEffect(service: string, duty: HeldDuty, seenTerm: number): Promise<void> {
 		const written = await this._writeAndVerify(service, {...duty.record, seenTerm}, rowVersionOf(duty));
 		written.ifLeft(fault => {
@@ -220,7 +227,7 @@
 		});
 	}
 
-	/** Writes what this node knows of a group's promotions where the store has lost it. */
+	/** Rewrites what this node knows of a group's promotions if the store has lost it. */
 	async rewriteLostRecord(service: string, known: KnownTerms): Promise<void> {
 		const {log} = this._services;
 		const seen = this._seen.get(service);
@@ -256,7 +263,7 @@
 		};
 	}
 
-	/** Time until another node's duty may be taken, or one that the store has lost. */
+	/** Returns the time in milliseconds until another node's lease, or one that the store has lost, has expired. */
 	private _waitMs(record: DutyRecord | undefined, storeNowMs: number): number {
 		const heldMs = record === undefined || record.holder === this._services.node ? 0 : record.usedAtMs + this._leaseMs - storeNowMs;
 		return Math.max(heldMs, this._leaseMs - this._services.restores.agoMs);
@@ -277,7 +284,10 @@
 		});
 	}
 
-	/** Writes the row if it still has a version; resolves with its new one. A write whose answer was lost may have taken effect: the row says so. */
+	/**
+	 * Writes the row if its version is unchanged, and resolves to its new version. After a write
+	 * whose response was lost, rereads the row to find out whether the write took effect.
+	 */
 	private async _writeAndVerify(service: string, record: DutyRecord, {version: expectedVersion, era}: RowVersion): Promise<Either<DutyRefusal, number>> {
 		const {store, clock} = this._services;
 		const value = JSON.stringify(record);
@@ -313,7 +323,7 @@
 	}
 }
 
-/** A row's version, zero where there was none, and the store's era when it was read. */
+/** Version of a row (zero if there was none) and the store's era when it was read. */
 type RowVersion = {
 	readonly version: number;
 	readonly era: number;
@@ -324,8 +334,9 @@
 }
 
 /**
- * A record with what was seen before a restore and is known from the group; undefined where
- * nothing of it is lost. A replacement that the copy shows begun may have been ordered since.
+ * Merges into a record what was seen before a restore and what is known of the group; returns
+ * undefined if nothing has been lost. A replacement that the snapshot shows as begun may have been
+ * ordered since.
  */
 function mergeLostState(current: DutyRecord, seen: DutyRecord | undefined, {primaryTerm, begunTerm}: KnownTerms): DutyRecord | undefined {
 	const last = seen && seen.orderedTerm > current.orderedTerm ? seen : current;
@@ -345,7 +356,10 @@
 	return record ? Math.max(record.term, record.orderedTerm) : 0;
 }
 
-/** A row of another form is overwritten under its version; the epoch then starts above zero again. */
+/**
+ * Parses a duty's row; undefined if it is missing or malformed. A malformed row is overwritten on
+ * condition of its version, and its epochs are then counted from the start of the store's era.
+ */
 function parseRecord(row: StoredRow | undefined): DutyRecord | undefined {
 	return row?.value === undefined ? undefined : parseJsonWith(recordSchema, row.value).toMaybe().extract();
 }
--- a/src/common/primacy/replacement-checks.ts
+++ b/src/common/primacy/replacement-checks.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the store whether somebody has begun to replace the primary of a group, when a proof
- * waits for its word: at a node's start, for a new term, after a gap in the proofs, after a
- * notice that a promotion is on its way. Callers share one look at a time.
+ * Checks in the store whether a replacement of a group's primary has begun, when a proof is pending
+ * on that: at a node's start, for a new term, after a gap in the proofs, and after a notice that a
+ * promotion is in progress. Callers share one check at a time.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -9,27 +9,27 @@
 import type {ReplacementState} from './promotion-duty.js';
 import type {GroupServices, KnownReplacement} from './types.js';
 
-/** What waits for the store's word. */
+/** The group for which the store is checked. */
 export type CheckedGroup = {
 	readonly service: string;
-	/** Whether a proof waits. */
+	/** Whether a proof is pending on a check. */
 	readonly isCheckDue: boolean;
-	/** What the store said at a version, to this node or to a peer; undefined where neither is known. */
+	/** Replacement state and the store version at which this node or a peer read it; undefined if unknown. */
 	readonly knownReplacement: KnownReplacement | undefined;
-	/** Takes in the store's word of a moment. */
+	/** Applies a state that the store returned to a request sent at the given time. */
 	noteReplacement(state: ReplacementState, checkedAtMs: number): void;
-	/** Takes in that what was known held at a moment, by the store's word, and its version then. */
+	/** Applies that the known state was unchanged when the store was asked, with the store's version then. */
 	noteUnchanged(known: KnownReplacement, checkedAtMs: number): void;
 };
 
-/** Looks for one group. */
+/** Runs the checks of one group. */
 export class ReplacementChecks implements Disposable {
 	private readonly _group: CheckedGroup;
 	private readonly _services: GroupServices;
 	private readonly _changes: DutyChanges;
 	private readonly _sleep: WakeableSleep;
 	private _isRunning = false;
-	/** Whether a look was asked for that has not begun. */
+	/** Whether a check was requested that has not begun. */
 	private _isRequested = false;
 	private _isDisposed = false;
 	private _lastCheckAtMs = Number.NEGATIVE_INFINITY;
@@ -41,12 +41,15 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** When the last look began. */
+	/** When the last check began. */
 	get lastCheckAtMs(): number {
 		return this._lastCheckAtMs;
 	}
 
-	/** Looks now, and again until no proof waits. Without a registration no look would count. */
+	/**
+	 * Checks now, and repeats until no proof is pending. Does nothing before this node is registered,
+	 * since no check would count.
+	 */
 	checkNow(): void {
 		this._isRequested = true;
 		if (this._isRunning) {
@@ -56,7 +59,7 @@
 		}
 	}
 
-	/** Looks now, unless a look is under way or waits for its time. */
+	/** Checks now, unless a check is running or scheduled. */
 	checkUnlessRunning(): void {
 		if (!this._isRunning) {
 			this.checkNow();
@@ -101,7 +104,11 @@
 		});
 	}
 
-	/** Whether the store says that what is known of this group holds; asked so where many nodes look at one time. */
+	/**
+	 * Whether the store confirms that the known state is unchanged. Used only where a coordinator
+	 * polls for all nodes, since many nodes then check at the same time and can share one request per
+	 * node.
+	 */
 	private async _isUnchanged(checkedAtMs: number): Promise<boolean> {
 		const known = this._group.knownReplacement;
 		if (!known || !this._services.sharing.isCoordinatorOnly) {
--- a/src/common/primacy/returned-replicas.ts
+++ b/src/common/primacy/returned-replicas.ts
@@ -1,24 +1,24 @@
 /**
- * Replicas that started again, or whose registrations came back. A promotion may have begun
- * without fencing them, or they have forgotten its fence, so their word proves no term until
- * the store says that nobody has begun to replace it. Whoever begins later reads the
- * registrations after it took the duty, and so fences them.
+ * Replicas that restarted, or whose registrations returned. A promotion may have begun without
+ * fencing them, or they may have lost its fence, so their reports prove no term until the store shows
+ * that no replacement of it has begun. A promoter that begins later reads the registrations after it
+ * acquired the duty, and so fences them.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {pauseFor} from '../lifecycle/timing.js';
 import type {EndpointReports} from './endpoint-reports.js';
 import type {GroupServices, Primary} from './types.js';
 
-/** What the group knows. */
+/** State of the group that the checks need. */
 type ReturningGroup = {
 	readonly service: string;
 	readonly primary: Primary | undefined;
 	readonly mayPollEndpoints: boolean;
-	/** Looks at the group at once. */
+	/** Polls and checks the group at once. */
 	wake(): void;
 };
 
-/** Clears such replicas of one group. */
+/** Clears the returned replicas of one group. */
 export class ReturnedReplicas implements Disposable {
 	private readonly _group: ReturningGroup;
 	private readonly _reports: EndpointReports;
@@ -31,7 +31,10 @@
 		this._services = services;
 	}
 
-	/** Looks until the replica's word counts again, or it has returned once more. */
+	/**
+	 * Repeats the check until the replica's proofs are accepted again, or the replica has returned
+	 * once more or is gone.
+	 */
 	async clearWhenSafe(endpointId: string): Promise<void> {
 		const {clock, options} = this._services;
 		const returnCount = this._reports.returnCount(endpointId);
@@ -56,7 +59,7 @@
 		return !this._isDisposed && this._reports.returnCount(endpointId) === returnCount && this._services.registry.endpoint(endpointId) !== undefined;
 	}
 
-	/** Whether nobody has begun to replace the primary of the term that this node knows. */
+	/** Whether no replacement of the known term's primary has begun. */
 	private async _isTermUncontested(): Promise<boolean> {
 		const term = this._group.primary?.term;
 		const state = await this._services.duties.state(this._group.service);
--- a/src/common/primacy/suspension-watch.ts
+++ b/src/common/primacy/suspension-watch.ts
@@ -1,11 +1,11 @@
 /**
- * Notices that the machine was suspended. The steady clock stops meanwhile, so that times
- * measured with it look more recent than they are; the time of day goes on. A time of day
- * that was set looks the same, which costs a proof and nothing else.
+ * Detects that the machine was suspended. The steady clock stops during a suspension, so that times
+ * measured with it look more recent than they are, while the wall clock goes on. Setting the wall
+ * clock looks the same, which only costs a new proof.
  */
 import type {Clock} from '../services/services.js';
 
-/** Compares the steps of both clocks between two looks. */
+/** Compares the progress of both clocks between two checks. */
 export class SuspensionWatch {
 	private readonly _clock: Clock;
 	private readonly _toleranceMs: number;
@@ -17,11 +17,11 @@
 		this._offsetMs = this._currentOffsetMs();
 	}
 
-	/** Whether the clocks moved apart since the last look. */
+	/** Returns whether the offset between the clocks has jumped since the last check. */
 	checkForSuspension(): boolean {
 		const offsetMs = this._currentOffsetMs();
 		const hasJumped = Math.abs(offsetMs - this._offsetMs) > this._toleranceMs;
-		// Slow drift is followed, so that it never adds up to a jump.
+		// The reference follows slow drift, so that drift never adds up to a jump.
 		this._offsetMs = offsetMs;
 		return hasJumped;
 	}
--- a/src/common/primacy/term-lease.test.ts
+++ b/src/common/primacy/term-lease.test.ts
@@ -19,7 +19,7 @@
 		lease = new TermLease(clock, times);
 	});
 
-	it('counts from the question, and never less for an older proof', () => {
+	it('is measured from the request, and is not shortened by an older proof', () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 100);
 		grant(1, 50);
@@ -28,7 +28,7 @@
 		expect(lease.isValidAt(undefined, 200)).toEqual(false);
 	});
 
-	it('takes no proof before the store has said that nobody replaces the term', () => {
+	it('grants no proof before a check of the store shows that the term is not being replaced', () => {
 		expect((['endpoint', 'peer', 'store'] as const).map(kind => grant(3, 0, kind))).toEqual([false, false, false]);
 		lease.noteCheck({begunTerm: 3, checkedAtMs: 5});
 		expect(grant(3, 10)).toEqual(false);
@@ -37,19 +37,19 @@
 		expect(grant(2, 11)).toEqual(false);
 	});
 
-	it('takes a replica\'s word only as the continuation of a chain', () => {
+	it('grants a replica\'s proof only as the continuation of a chain', () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		expect([799, 1598, 2398].map(atMs => grant(1, atMs))).toEqual([true, true, false]);
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 2390});
 		expect(grant(1, 2400)).toEqual(true);
 	});
 
-	it('takes a peer\'s lease and the store\'s word after a gap', () => {
+	it('grants a proof by a peer or the store after a gap', () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		expect([grant(1, 5000), grant(1, 5000, 'store'), grant(1, 9000, 'peer')]).toEqual([false, true, true]);
 	});
 
-	it('takes no proof of a term that it was told of until the store\'s word is newer', async () => {
+	it('grants no proof of an invalidated term until a newer check of the store', async () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 0);
 		await clock.advance(10);
@@ -69,17 +69,17 @@
 		expect(grant(1, clock.nowMs())).toEqual(false);
 	});
 
-	it('drops its proof when the store says that its term is being replaced', () => {
+	it('revokes its proof when the store shows that its term is being replaced', () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 10);
 		lease.noteCheck({begunTerm: 1, checkedAtMs: 20});
 		expect(lease.isValidAt(1, 20)).toEqual(false);
-		// An older word that arrives late changes nothing.
+		// An older check that arrives late changes nothing.
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 15});
 		expect(grant(1, 30)).toEqual(false);
 	});
 
-	it('continues no chain from before the clock stood still', async () => {
+	it('continues no chain from before a suspension', async () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 10);
 		await clock.advance(20);
@@ -89,14 +89,14 @@
 		expect(grant(1, 30)).toEqual(true);
 	});
 
-	it('takes no answer that came later than a promoter waits, however early it was asked for', async () => {
+	it('grants no proof whose response arrived later than a promoter waits, however early the request was sent', async () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		grant(1, 0);
 		await clock.advance(1140);
 		expect(grant(1, 795)).toEqual(false);
 	});
 
-	it('tells other nodes no word of the store from before the clock stood still', async () => {
+	it('passes no check of the store from before a suspension to other nodes', async () => {
 		lease.noteCheck({begunTerm: 0, checkedAtMs: 0});
 		await clock.advance(20);
 		lease.breakChain();
--- a/src/common/primacy/types.ts
+++ b/src/common/primacy/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types of the primacy slice.
+ * Types of the primacy module.
  */
 import type {Either} from 'purify-ts';
 import type {EndpointRegistry} from '../catalog/endpoint-registry.js';
@@ -12,13 +12,13 @@
 import type {PrimacyOptions} from './constants.js';
 import type {PromotionDuties} from './promotion-duty.js';
 
-/** Who led a term. */
+/** The endpoint that is or was the primary of a term. */
 export type Primary = {
 	readonly endpointId: string;
 	readonly term: number;
 };
 
-/** The highest term that somebody had begun to replace when the store was at a version. */
+/** The highest term whose replacement had begun when the store was at a version. */
 export type KnownReplacement = {
 	readonly begunTerm: number;
 	readonly version: number;
@@ -26,67 +26,73 @@
 
 /** Why a group needs another primary. */
 export type PromotionReason = 'crashed' | 'silent' | 'vacant' | 'draining' | 'emptied'
-	/** Its replacement was ordered, and nobody has seen the effect. */
+	/** Its replacement was ordered, and no effect has been observed. */
 	| 'ordered'
-	/** Its replacement was begun by a node that neither went on nor gave up. */
+	/** Its replacement was begun by a node that neither completed nor cancelled it. */
 	| 'abandoned';
 
-/** What other nodes say about a primary. */
+/** Opinions of other nodes about a primary. */
 export type Opinions = {
-	/** Nodes that answered, this one included. */
+	/** Number of nodes that responded, including this one. */
 	readonly answered: number;
-	/** Nodes that should have. */
+	/** Number of nodes that should have responded. */
 	readonly asked: number;
-	/** Those that heard from the primary a moment ago. */
+	/** Nodes that heard from the primary within `opinionFreshMs`. */
 	readonly heard: readonly PeerNode[];
-	/** Primaries of later terms that they know. */
+	/** Primaries of later terms that these nodes know. */
 	readonly later: readonly Primary[];
 };
 
-/** Whether every node that may hold a lease knows that it counts no more. */
+/** Whether every node that may hold a lease was notified that it is invalid. */
 export type FenceOutcome = 'everywhere' | 'partly';
 
-/** Who promotes, as fences and logs name it: the node and its epoch of the duty. */
+/** Identifies a promoter in fence notices and logs: the node and the epoch of its duty. */
 export type PromoterId = {
-	/** Empty where an older node did not say it. */
+	/** Empty if the notice came from an older node, which does not report it. */
 	readonly holder: string;
-	/** Zero where an older node did not say it. */
+	/** Zero if the notice came from an older node, which does not report it. */
 	readonly epoch: number;
 };
 
-/** Whose word a primary was adopted on: an endpoint's own, a peer's answer, or a peer's notice. */
+/** Source from which a primary was adopted: an endpoint's own status, a peer's response, or a peer's notice. */
 export type PrimaryOrigin = 'endpoint' | 'peer' | 'notice';
 
-/** Asks the other nodes, and tells them. */
+/** Exchanges requests and notices with the other nodes. */
 export type PrimacyPeers = {
-	/** When promoters began to know of this node; it relies on no lease before. Undefined until then. */
+	/**
+	 * When this node's registration became visible to promoters; it relies on no lease before that.
+	 * Undefined until then.
+	 */
 	readonly registeredAtMs: number | undefined;
-	/** Place of this node in the order in which nodes act for a service; zero acts first. */
+	/** Rank of this node in the order in which nodes act for a service; zero acts first. */
 	rank(service: string, avoidedZone: string | undefined): number;
 	opinions(service: string, primary: Primary): Promise<Opinions>;
 	announce(service: string, primary: Primary): void;
-	/** Tells all nodes that proofs of a term count no more. */
+	/** Notifies all nodes that proofs of a term are invalid. */
 	fence(service: string, term: number, promoter: PromoterId): Promise<FenceOutcome>;
-	/** Takes that back, where the term goes on. */
+	/** Notifies all nodes that the replacement of the term was cancelled. */
 	removeFence(service: string, term: number, promoter: PromoterId): Promise<void>;
 };
 
-/** How a node learns about groups from the node that asks endpoints for all. */
+/** Gives a node the group overviews of the coordinator, which polls endpoints on behalf of all nodes. */
 export type ProofSource = {
-	/** Whether this node asks for all; the others ask it. */
+	/** Whether this node is the coordinator, which the others request overviews from. */
 	readonly isCoordinator: boolean;
-	/** Whether nobody else may ask: there are too many nodes for each to connect to every endpoint. */
+	/**
+	 * Whether only the coordinator may poll endpoints, because there are too many nodes for each to
+	 * connect to every endpoint.
+	 */
 	readonly isCoordinatorOnly: boolean;
-	/** Asks the asking node now, if that is another one. */
+	/** Requests the coordinator's overviews now; does nothing on the coordinator itself. */
 	refresh(): Promise<void>;
 };
 
-/** Asks endpoints over the nodes that connect to them. */
+/** Requests the status of endpoints through the nodes that connect to them. */
 export type StatusSource = {
 	status(endpoint: RegisteredEndpoint, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>>;
 };
 
-/** What the slice works with. */
+/** Dependencies of the primacy module. */
 export type PrimacyServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -100,15 +106,15 @@
 	readonly promotions: PromotionCalls;
 	readonly peers: PrimacyPeers;
 	readonly sharing: ProofSource;
-	/** The way of questions to endpoints where this node must not connect to them itself. */
+	/** Routes status requests to endpoints that this node must not connect to itself. */
 	readonly endpointPools: StatusSource;
 	readonly options: PrimacyOptions;
-	/** Name of this node, as a holder of duties. */
+	/** Name of this node as a holder of promotion duties. */
 	readonly node: string;
 	readonly availabilityZone: string;
 };
 
-/** What the parts of one group work with. */
+/** Dependencies of the parts that handle one group. */
 export type GroupServices = PrimacyServices & {
 	readonly duties: PromotionDuties;
 };
--- a/src/common/primacy/write-receipts.ts
+++ b/src/common/primacy/write-receipts.ts
@@ -1,5 +1,5 @@
 /**
- * Waits until a replica has received a write, so that it outlasts its primary.
+ * Waits until a replica has received a write, so that the write survives the loss of its primary.
  */
 import type {ReportedStatus} from '../pools/types.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -8,19 +8,19 @@
 import type {Clock} from '../services/services.js';
 import type {PrimacyOptions} from './constants.js';
 
-/** What is known of a group's replicas, and how more is learned. */
+/** Gives access to the reports of a group's replicas, and polls for new ones. */
 export type ReplicaReports = {
-	/** What the replicas last reported. */
+	/** Returns the last status that each replica reported. */
 	reports(): readonly ReportedStatus[];
-	/** Term that counts; undefined without a primary. */
+	/** Returns the current term; undefined without a primary. */
 	term(): number | undefined;
-	/** Asks the nearest replica; takes a millisecond at least. */
+	/** Polls the nearest replica; takes at least a millisecond. */
 	pollNearest(): Promise<unknown>;
 };
 
 type ReceiptOptions = Pick<PrimacyOptions, 'confirmationWaitMs' | 'confirmationPauseMs'>;
 
-/** Confirms positions of one group; all who wait share the questions. */
+/** Confirms positions of one group; concurrent callers share the polls. */
 export class WriteReceipts {
 	private readonly _clock: Clock;
 	private readonly _options: ReceiptOptions;
@@ -34,7 +34,11 @@
 		this._replicas = replicas;
 	}
 
-	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
+	/**
+	 * Waits up to `confirmationWaitMs` until a replica has received a position of the current term,
+	 * and resolves to whether one has. For `confirmationPauseMs` after a wait that timed out, it only
+	 * checks what is already known.
+	 */
 	async confirm(position: LogPosition): Promise<boolean> {
 		if (this._clock.nowMs() < this._waitResumesAtMs) {
 			return this._isReceived(position);
@@ -56,7 +60,7 @@
 		return isReceived;
 	}
 
-	/** What a replica received in a term it keeps in that term. */
+	/** Whether a replica has received a position in the current term; within a term, it keeps what it has received. */
 	private _isReceived(position: LogPosition): boolean {
 		const term = this._replicas.term();
 		return this._replicas.reports().some(({status}) => status.term === term && hasReached(status.received, position));
