--- a/src/common/catalog/constants.ts
+++ b/src/common/catalog/constants.ts
@@ -1,61 +1,71 @@
 /**
- * Options of what a node follows in the store, in one table. Every time is in milliseconds.
+ * Options for following tables of the store, in one table. Every time is in milliseconds.
  */
 
-/** Options of followed tables. */
+/** Default options for following tables. */
 export const catalogDefaults = {
 	/**
-	 * Longest wait of one question for changes. Below the 3 s within which a change of the
-	 * configuration must be in force, so that a connection that fell silent is noticed in time.
+	 * Maximum wait of one long poll for changes. Shorter than the 3 s within which a change of the
+	 * configuration must be in force, so that a stalled connection is detected in time.
 	 */
 	followWaitMs: 2000,
-	/** The same for the registrations of nodes: who starts or leaves says so itself to those who use it. */
+	/**
+	 * The same for the registrations of nodes: a node that starts or leaves also notifies the nodes
+	 * that use it directly.
+	 */
 	followNodesWaitMs: 5000,
 	/**
-	 * The same where revoked keys must count no more within a time: a proof is dated by
-	 * its question, so that it is as old as this wait when it comes.
+	 * The same where revoked keys must be rejected within a bound: a proof of freshness dates from
+	 * its request, so it is as old as this wait when the response arrives.
 	 */
 	provingWaitMs: 1000,
-	/** Share of that time after which a proof is renewed at the store itself. */
+	/** Share of the key revocation bound after which a proof of freshness is renewed at the store itself. */
 	renewProofAtShare: 0.6,
-	/** Time between two such questions of one node, as all nodes may ask at once. */
+	/** Minimum time between two such renewals by one node, since all nodes may renew at the same time. */
 	renewProofEveryMs: 400,
-	/** Longest wait of a statement for such a question: the store takes 4 ms, and some 250 ms when it is slow. */
+	/**
+	 * Maximum time that a statement waits for such a renewal; the store responds in 4 ms, or in some
+	 * 250 ms when it is slow.
+	 */
 	provingTimeoutMs: 300,
-	/** Part of the time that is left for clocks that differ and for the way to the endpoint. */
+	/** Part of the key revocation bound that is reserved for clock differences and for the transfer to the endpoint. */
 	proofMarginMs: 500,
-	/** Longest wait for the answer to a probe: the store takes 4 ms, and some 250 ms when it is slow. */
+	/** Timeout of a probe; the store responds in 4 ms, or in some 250 ms when it is slow. */
 	probeTimeoutMs: 450,
-	/** First wait after a failed question; doubles up to the longest. */
+	/** Initial backoff after a failed request; doubles up to `longestRetryMs`. */
 	retryMs: 50,
-	/** Longest wait after failed questions: bounds how late a node follows a store that is back. */
+	/** Maximum backoff after failed requests; bounds the delay until a node follows a store that has recovered. */
 	longestRetryMs: 400,
 	/**
-	 * A table whose last answer is older is asked again before a database or a key counts as unknown.
-	 * A change arrives over the question that waits; this is for one whose connection fell silent,
-	 * well before the 3 s within which a change must be in force.
+	 * A table whose last proof of freshness is older than this is read again before a database or a
+	 * key counts as unknown. Changes normally arrive through the pending long poll; this covers a
+	 * stalled connection, well before the 3 s within which a change must be in force.
 	 */
 	freshEnoughMs: 2000,
-	/** Longest wait of a caller for a configuration that may know its database. */
+	/** Maximum time that a caller waits for a configuration that may contain its database or key. */
 	unknownDatabaseWaitMs: 600,
 	/**
-	 * Time that endpoints which a read of the whole table does not show are kept after the store
-	 * was away: endpoints that live register again within about two seconds.
+	 * Time for which endpoints that are missing from the table are kept after the store was
+	 * unavailable: endpoints that are alive register again within about two seconds.
 	 */
 	returnGraceMs: 3000,
 	/**
-	 * Time for which an endpoint whose registration went may still live: a promotion fences it as
-	 * well if it answers. Cuts that hide one from the store last up to 6 s on the days that are known.
+	 * Time for which an endpoint whose registration lapsed may still be alive: a promotion fences it
+	 * as well if it responds. Known partitions that hide an endpoint from the store last up to 6 s.
 	 */
 	lapsedForMs: 15_000,
 	/**
-	 * Removed rows that are kept for nodes which ask for changes, about 300 B each: more than the
-	 * second of one question removes. A node that asks for earlier ones reads the table anew.
+	 * Number of removed rows that are retained for nodes that request changes, about 300 B each; more
+	 * than are removed during one request of about a second. A node that requests changes from before
+	 * the retained ones reads the whole table again.
 	 */
 	keptRemovals: 500,
-	/** Endpoints whose last start is remembered: those of the largest deployment, some 2,600, and as many that are gone; about 200 B each. */
+	/**
+	 * Number of endpoints whose last start is remembered: those of the largest deployment, some
+	 * 2,600, and as many that are gone; about 200 B each.
+	 */
 	rememberedStarts: 5000,
 } as const;
 
-/** Options of followed tables, as they may be set. */
+/** Configurable options for following tables. */
 export type CatalogOptions = {readonly [Name in keyof typeof catalogDefaults]: number};
--- a/src/common/catalog/endpoint-registry.test.ts
+++ b/src/common/catalog/endpoint-registry.test.ts
@@ -16,7 +16,7 @@
 	return JSON.parse(value) as Partial<EndpointRegistration>; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the test wrote it
 }
 
-/** A row's value is its registration as JSON; any other text is one that cannot be read. */
+/** A row's value is its registration as JSON; any other text cannot be decoded. */
 const formats: RowFormats = {
 	configurationTable: 'configuration',
 	configurationKey: 'key',
@@ -29,7 +29,7 @@
 
 const silentLog: Log = {
 	event() {
-		// Not looked at.
+		// The log is not checked.
 	},
 };
 
@@ -55,7 +55,7 @@
 				events.push(name);
 			},
 		};
-		const never = async (): Promise<never> => new Promise(() => undefined); // eslint-disable-line no-promise-executor-return -- the store is not asked
+		const never = async (): Promise<never> => new Promise(() => undefined); // eslint-disable-line no-promise-executor-return -- no request to the store is expected
 		registry = new EndpointRegistry({
 			clock: new VirtualClock(), log, store: {read: never, follow: never, write: never}, options: catalogDefaults,
 		}, formats);
@@ -68,13 +68,13 @@
 		registry.dispose();
 	});
 
-	it('uses no endpoint from an entry that cannot be read, and keeps the others', () => {
+	it('ignores a registration that cannot be decoded, and keeps the others', () => {
 		put('i-1', {});
 		put('other', 'bytes');
 		expect(registry.ofService('svc').map(({id}) => id)).toEqual(['i-1']);
 	});
 
-	it('does not use an endpoint whose entry was replaced by another writer, until it says again who it is', () => {
+	it('drops an endpoint whose registration was overwritten by another writer, until it registers again', () => {
 		put('i-1', {});
 		put('i-1', 'bytes');
 		expect(registry.endpoint('i-1')).toEqual(undefined);
@@ -83,7 +83,7 @@
 		expect(returned).toEqual([]);
 	});
 
-	it('logs an entry that cannot be read once', () => {
+	it('logs a registration that cannot be decoded once', () => {
 		for (let count = 0; count < 5; count++) {
 			put('i-1', `bytes ${count}`);
 		}
@@ -94,26 +94,26 @@
 		expect(events.filter(name => name === 'registrationUnreadable').length).toEqual(2);
 	});
 
-	it('tells a start from a later start time', () => {
+	it('detects a restart by a later start time', () => {
 		put('i-1', {startedAtMs: 1000});
 		put('i-1', {startedAtMs: 2000, reportNumber: 9});
 		expect(returned).toEqual(['i-1']);
 		expect(registry.endpoint('i-1')?.incarnation).toEqual(1);
 	});
 
-	it('tells a start from a count that began anew, where no start time is said', () => {
+	it('detects a restart by a lower report number if no start time is reported', () => {
 		put('i-1', {});
 		put('i-1', {reportNumber: 1});
 		expect(returned).toEqual(['i-1']);
 	});
 
-	it('takes no lower count for a start where the start time is the same', () => {
+	it('does not take a lower report number as a restart if the start time is the same', () => {
 		put('i-1', {startedAtMs: 1000});
 		put('i-1', {startedAtMs: 1000, reportNumber: 1});
 		expect(returned).toEqual([]);
 	});
 
-	it('tells an endpoint that appears among known ones, and not those of the first read', () => {
+	it('reports endpoints that appear after the first read as returned, and not those of the first read', () => {
 		const row = (key: string) => ({
 			table: formats.endpointTable, key, version: 1, value: '{}',
 		});
@@ -128,7 +128,7 @@
 		expect(registry.lapsed('svc')).toEqual([]);
 	});
 
-	it('keeps an endpoint whose registration lapsed while the store was away, until it is back', async () => {
+	it('keeps an endpoint whose registration lapsed while the store was unavailable, until it registers again', async () => {
 		const clock = new VirtualClock();
 		const store = new MemoryRowStore(clock);
 		const followed = new EndpointRegistry({
@@ -152,14 +152,14 @@
 		followed.dispose();
 	});
 
-	it('takes nothing from a write of an earlier start that took effect late', () => {
+	it('ignores a delayed write of an earlier start', () => {
 		put('i-1', {startedAtMs: 2000});
 		put('i-1', {startedAtMs: 1000, isDraining: true});
 		expect(registry.endpoint('i-1')?.isDraining).toEqual(false);
 		expect(returned).toEqual([]);
 	});
 
-	it('tells a start of an endpoint whose registration had lapsed', () => {
+	it('detects a restart of an endpoint whose registration had lapsed', () => {
 		put('i-1', {startedAtMs: 1000});
 		put('i-1', undefined);
 		put('i-1', {startedAtMs: 2000, reportNumber: 1});
--- a/src/common/catalog/endpoint-registry.ts
+++ b/src/common/catalog/endpoint-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints that registered themselves in the store, as far as this node has heard.
- * Only a hint: what an endpoint says when asked goes before it.
+ * The endpoints that are registered in the store, as far as this node knows. A registration is only a
+ * hint: the status that an endpoint reports takes precedence.
  */
 import type {Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -14,19 +14,19 @@
 import type {FollowedTable, FollowerServices, TableSubscriber} from './table-follower.js';
 import {TableFollower} from './table-follower.js';
 
-/** What tells the starts of an endpoint apart, and the store's era in which it was known last. */
+/** Identifies a start of an endpoint; `era` is the store's era in which it was last observed. */
 type EndpointStart = Pick<EndpointRegistration, 'startedAtMs' | 'reportNumber'> & {readonly incarnation: number; readonly era: number};
 
-/** What showed that an endpoint started again. */
+/** Which field showed that an endpoint restarted. */
 type RestartSign = 'startTime' | 'reportNumber';
 
-/** Follows the registrations. */
+/** Follows the table of endpoint registrations. */
 export class EndpointRegistry implements TableSubscriber, Disposable {
-	/** Fires with the name of a service whose endpoints changed. */
+	/** Fires with the name of a service whose endpoints have changed. */
 	readonly onChange: Event<string>;
 	/**
-	 * Fires with an endpoint that started again under its id, or whose registration appeared
-	 * among others that were known: a promotion may have begun without it.
+	 * Fires with an endpoint that restarted under its id, or whose registration appeared after the
+	 * first read of the table: a promotion may have begun without fencing it.
 	 */
 	readonly onReturn: Event<RegisteredEndpoint>;
 
@@ -36,15 +36,15 @@
 	private readonly _onChange = new Emitter<string>();
 	private readonly _onReturn = new Emitter<RegisteredEndpoint>();
 	private readonly _endpoints = new Map<string, RegisteredEndpoint>();
-	/** The latest start of each endpoint, by id; those that are gone may come back. */
+	/** The latest start of each endpoint, by id, including endpoints that are gone and may return. */
 	private readonly _starts = new Map<string, EndpointStart>();
-	/** Endpoints whose registrations are gone, by id, and since when. */
+	/** Endpoints whose registrations have lapsed, by id, and since when. */
 	private readonly _lapsed = new Map<string, {readonly endpoint: RegisteredEndpoint; readonly sinceMs: number}>();
-	/** Keys whose registrations cannot be read; each is logged once. */
+	/** Keys whose registrations cannot be decoded; each is logged once. */
 	private readonly _unreadable = new Set<string>();
-	/** The same by service: every statement asks for them. */
+	/** Registered endpoints by service; an index, since every statement looks them up. */
 	private _byService = new Map<string, readonly RegisteredEndpoint[]>();
-	/** Timers of endpoints that a snapshot lacked and that may come back, by id. */
+	/** Removal timers of endpoints whose registrations are missing and may return, by id. */
 	private readonly _pendingRemovals = new Map<string, Disposable>();
 	private _isLoaded = false;
 
@@ -56,32 +56,35 @@
 		this._follower = new TableFollower(formats.endpointTable, this, services);
 	}
 
-	/** Whether the table was read once. */
+	/** Whether the table has been read at least once. */
 	get isLoaded(): boolean {
 		return this._isLoaded;
 	}
 
-	/** What is followed, for other nodes. */
+	/** The followed table, for serving its changes to other nodes. */
 	get followed(): FollowedTable {
 		return this._follower;
 	}
 
-	/** Whether the store could not be asked the last time. */
+	/** Whether the last request to the store failed. */
 	get isStoreUnavailable(): boolean {
 		return this._follower.isUnavailable;
 	}
 
-	/** Starts to follow; the task ends when the registry is disposed. */
+	/** Starts to follow the table, until the registry is disposed. */
 	start(): void {
 		void this._follower.run();
 	}
 
-	/** Endpoints of a service, those that are draining included. */
+	/** Returns the registered endpoints of a service, including those that are draining. */
 	ofService(service: string): readonly RegisteredEndpoint[] {
 		return this._byService.get(service) ?? [];
 	}
 
-	/** Endpoints of a service whose registrations went a moment ago: they may live behind a cut. */
+	/**
+	 * Returns the endpoints of a service whose registrations lapsed within `lapsedForMs`: they may be
+	 * alive behind a network partition.
+	 */
 	lapsed(service: string): readonly RegisteredEndpoint[] {
 		const {clock, options} = this._services;
 		return [...this._lapsed.values()]
@@ -89,7 +92,7 @@
 			.map(({endpoint}) => endpoint);
 	}
 
-	/** Ids of a service's endpoints that the store holds at this moment, whatever this node has heard. */
+	/** Reads from the store the ids of a service's registered endpoints, independent of what this node has followed. */
 	async readIds(store: RowStore, service: string): Promise<Either<PlatformFault, string[]>> {
 		const read = await store.read(this._formats.endpointTable, '');
 		return read.map(({rows}) => rows
@@ -97,7 +100,7 @@
 			.map(({key}) => key));
 	}
 
-	/** An endpoint by its id. */
+	/** Returns an endpoint by its id; undefined if it is not registered. */
 	endpoint(id: string): RegisteredEndpoint | undefined {
 		return this._endpoints.get(id);
 	}
@@ -145,14 +148,15 @@
 	}
 
 	/**
-	 * Whether an entry that is gone may have lapsed because the store was away. Such removals
-	 * arrive right after its return: a primary that lived was dropped, with its connections.
+	 * Whether a missing registration may have lapsed only because the store was unavailable. Such
+	 * removals arrive right after the store's recovery; without the grace time, a primary that was
+	 * alive would be dropped together with its connections.
 	 */
 	private get _isInReturnGrace(): boolean {
 		return this._follower.isUnavailable || this._follower.recoveredForMs < this._services.options.returnGraceMs;
 	}
 
-	/** Nobody knows what runs there until its endpoint, if it lives, has said so again. */
+	/** Removes an endpoint whose registration cannot be decoded, until the endpoint, if it is alive, registers again. */
 	private _noteUnreadable(key: string): void {
 		this._remove(key);
 		if (!this._unreadable.has(key)) {
@@ -164,7 +168,7 @@
 	private _applyRegistration({startedAtMs, reportNumber, ...rest}: EndpointRegistration, era: number): void {
 		const before = this._starts.get(rest.id);
 		if (isOfEarlierStart(startedAtMs, before) || this._isOutdatedByRestore({startedAtMs, reportNumber, era}, rest.id, before)) {
-			// A write of the earlier process that took effect late, or one that is known to be outdated.
+			// Ignores a delayed write of an earlier process, and a row that is known to be outdated.
 			return;
 		}
 
@@ -189,8 +193,9 @@
 	}
 
 	/**
-	 * Whether a row stood in the copy from which the store came back, while more is known of its
-	 * endpoint, or that it is gone. An endpoint that lives says more within the grace time.
+	 * Whether a row comes from the snapshot from which the store was restored, while this node knows
+	 * of a newer report of the endpoint, or of its removal. An endpoint that is alive reports again
+	 * within the grace time.
 	 */
 	private _isOutdatedByRestore({startedAtMs, reportNumber, era}: Omit<EndpointStart, 'incarnation'>, id: string, before: EndpointStart | undefined): boolean {
 		if (!before || era <= before.era || this._follower.recoveredForMs >= this._services.options.returnGraceMs) {
@@ -243,7 +248,11 @@
 		this._byService = groupBy(this._endpoints.values(), ({service}) => service);
 	}
 
-	/** Entries may lapse falsely while the store is away; then an endpoint gets time to return. */
+	/**
+	 * Removes an endpoint whose registration is gone. While the store is unavailable and shortly
+	 * after, registrations may lapse although their endpoints are alive, so the removal is then
+	 * delayed by the grace time.
+	 */
 	private _scheduleRemoval(id: string): void {
 		if (!this._endpoints.has(id) || this._pendingRemovals.has(id)) {
 			return;
@@ -288,7 +297,10 @@
 	return startedAtMs !== undefined && known?.startedAtMs !== undefined && startedAtMs < known.startedAtMs;
 }
 
-/** A later start time, or, where endpoints say none, a count of reports that began anew. */
+/**
+ * Returns which field shows a restart: a later start time or, if the start times are not both known,
+ * a report number that went down; undefined if none does.
+ */
 function restartSign(now: Pick<EndpointStart, 'startedAtMs' | 'reportNumber'>, before: EndpointStart): RestartSign | undefined {
 	if (now.startedAtMs !== undefined && before.startedAtMs !== undefined) {
 		return now.startedAtMs > before.startedAtMs ? 'startTime' : undefined;
--- a/src/common/catalog/route-catalog.ts
+++ b/src/common/catalog/route-catalog.ts
@@ -1,5 +1,5 @@
 /**
- * The routes in force on this node. Versions only go up.
+ * The routes in force on this node. The version in force never decreases.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Event} from '../lifecycle/emitter.js';
@@ -21,18 +21,24 @@
 	organisations: undefined,
 };
 
-/** What the catalog needs besides what every followed table does. */
+/** Dependencies of the catalog in addition to those of every followed table. */
 export type CatalogServices = FollowerServices & {
-	/** The store itself, for proofs that the node which follows for all cannot give. */
+	/**
+	 * The store itself, for proofs of freshness that the coordinator, which follows tables for all
+	 * nodes, cannot give.
+	 */
 	readonly provingStore: RowStore;
-	/** Time in which a revoked key must count no more; undefined where only nodes in touch with the store owe that. */
+	/**
+	 * Time in milliseconds within which a revoked key must be rejected; undefined if only nodes
+	 * connected to the store must do so.
+	 */
 	readonly keyRevocationMs: number | undefined;
 	readonly restores: RestoreStatus;
 };
 
-/** Follows the configuration in the store and answers who serves a database. */
+/** Follows the configuration in the store, and looks up which service a database is routed to. */
 export class RouteCatalog implements TableSubscriber, Disposable {
-	/** Fires with the version that has come into force. */
+	/** Fires with the version that has taken effect. */
 	readonly onChange: Event<number>;
 
 	private readonly _services: CatalogServices;
@@ -45,7 +51,7 @@
 	private _refresh: Promise<unknown> | undefined;
 	private _renewal: Promise<void> | undefined;
 	private _renewedAtMs = Number.NEGATIVE_INFINITY;
-	/** Number of the configuration that the store holds, in force or older. */
+	/** Version of the configuration that the store holds: the one in force or, after a restore, an older one. */
 	private _storedVersion = nothing.version;
 
 	constructor(services: CatalogServices, formats: RowFormats) {
@@ -59,12 +65,12 @@
 		});
 	}
 
-	/** Version in force; negative before the first. */
+	/** The version in force; negative before the first one. */
 	get version(): number {
 		return this._table.version;
 	}
 
-	/** Time after which an idle transaction is rolled back. */
+	/** Time in milliseconds after which an idle transaction is rolled back. */
 	get transactionIdleMs(): number {
 		return this._table.transactionIdleMs;
 	}
@@ -74,54 +80,54 @@
 		return this._table.version >= 0;
 	}
 
-	/** Who may ask; undefined where callers need no key. */
+	/** The organisations whose keys are accepted; undefined if callers need no key. */
 	get organisations(): Organisations | undefined {
 		return this._organisations;
 	}
 
-	/** What is followed, for other nodes. */
+	/** The followed table, for serving its changes to other nodes. */
 	get followed(): FollowedTable {
 		return this._follower;
 	}
 
-	/** Whether the store could not be asked the last time. */
+	/** Whether the last request to the store failed. */
 	get isStoreUnavailable(): boolean {
 		return this._follower.isUnavailable;
 	}
 
-	/** Looks whether the store answers. */
+	/** Probes whether the store responds. */
 	async probeStore(): Promise<void> {
 		await this._follower.probe();
 	}
 
-	/** Names of the services that routes lead to. */
+	/** Returns the names of the services that routes lead to. */
 	serviceNames(): readonly string[] {
 		return [...new Set(this._table.routes.map(({service}) => service))];
 	}
 
-	/** Connections that each endpoint of a service accepts from all nodes together; infinite where that is not known. */
+	/** Returns how many connections each endpoint of a service accepts from all nodes together; infinite if unknown. */
 	connectionLimit(service: string): number {
 		return this._table.connectionLimits.get(service) ?? Number.POSITIVE_INFINITY;
 	}
 
-	/** The digest by which a key is known. */
+	/** Returns the digest that identifies a key. */
 	digestOf(key: string): string {
 		return this._formats.digestOf(key);
 	}
 
-	/** Starts to follow; the task ends when the catalog is disposed. */
+	/** Starts to follow the configuration, until the catalog is disposed. */
 	start(): void {
 		void this._follower.run();
 	}
 
-	/** The route of a database in the version in force. */
+	/** Returns the route of a database in the version in force; undefined if there is none. */
 	route(database: string): Route | undefined {
 		return this._byDatabase.get(database);
 	}
 
 	/**
-	 * The route of a database, looked for in a newer version too when this node does not know
-	 * it and has not heard from the store a moment ago.
+	 * Returns the route of a database. If this node does not know the database and its configuration
+	 * may be stale, reads the newest version first.
 	 */
 	async findRoute(database: string): Promise<Route | undefined> {
 		const known = this.route(database);
@@ -132,7 +138,10 @@
 		return this.route(database);
 	}
 
-	/** The organisation that holds a key, looked for in a newer version too when this node does not know it. */
+	/**
+	 * Returns the organisation that holds a key. If this node does not know the key and its
+	 * configuration may be stale, reads the newest version first.
+	 */
 	async findOrganisation(keyDigest: string): Promise<Organisation | undefined> {
 		const known = this._organisations?.holder(keyDigest);
 		if (known === undefined) {
@@ -143,9 +152,10 @@
 	}
 
 	/**
-	 * Whether no version that revokes a key can have been acknowledged so long ago that it must
-	 * be known here. Asks the store itself where the proof is about to become too old, and waits for
-	 * its answer only where it is.
+	 * Returns whether this node's keys are current, that is, whether no version that it does not know
+	 * can have revoked a key so long ago that the key must be rejected by now. Renews the proof at
+	 * the store itself when the proof is about to expire, and waits for the response only when the
+	 * proof has expired.
 	 */
 	async areKeysCurrent(): Promise<boolean> {
 		const {clock, options, keyRevocationMs} = this._services;
@@ -185,7 +195,7 @@
 		this.adopt(table);
 	}
 
-	/** Puts a version in force unless it is older than the one in force. */
+	/** Puts a version in force if it is newer than the current one. */
 	adopt(table: RouteTable): void {
 		if (table.version <= this._table.version) {
 			return;
@@ -208,7 +218,7 @@
 		return this._services.keyRevocationMs !== undefined && this._organisations !== undefined;
 	}
 
-	/** Reads the newest version, unless what is known was current a moment ago. */
+	/** Reads the newest version, unless the known one was proved current within `freshEnoughMs`. */
 	private async _refreshIfStale(): Promise<void> {
 		const {clock, options} = this._services;
 		if (this.isLoaded && this._follower.ageMs < options.freshEnoughMs) {
@@ -221,7 +231,10 @@
 		await withTimeout(clock, this._refresh, options.unknownDatabaseWaitMs);
 	}
 
-	/** The question that is on its way, or a new one; undefined right after one that failed. */
+	/**
+	 * Returns the renewal that is in flight, or starts one; undefined if the last one began less than
+	 * `renewProofEveryMs` ago.
+	 */
 	private _renewProof(): Promise<void> | undefined {
 		const {clock, options, provingStore} = this._services;
 		if (!this._renewal && clock.nowMs() - this._renewedAtMs >= options.renewProofEveryMs) {
--- a/src/common/catalog/table-follower.test.ts
+++ b/src/common/catalog/table-follower.test.ts
@@ -9,7 +9,7 @@
 const table = 'things';
 const silentLog: Log = {
 	event() {
-		// Not looked at.
+		// Not checked.
 	},
 };
 
@@ -41,7 +41,7 @@
 		follower.dispose();
 	});
 
-	it('reads the table, then each change', async () => {
+	it('reads the whole table, then each change', async () => {
 		const {store, seen} = follow();
 		store.put(table, 'a', '1');
 		void follower.run();
@@ -53,14 +53,14 @@
 		expect(seen).toEqual(['a=1', 'a=2', 'a=gone']);
 	});
 
-	it('waits for changes instead of asking again and again', async () => {
+	it('waits for changes by long polls instead of polling continuously', async () => {
 		const {store} = follow();
 		void follower.run();
 		await clock.advance(20_000);
 		expect(store.calls <= 12).toEqual(true);
 	});
 
-	it('reads the table anew when the history is gone', async () => {
+	it('reads the whole table again when the history is gone', async () => {
 		const {store, seen} = follow();
 		void follower.run();
 		await clock.advance(10);
@@ -73,7 +73,7 @@
 		expect(seen).toEqual(['a=1']);
 	});
 
-	it('pauses before each read of a store that keeps no history', async () => {
+	it('backs off before each read of a store that keeps no history', async () => {
 		const {store} = follow();
 		store.keepsNoHistory = true;
 		void follower.run();
@@ -81,7 +81,7 @@
 		expect(store.calls <= 45).toEqual(true);
 	});
 
-	it('finds by a probe, long before its question is over, that the store fell silent', async () => {
+	it('detects by a probe that the store is silent, long before its long poll times out', async () => {
 		const {store} = follow();
 		void follower.run();
 		await clock.advance(10);
@@ -91,7 +91,7 @@
 		expect(follower.isUnavailable).toEqual(true);
 	});
 
-	it('counts a store that answers a probe as there', async () => {
+	it('considers a store that responds to a probe available', async () => {
 		follow();
 		void follower.run();
 		await clock.advance(10);
@@ -100,7 +100,7 @@
 		expect(follower.isUnavailable).toEqual(false);
 	});
 
-	it('is up to date soon after the store is back', async () => {
+	it('is up to date soon after the store recovers', async () => {
 		const {store, seen} = follow();
 		void follower.run();
 		store.isUnavailable = true;
@@ -111,7 +111,7 @@
 		expect(seen).toEqual(['a=1']);
 	});
 
-	it('keeps a bounded number of removed rows, and has nodes that ask for earlier ones read anew', async () => {
+	it('retains a bounded number of removed rows, and has nodes that request earlier ones read the whole table', async () => {
 		const {store} = follow();
 		store.put(table, 'a', '1');
 		void follower.run();
@@ -132,8 +132,8 @@
 		expect(whole?.rows.map(({key}) => key)).toEqual(['a']);
 	});
 
-	it('counts what it knows as current from its question on, not from the answer', async () => {
-		// An answer may be held up on its way: by then something newer may exist.
+	it('dates a proof of freshness from its request, not from the response', async () => {
+		// A response may be delayed in transit, and newer rows may exist by the time it arrives.
 		const {store} = follow();
 		void follower.run();
 		await clock.advance(10);
@@ -146,7 +146,7 @@
 		expect(follower.ageMs >= catalogDefaults.followWaitMs - 20).toEqual(true);
 	});
 
-	it('tells others how old its own knowledge is', async () => {
+	it('tells other nodes the age of its own proof', async () => {
 		const {store} = follow();
 		void follower.run();
 		await clock.advance(10);
@@ -157,7 +157,7 @@
 		expect(provedAfterMs !== undefined && provedAfterMs <= 0).toEqual(true);
 	});
 
-	it('is current again after a question that does not wait, and keeps nothing back of what is new', async () => {
+	it('is proved current by a request that does not wait, and still delivers later changes', async () => {
 		const {store, seen} = follow();
 		void follower.run();
 		await clock.advance(1500);
@@ -170,16 +170,17 @@
 		expect(seen).toEqual(['a=1']);
 	});
 
-	it('goes on telling others what it knows while its history is gone', async () => {
-		// A store that dropped its history six times in 14 s had each of 64 nodes read it: their askers
-		// said that they followed nothing until they had read the table themselves.
+	it('keeps serving its rows to other nodes while the history is gone', async () => {
+		// Guards against a load peak on a store that drops its history: after six drops in 14 s, each
+		// of 64 nodes read the store, because their coordinators reported that they followed nothing
+		// until they had read the table themselves.
 		const store = new MemoryRowStore(clock);
 		const nobody = {
 			applySnapshot() {
-				// Not looked at.
+				// Not checked.
 			},
 			applyRow() {
-				// Not looked at.
+				// Not checked.
 			},
 		};
 		follower = new TableFollower(table, nobody, {
@@ -191,7 +192,7 @@
 		await clock.advance(10);
 		store.put('others', 'b', '1');
 		store.dropHistory();
-		// The next question comes after the pause, and the read a moment later.
+		// The next request follows after the pause, and the read of the whole table shortly after it.
 		await clock.advance(210);
 		const told = await follower.changes(0, 0);
 		expect(told?.rows.map(({value}) => value)).toEqual(['1']);
--- a/src/common/catalog/table-follower.ts
+++ b/src/common/catalog/table-follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows one table of the store: a read of the whole, then its changes.
+ * Follows one table of the store: reads the whole table once, then its changes through long polls.
  */
 import {waitForEvent, WakeableSleep, withTimeout} from '../lifecycle/timing.js';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -12,38 +12,38 @@
 import {momentAgeMs, momentAfter, currentMoment} from '../lifecycle/moment.js';
 import type {CatalogOptions} from './constants.js';
 
-/** What a follower works with. */
+/** Dependencies of a follower. */
 export type FollowerServices = {
 	readonly clock: Clock;
 	readonly log: Log;
 	readonly store: RowStore;
 	readonly options: CatalogOptions;
-	/** Pause after changes were taken in, before more are asked for; none by default. */
+	/** Returns the pause in milliseconds after changes were applied, before more are requested; no pause by default. */
 	readonly paceMs?: () => number;
 };
 
-/** What differs between the tables that are followed. */
+/** Options that differ between the followed tables. */
 export type FollowedTableOptions = {
-	/** Longest wait of one question for changes, in milliseconds. */
+	/** Returns the maximum wait of one long poll, in milliseconds. */
 	readonly waitMs?: () => number;
-	/** The value of a row as this node keeps it and tells it to others. */
+	/** Returns a row's value in the form in which this node stores it and serves it to other nodes. */
 	readonly redactValue?: (value: string) => string;
-	/** Whether the store's word that it holds nothing newer is a proof at the moment; it always is by default. */
+	/** Returns whether a response without newer rows currently proves that the table is up to date; always by default. */
 	readonly canProveFreshness?: () => boolean;
 };
 
-/** Receives what the store says of a table. */
+/** Receives the rows of a followed table. */
 export type TableSubscriber = {
-	/** Every row of the table as of one moment. */
+	/** Called with every row of the table as of one moment. */
 	applySnapshot(rows: readonly StoredRow[]): void;
-	/** A row that changed or was removed. Rows of older versions than known ones never arrive. */
+	/** Called with a row that changed or was removed; never with an older version than the known one. */
 	applyRow(row: StoredRow): void;
 };
 
-/** A table that this node follows, as it tells other nodes of it. */
+/** The part of a followed table that serves its changes to other nodes. */
 export type FollowedTable = Pick<TableFollower, 'changes'>;
 
-/** One task that keeps a reader up to date until it is disposed. */
+/** Keeps a subscriber up to date until the follower is disposed. */
 export class TableFollower implements Disposable {
 	private readonly _services: FollowerServices;
 	private readonly _table: string;
@@ -53,16 +53,19 @@
 	private readonly _redactValue: (value: string) => string;
 	private readonly _canProveFreshness: () => boolean;
 	private readonly _onChange = new Emitter<void>();
-	/** Rows as they were last seen, the latest of those that were removed included. */
+	/** Latest version of each row, including the most recently removed ones. */
 	private readonly _rows = new Map<string, StoredRow>();
-	/** Keys of removed rows among them, the earliest first. */
+	/** Keys of the removed rows among them, earliest removal first. */
 	private readonly _removed = new Set<string>();
-	/** Version since which every change is among the rows. */
+	/** Version after which every change is contained in the rows. */
 	private _completeSince = 0;
 	private _version: number | undefined;
-	/** Whether changes since what is known are lost, so that the table is to be read anew. */
+	/**
+	 * Whether the store no longer has all changes since the known version, so that the whole table
+	 * must be read again.
+	 */
 	private _isHistoryGone = false;
-	/** When nothing newer was known to the store. */
+	/** When the known rows were last proved to be current. */
 	private _proved: Moment | undefined;
 	private _isUnavailable = false;
 	private _recoveredAtMs = Number.NEGATIVE_INFINITY;
@@ -79,24 +82,27 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** Time since the store last said that nothing newer is known to it; infinite before it did. */
+	/** Time in milliseconds since the known rows were last proved to be current; infinite before the first proof. */
 	get ageMs(): number {
 		return this._proved ? momentAgeMs(this._proved, this._services.clock) : Number.POSITIVE_INFINITY;
 	}
 
-	/** Whether the table could not be followed at the last try. */
+	/** Whether the last request for the table failed. */
 	get isUnavailable(): boolean {
 		return this._isUnavailable;
 	}
 
-	/** Time since the table could be followed again; infinite where it always could. */
+	/**
+	 * Time in milliseconds since the table could be followed again after a failure or a restore;
+	 * infinite without one.
+	 */
 	get recoveredForMs(): number {
 		return this._services.clock.nowMs() - this._recoveredAtMs;
 	}
 
 	/**
-	 * Changes after a version, for another node; waits a time for one. Undefined where the table
-	 * is not followed at the moment.
+	 * Returns the changes after a version, for another node, waiting up to `waitMs` for the first
+	 * one; undefined while the table cannot be followed.
 	 */
 	async changes(afterVersion: number, waitMs: number): Promise<StoredRows | undefined> {
 		const arrivedAtMs = this._services.clock.nowMs();
@@ -119,13 +125,13 @@
 		};
 	}
 
-	/** Follows the table until disposed. */
+	/** Follows the table until the follower is disposed. */
 	async run(): Promise<void> {
 		const {options} = this._services;
 		let {retryMs} = options;
 		while (!this._isDisposed) {
 			const fault = this._version === undefined || this._isHistoryGone ? await this.refresh() : await this._follow(this._version);
-			// A store that drops its history again and again is not read without a pause.
+			// Without the backoff, a store that repeatedly drops its history would be read continuously.
 			if (fault !== undefined || this._isHistoryGone) {
 				await this._sleep.wait(retryMs);
 				retryMs = Math.min(retryMs * 2, options.longestRetryMs);
@@ -136,8 +142,8 @@
 	}
 
 	/**
-	 * Looks whether the store answers at all: a question for changes that waits says so only
-	 * after its time, 3 s later at the worst.
+	 * Probes whether the store responds at all: a pending long poll would show a silent store only
+	 * after its timeout, up to 3 s later.
 	 */
 	async probe(): Promise<void> {
 		const {clock, store, options} = this._services;
@@ -149,13 +155,13 @@
 		const answer = await withTimeout(clock, store.read(this._table, ''), options.probeTimeoutMs);
 		this._isProbing = false;
 		if (answer === undefined) {
-			this._noteFault({kind: 'unavailable', detail: `no answer to a probe within ${options.probeTimeoutMs} ms`});
+			this._noteFault({kind: 'unavailable', detail: `no response to a probe within ${options.probeTimeoutMs} ms`});
 		} else if (answer.isLeft()) {
 			this._noteFault(answer.extract());
 		}
 	}
 
-	/** Reads the whole table now; resolves with what went wrong, if anything did. */
+	/** Reads the whole table now, and resolves to the fault if the read failed. */
 	async refresh(): Promise<PlatformFault | undefined> {
 		const {clock, store} = this._services;
 		const asked = currentMoment(clock);
@@ -165,7 +171,7 @@
 		}
 
 		const {rows, version, provedAfterMs} = result.unsafeCoerce();
-		// What was known before an answer that was held up on its way is newer: it proves nothing.
+		// A response that was delayed in transit may be older than the known rows, and then proves nothing.
 		if (this._applySnapshot(rows, version)) {
 			this._noteAnswer(asked, provedAfterMs);
 		}
@@ -174,8 +180,8 @@
 	}
 
 	/**
-	 * Asks a store for changes without a wait, so that what is known counts as current again. Nothing
-	 * of the table's state depends on whether it answers.
+	 * Requests changes from a store without waiting for one, so that the known rows are proved
+	 * current again. The table's availability does not depend on the response.
 	 */
 	async renewProof(store: RowStore): Promise<void> {
 		const afterVersion = this._version;
@@ -186,7 +192,7 @@
 		const asked = currentMoment(this._services.clock);
 		const result = await store.follow(this._table, afterVersion, 0);
 		result.ifRight(answer => {
-			// A table that is to be read anew meanwhile must not pass for complete.
+			// A table that must be read again by now must not be treated as complete.
 			if (!answer.isHistoryGone && !this._isHistoryGone) {
 				this._applyChanges(answer, asked);
 			}
@@ -212,7 +218,8 @@
 
 		const answer = result.unsafeCoerce();
 		if (answer.isHistoryGone) {
-			// What is known stays known meanwhile: else every node that is told of it would read the store itself.
+			// The known rows stay available in the meantime; otherwise every node that follows
+			// through this one would read the store itself.
 			this._isHistoryGone = true;
 			return undefined;
 		}
@@ -228,7 +235,7 @@
 		return undefined;
 	}
 
-	/** The moment counts only once the changes are known here. */
+	/** Applies changes, and only then records the proof of freshness, dated by the request. */
 	private _applyChanges({rows, version, provedAfterMs}: StoredRows, asked: Moment): void {
 		for (const row of rows) {
 			this._applyChange(row);
@@ -242,7 +249,7 @@
 		}
 	}
 
-	/** Resolves to whether the rows are at least as new as what is known. */
+	/** Applies a read of the whole table, unless it is older than the known rows, and returns whether it was applied. */
 	private _applySnapshot(found: readonly StoredRow[], version: number): boolean {
 		const known = this._version;
 		if (this._isUnavailable) {
@@ -262,7 +269,7 @@
 		}
 
 		if (eraOf(version) > eraOf(known ?? version)) {
-			// Whoever writes there has to do so again.
+			// Writers of the table have to write their rows again after a restore.
 			this._noteRecovery();
 		}
 
@@ -286,7 +293,7 @@
 	}
 
 	private _applyChange(found: StoredRow): void {
-		// What is not among the rows was absent, or removed, at the version since which they are complete.
+		// A key that is not among the rows was absent or removed at the version since which the rows are complete.
 		if (found.version <= (this._rows.get(found.key)?.version ?? this._completeSince)) {
 			return;
 		}
@@ -302,7 +309,10 @@
 		this._subscriber.applyRow(row);
 	}
 
-	/** Drops the earliest removals beyond the bound: every change since the last of them is still there. */
+	/**
+	 * Drops the earliest removals beyond the bound, and raises the version since which the rows are
+	 * complete to the last dropped one.
+	 */
 	private _dropRemovals(): void {
 		for (const key of this._removed) {
 			if (this._removed.size <= this._services.options.keptRemovals) {
@@ -317,7 +327,7 @@
 
 	private _noteAnswer(asked: Moment, provedAfterMs = 0): void {
 		const proved = momentAfter(asked, provedAfterMs);
-		// An answer that was held up on its way takes nothing back.
+		// A response that was delayed in transit must not make the proof older.
 		if (this._canProveFreshness() && (!this._proved || proved.steadyMs > this._proved.steadyMs)) {
 			this._proved = proved;
 		}
