--- a/src/common/store/restore-watch.test.ts
+++ b/src/common/store/restore-watch.test.ts
@@ -27,13 +27,13 @@
 		});
 	});
 
-	it('takes a store that never came back for settled', () => {
+	it('considers a store that was never restored as settled', () => {
 		watch.note(storeVersion(0, 5));
 		watch.note(storeVersion(0, 9));
 		expect([watch.isSettled, watch.mayMissRegistrations, fired]).toEqual([true, false, 0]);
 	});
 
-	it('tells of each restore once, and takes nothing back for an answer that was held up', () => {
+	it('reports each restore once, and ignores the older era of a delayed response', () => {
 		watch.note(storeVersion(0, 5));
 		watch.note(storeVersion(1, 2));
 		watch.note(storeVersion(0, 6));
@@ -41,7 +41,7 @@
 		expect([watch.era, fired, log.names]).toEqual([1, 1, ['storeRestored']]);
 	});
 
-	it('counts a second restore from its own moment', async () => {
+	it('measures a second restore from its own time', async () => {
 		watch.note(storeVersion(0, 5));
 		watch.note(storeVersion(1, 2));
 		await clock.advance(restoreDefaults.settleMs - 1);
@@ -52,7 +52,7 @@
 		expect(watch.isSettled).toEqual(true);
 	});
 
-	it('takes a restore before the first answer for one of this moment until it is told the time', () => {
+	it('assumes that a restore before the first response just happened until its recorded time is read', () => {
 		watch.note(storeVersion(3, 7));
 		expect([watch.isSettled, fired]).toEqual([false, 1]);
 		watch.applyRecord(JSON.stringify({era: 2, atMs: 0}), 1_000_000);
@@ -61,7 +61,7 @@
 		expect([watch.isSettled, watch.mayMissRegistrations]).toEqual([true, false]);
 	});
 
-	it('never takes a record for older than its own clock allows', () => {
+	it('ignores a record whose time lies in the future', () => {
 		watch.note(storeVersion(1, 7));
 		watch.applyRecord(JSON.stringify({era: 1, atMs: 9000}), 100);
 		expect(watch.isSettled).toEqual(false);
--- a/src/common/store/restore-watch.ts
+++ b/src/common/store/restore-watch.ts
@@ -1,8 +1,9 @@
 /**
- * Knows when the store last came back from an older copy.
+ * Tracks when the store was last restored from an older snapshot.
  *
- * A node that saw it counts from then on. One that started later cannot tell, so that the others
- * write the time down; until it has read that, it takes the restore for one of this moment.
+ * A node that observed the restore measures from then on. A node that started later cannot tell when
+ * it happened, so the other nodes record the time; until the node has read that record, it assumes
+ * that the restore has just happened.
  */
 import {z} from 'zod';
 import {parseJsonWith} from '../configuration/problems.js';
@@ -15,7 +16,7 @@
 
 const recordSchema = z.object({
 	era: z.number().int().nonnegative(),
-	/** On the store's clock. */
+	/** Time of the restore on the store's clock, in milliseconds. */
 	atMs: z.number(),
 });
 
@@ -26,18 +27,21 @@
 	readonly options: RestoreOptions;
 };
 
-/** What others need to know of restores. */
+/** The part of the watch that other modules read. */
 export type RestoreStatus = Pick<RestoreWatch, 'agoMs' | 'isSettled' | 'mayMissRegistrations' | 'onRestore' | 'options'>;
 
-/** Takes in the versions of all that the store says. */
+/** Observes the version of every response of the store. */
 export class RestoreWatch implements Disposable {
-	/** Fires when the store has come back from an older copy, or had before this node's first question. */
+	/**
+	 * Fires when the store was restored from an older snapshot, or had been restored before this
+	 * node's first request.
+	 */
 	readonly onRestore: Event<void>;
 	readonly options: RestoreOptions;
 
 	private readonly _services: RestoreServices;
 	private readonly _onRestore = new Emitter<void>();
-	/** Newest version that was seen; undefined before the store's first answer. */
+	/** Newest observed version; undefined before the store's first response. */
 	private _newest: number | undefined;
 	private _restoredAtMs = Number.NEGATIVE_INFINITY;
 
@@ -47,27 +51,27 @@
 		this._services = services;
 	}
 
-	/** Era of the newest version that was seen. */
+	/** Era of the newest observed version. */
 	get era(): number {
 		return eraOf(this._newest ?? 0);
 	}
 
-	/** Time since the store came back, or since this node heard of it; infinite where it never did. */
+	/** Time in milliseconds since the last restore, or since this node learned of it; infinite if there was none. */
 	get agoMs(): number {
 		return this._services.clock.nowMs() - this._restoredAtMs;
 	}
 
-	/** Whether what the store says can be relied on: what others lost by a restore is written again. */
+	/** Whether the store's content can be relied on, because what was lost by the last restore has been written again. */
 	get isSettled(): boolean {
 		return this.agoMs >= this.options.settleMs;
 	}
 
-	/** Whether nodes may be at work that the store does not name. */
+	/** Whether nodes may be running whose registrations the store has lost. */
 	get mayMissRegistrations(): boolean {
 		return this.agoMs < this.options.unregisteredMs;
 	}
 
-	/** Takes in the version of an answer. */
+	/** Observes the version of a response. */
 	note(version: number): void {
 		const {clock, log, metrics} = this._services;
 		const before = this._newest;
@@ -87,7 +91,7 @@
 		this._onRestore.fire();
 	}
 
-	/** Takes in when the restore of an era was noticed first, as another node wrote it down. */
+	/** Applies the time of a restore that another node recorded; ignored if it is of another era. */
 	applyRecord(value: string | undefined, storeNowMs: number): void {
 		const record = parseRecord(value);
 		if (record?.era === this.era) {
@@ -95,12 +99,15 @@
 		}
 	}
 
-	/** Whether a row holds the time of the newest restore. */
+	/** Returns whether a row's value records the time of the newest restore. */
 	isRecordedIn(value: string | undefined): boolean {
 		return parseRecord(value)?.era === this.era;
 	}
 
-	/** The row that says when the newest restore was, at a time on the store's clock. */
+	/**
+	 * Returns the row's value that records the time of the newest restore, given the current time on
+	 * the store's clock in milliseconds.
+	 */
 	recordAt(storeNowMs: number): string {
 		return JSON.stringify({era: this.era, atMs: storeNowMs - this.agoMs});
 	}
--- a/src/common/store/store-version.ts
+++ b/src/common/store/store-version.ts
@@ -1,29 +1,29 @@
 /**
- * Versions of the platform's store. Its counter falls back when the store comes back from an
- * older copy, and counts the same numbers again; how often it has come back is its era. A
- * version is the pair of both in one number, so that versions of two eras compare as they
- * should, and none is ever given out twice.
+ * Versions of the platform's store. The store's own counter falls back when the store is restored
+ * from an older snapshot, and then repeats numbers. The number of restores is the store's era. A
+ * version combines era and counter in one number, so that versions of different eras compare
+ * correctly and no version is ever used twice.
  */
 
-/** Counters of one era; with 13 bits of eras above it a version is a safe integer. */
+/** Number of counters per era; with 13 bits for the era above it, a version is a safe integer. */
 const countersPerEra = 2 ** 40;
 
-/** The version at a counter of an era. */
+/** Returns the version of a counter in an era. */
 export function storeVersion(era: number, counter: number): number {
 	return (era * countersPerEra) + counter;
 }
 
-/** How often the store had come back from a copy at a version. */
+/** Returns the era of a version, that is, how often the store had been restored. */
 export function eraOf(version: number): number {
 	return Math.floor(version / countersPerEra);
 }
 
-/** The store's own number of a version. */
+/** Returns the store's own counter of a version. */
 export function counterOf(version: number): number {
 	return version % countersPerEra;
 }
 
-/** Both parts, for logs. */
+/** Returns both parts of a version as log fields; empty if the version is undefined. */
 export function versionFields(version: number | undefined): {readonly era?: number; readonly version?: number} {
 	return version === undefined ? {} : {era: eraOf(version), version: counterOf(version)};
 }
--- a/src/common/store/version-observing-store.ts
+++ b/src/common/store/version-observing-store.ts
@@ -1,5 +1,6 @@
 /**
- * The store, with each answer's version noted before anybody uses it.
+ * A store that reports each response's version to the restore watch before the caller receives the
+ * response.
  */
 import type {Either} from 'purify-ts';
 import type {
@@ -7,7 +8,7 @@
 } from '../services/services.js';
 import type {RestoreWatch} from './restore-watch.js';
 
-/** Passes calls on. */
+/** Forwards calls to another store and observes the versions of its responses. */
 export class VersionObservingStore implements RowStore {
 	private readonly _store: RowStore;
 	private readonly _restores: RestoreWatch;
