--- a/src/common/primacy/promotion-duty.ts
+++ b/src/common/primacy/promotion-duty.ts
@@ -118,7 +118,7 @@
 };
 
 /** Fault that is returned while the store's duties cannot be relied on after a restore. */
-const restoreNotSettled: PlatformFault = {kind: 'unavailable', detail: 'the store came back from an older copy a moment ago'};
+const restoreNotSettled: PlatformFault = {kind: 'unavailable', detail: 'the store was restored from an older snapshot and has not settled yet'};
 
 /** Delay before the row is reread after a write whose response was lost. */
 const rereadDelayMs = 50;
@@ -192,7 +192,7 @@
 
 			if (!record && version > 0) {
 				// An unreadable row may have named any term.
-				return Left({kind: 'invalid', detail: 'the row cannot be read'});
+				return Left({kind: 'invalid', detail: 'the row of the promotion duty is malformed'});
 			}
 
 			return Right({
@@ -296,7 +296,7 @@
 		});
 		const checkEra = (version: number): Either<DutyRefusal, number> => {
 			if (eraOf(version) !== era) {
-				return Left({reason: 'raced', detail: 'the store came back from an older copy meanwhile'});
+				return Left({reason: 'raced', detail: 'the store was restored from an older snapshot during the write'});
 			}
 
 			this._seen.set(service, record);
