--- a/src/common/catalog/constants.ts
+++ b/src/common/catalog/constants.ts
@@ -50,8 +50,9 @@
 	 */
 	returnGraceMs: 3000,
 	/**
-	 * Time for which an endpoint whose registration lapsed may still be alive: a promotion fences it
-	 * as well if it responds. Known partitions that hide an endpoint from the store last up to 6 s.
+	 * Time for which an endpoint is assumed to be possibly alive after its registration lapsed: a
+	 * promotion fences it as well if it responds. Known partitions that hide an endpoint from the
+	 * store last up to 6 s.
 	 */
 	lapsedForMs: 15_000,
 	/**
--- a/src/common/catalog/table-follower.test.ts
+++ b/src/common/catalog/table-follower.test.ts
@@ -20,17 +20,17 @@
 	function follow(): {store: MemoryRowStore; seen: string[]} {
 		const store = new MemoryRowStore(clock);
 		const seen: string[] = [];
-		const note = ({key, value}: StoredRow): void => {
+		const record = ({key, value}: StoredRow): void => {
 			seen.push(`${key}=${value ?? 'gone'}`);
 		};
 
 		follower = new TableFollower(table, {
 			applySnapshot(rows) {
 				for (const row of rows) {
-					note(row);
+					record(row);
 				}
 			},
-			applyRow: note,
+			applyRow: record,
 		}, {
 			clock, store, log: silentLog, options: catalogDefaults,
 		});
@@ -175,7 +175,7 @@
 		// of 64 nodes read the store, because their coordinators reported that they followed nothing
 		// until they had read the table themselves.
 		const store = new MemoryRowStore(clock);
-		const nobody = {
+		const idleSubscriber = {
 			applySnapshot() {
 				// Not checked.
 			},
@@ -183,7 +183,7 @@
 				// Not checked.
 			},
 		};
-		follower = new TableFollower(table, nobody, {
+		follower = new TableFollower(table, idleSubscriber, {
 			clock, store, log: silentLog, options: catalogDefaults, paceMs: () => 200,
 		});
 		void follower.run();
@@ -194,8 +194,8 @@
 		store.dropHistory();
 		// The next request follows after the pause, and the read of the whole table shortly after it.
 		await clock.advance(210);
-		const told = await follower.changes(0, 0);
-		expect(told?.rows.map(({value}) => value)).toEqual(['1']);
+		const served = await follower.changes(0, 0);
+		expect(served?.rows.map(({value}) => value)).toEqual(['1']);
 		store.put(table, 'a', '2');
 		await clock.advance(1000);
 		const later = await follower.changes(0, 0);
--- a/src/common/primacy/constants.ts
+++ b/src/common/primacy/constants.ts
@@ -89,7 +89,10 @@
 	dutyLeaseMs: 5000,
 	/** Minimum time between a promotion order and its effect; the platform specifies a few hundred milliseconds. */
 	promotionMinimumMs: 100,
-	/** Maximum time to wait for a promotion to take effect, which takes a few hundred milliseconds to about a second. */
+	/**
+	 * Maximum time to wait for a promotion to take effect, which takes some hundred milliseconds at
+	 * least and usually about a second.
+	 */
 	promotionTimeoutMs: 2500,
 	/** Time between two status requests that check whether a promotion has taken effect. */
 	promotionPollMs: 50,
--- a/src/common/primacy/duty-changes.test.ts
+++ b/src/common/primacy/duty-changes.test.ts
@@ -32,11 +32,11 @@
 	it('returns undefined if the store is unavailable or has dropped the history', async () => {
 		const {clock, store, changes} = make();
 		store.isUnavailable = true;
-		const away = await clock.advanceUntil(changes.unchangedSince(10));
+		const whileUnavailable = await clock.advanceUntil(changes.unchangedSince(10));
 		store.isUnavailable = false;
 		store.dropHistory();
 		store.put('other', 'row', 'x');
-		expect([away, await clock.advanceUntil(changes.unchangedSince(5))]).toEqual([undefined, undefined]);
+		expect([whileUnavailable, await clock.advanceUntil(changes.unchangedSince(5))]).toEqual([undefined, undefined]);
 	});
 
 	it('does not serve a caller from a request that was sent before its call', async () => {
--- a/src/common/primacy/endpoint-reports.test.ts
+++ b/src/common/primacy/endpoint-reports.test.ts
@@ -58,9 +58,9 @@
 
 	it('is not cleared by a check that began before another restart', () => {
 		reports.forget('i-1');
-		const returns = reports.returnCount('i-1');
+		const returnCount = reports.returnCount('i-1');
 		reports.forget('i-1');
-		reports.clearMissedFence('i-1', returns);
+		reports.clearMissedFence('i-1', returnCount);
 		expect(reports.mayProve('i-1')).toEqual(false);
 	});
 });
--- a/src/common/primacy/primary-tracker.ts
+++ b/src/common/primacy/primary-tracker.ts
@@ -445,7 +445,7 @@
 	/**
 	 * Called when no replica proved the primary's term. While the primary responds and no replica
 	 * proves its term, checks of the store keep the lease valid. Without this, after a promotion
-	 * whose only other replica received nothing, a group refused all statements until the old primary
+	 * whose remaining replica received nothing, a group refused all statements until the old primary
 	 * was back (2.7 s in one case).
 	 */
 	noteUnproved(): void {
--- a/src/common/primacy/types.ts
+++ b/src/common/primacy/types.ts
@@ -37,7 +37,7 @@
 	readonly answered: number;
 	/** Number of nodes that should have responded. */
 	readonly asked: number;
-	/** Nodes that heard from the primary within `opinionFreshMs`. */
+	/** Nodes that heard from the primary recently. */
 	readonly heard: readonly PeerNode[];
 	/** Primaries of later terms that these nodes know. */
 	readonly later: readonly Primary[];
