--- a/src/common/catalog/table-follower.test.ts
+++ b/src/common/catalog/table-follower.test.ts
@@ -20,17 +20,17 @@
 	function follow(): {store: MemoryRowStore; seen: string[]} {
 		const store = new MemoryRowStore(clock);
 		const seen: string[] = [];
-		const record = ({key, value}: StoredRow): void => {
+		const note = ({key, value}: StoredRow): void => {
 			seen.push(`${key}=${value ?? 'gone'}`);
 		};
 
 		follower = new TableFollower(table, {
 			applySnapshot(rows) {
 				for (const row of rows) {
-					record(row);
+					note(row);
 				}
 			},
-			applyRow: record,
+			applyRow: note,
 		}, {
 			clock, store, log: silentLog, options: catalogDefaults,
 		});
