--- a/src/common/primacy/failover.ts
+++ b/src/common/primacy/failover.ts
@@ -1,6 +1,6 @@
 /**
- * Decides when a group's primary is replaced: this node has lost it, no other node hears
- * it, and it is this node's turn.
+ * Decides when a group's primary is replaced: this node has lost contact with it, no other node hears
+ * from it, and it is this node's turn by rank.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -8,29 +8,30 @@
 import {Promoter} from './promoter.js';
 import type {GroupServices, PromotionReason, Primary} from './types.js';
 
-/** Time between two looks at a primary that something speaks against. */
-const lookEveryMs = 50;
+/** Time between two checks of a group whose primary shows any sign of trouble. */
+const checkIntervalMs = 50;
 
 /**
- * The same where nothing does. Whatever may, wakes the watch at once, so that only what a look
- * would find by time alone is found later: an asker of 14 groups looked 280 times a second.
+ * Time between two checks of a healthy group. Every event that may change its health wakes the loop
+ * at once, so only what becomes true by the passing of time is detected later. With the short
+ * interval, a coordinator of 14 groups made 280 checks per second.
  */
-const calmLookEveryMs = 500;
+const quietCheckIntervalMs = 500;
 
-/** Losses that the endpoints themselves showed, or the store, so that other nodes need not be asked. */
-const evident: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
+/** Reasons that the endpoints or the store themselves have shown, so that other nodes need not confirm them. */
+const lossesWithoutPeerCheck: ReadonlySet<PromotionReason> = new Set(['draining', 'vacant', 'emptied', 'ordered', 'abandoned']);
 
-/** Watches over one group. */
+/** Watches one group and has its primary replaced when it is lost. */
 export class Failover implements Disposable {
 	private readonly _services: GroupServices;
 	private readonly _group: PrimaryTracker;
 	private readonly _promoter: Promoter;
-	/** Waits within a replacement, which nothing cuts short. */
+	/** Waits within a replacement; they are not cut short by events. */
 	private readonly _sleep: WakeableSleep;
-	/** The wait between two looks. */
-	private readonly _pause: WakeableSleep;
-	private readonly _wakes: Disposable;
-	private _isCalm = false;
+	/** Wait between two checks. */
+	private readonly _checkSleep: WakeableSleep;
+	private readonly _wakeListener: Disposable;
+	private _isQuiet = false;
 	private _fencesSinceMs = new Map<string, number>();
 	private _isDisposed = false;
 
@@ -39,38 +40,38 @@
 		this._group = group;
 		this._promoter = new Promoter(group, services);
 		this._sleep = new WakeableSleep(services.clock);
-		this._pause = new WakeableSleep(services.clock);
-		this._wakes = group.onWake(() => {
-			if (this._isCalm) {
-				this._isCalm = false;
-				this._pause.wake();
+		this._checkSleep = new WakeableSleep(services.clock);
+		this._wakeListener = group.onWake(() => {
+			if (this._isQuiet) {
+				this._isQuiet = false;
+				this._checkSleep.wake();
 			}
 		});
 	}
 
-	/** Starts to watch. */
+	/** Starts the checks, which run until disposal. */
 	start(): void {
 		void this._run();
 	}
 
 	dispose(): void {
 		this._isDisposed = true;
-		this._wakes.dispose();
+		this._wakeListener.dispose();
 		this._sleep.dispose();
-		this._pause.dispose();
+		this._checkSleep.dispose();
 	}
 
 	private async _run(): Promise<void> {
 		while (!this._isDisposed) {
-			this._isCalm = !this._group.mayPollEndpoints || !(this._group.isUnhealthy || this._group.promotionReason !== undefined);
-			await this._pause.wait(this._isCalm ? calmLookEveryMs : lookEveryMs);
+			this._isQuiet = !this._group.mayPollEndpoints || !(this._group.isUnhealthy || this._group.promotionReason !== undefined);
+			await this._checkSleep.wait(this._isQuiet ? quietCheckIntervalMs : checkIntervalMs);
 			if (!this._isDisposed && this._group.mayPollEndpoints) {
-				await this._look();
+				await this._check();
 			}
 		}
 	}
 
-	private async _look(): Promise<void> {
+	private async _check(): Promise<void> {
 		const reason = this._group.promotionReason;
 		if (reason) {
 			await this._replace(reason);
@@ -88,7 +89,7 @@
 			return;
 		}
 
-		if (primary && !evident.has(reason) && !await this._isLostEverywhere(primary, reason)) {
+		if (primary && !lossesWithoutPeerCheck.has(reason) && !await this._isLostEverywhere(primary, reason)) {
 			await this._sleep.wait(options.promotionRetryMs);
 			return;
 		}
@@ -101,7 +102,7 @@
 		this._fencesSinceMs = new Map([...this._fencesSinceMs.keys()].map(id => [id, clock.nowMs()]));
 	}
 
-	/** Whether no other node hears the primary, and most of them could be asked. */
+	/** Whether no other node hears from the primary, and a majority of them could be asked. */
 	private async _isLostEverywhere(primary: Primary, reason: PromotionReason): Promise<boolean> {
 		const {peers, log} = this._services;
 		const {service} = this._group;
@@ -111,8 +112,8 @@
 		}
 
 		const {answered, asked} = opinions;
-		const areEnoughAsked = answered * 2 > asked || this._group.silentForMs >= this._services.options.silentAloneAfterMs;
-		const isLost = opinions.heard.length === 0 && opinions.later.length === 0 && areEnoughAsked;
+		const hasEnoughAnswers = answered * 2 > asked || this._group.silentForMs >= this._services.options.silentAloneAfterMs;
+		const isLost = opinions.heard.length === 0 && opinions.later.length === 0 && hasEnoughAnswers;
 		if (!isLost) {
 			log.event('promotionDeferred', {
 				group: service,
@@ -128,7 +129,7 @@
 		return isLost;
 	}
 
-	/** A node that stopped half-way left replicas that receive nothing. */
+	/** Removes fences left by a promoter that stopped half-way; a fenced replica receives nothing. */
 	private async _removeOrphanedFences(): Promise<void> {
 		const {clock, pools, options, log} = this._services;
 		for (const endpoint of this._group.endpoints()) {
--- a/src/common/primacy/write-receipts.ts
+++ b/src/common/primacy/write-receipts.ts
@@ -1,5 +1,5 @@
 /**
- * Waits until a replica has received a write, so that it outlasts its primary.
+ * Waits until a replica has received a write, so that the write survives the loss of its primary.
  */
 import type {ReportedStatus} from '../pools/types.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -8,25 +8,25 @@
 import type {Clock} from '../services/services.js';
 import type {PrimacyOptions} from './constants.js';
 
-/** What is known of a group's replicas, and how more is learned. */
+/** Gives access to the reports of a group's replicas, and polls for new ones. */
 export type ReplicaReports = {
-	/** What the replicas last reported. */
+	/** Returns the last status that each replica reported. */
 	reports(): readonly ReportedStatus[];
-	/** Term that counts; undefined without a primary. */
+	/** Returns the current term; undefined without a primary. */
 	term(): number | undefined;
-	/** Asks the nearest replica; takes a millisecond at least. */
+	/** Polls the nearest replica; takes at least a millisecond. */
 	pollNearest(): Promise<unknown>;
 };
 
 type ReceiptOptions = Pick<PrimacyOptions, 'confirmationWaitMs' | 'confirmationPauseMs'>;
 
-/** Confirms positions of one group; all who wait share the questions. */
+/** Confirms positions of one group; concurrent callers share the polls. */
 export class WriteReceipts {
 	private readonly _clock: Clock;
 	private readonly _options: ReceiptOptions;
 	private readonly _replicas: ReplicaReports;
-	private _question: Promise<unknown> | undefined;
-	private _waitAgainAtMs = Number.NEGATIVE_INFINITY;
+	private _pendingPoll: Promise<unknown> | undefined;
+	private _waitResumesAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(clock: Clock, options: ReceiptOptions, replicas: ReplicaReports) {
 		this._clock = clock;
@@ -34,29 +34,33 @@
 		this._replicas = replicas;
 	}
 
-	/** Waits a moment until a replica has received a position of the current term; resolves with whether one has. */
+	/**
+	 * Waits up to `confirmationWaitMs` until a replica has received a position of the current term,
+	 * and resolves to whether one has. For `confirmationPauseMs` after a wait that timed out, it only
+	 * checks what is already known.
+	 */
 	async confirm(position: LogPosition): Promise<boolean> {
-		if (this._clock.nowMs() < this._waitAgainAtMs) {
+		if (this._clock.nowMs() < this._waitResumesAtMs) {
 			return this._isReceived(position);
 		}
 
 		const endMs = this._clock.nowMs() + this._options.confirmationWaitMs;
 		while (!this._isReceived(position) && this._clock.nowMs() < endMs) {
-			this._question ??= this._replicas.pollNearest().finally(() => {
-				this._question = undefined;
+			this._pendingPoll ??= this._replicas.pollNearest().finally(() => {
+				this._pendingPoll = undefined;
 			});
-			await withTimeout(this._clock, this._question, endMs - this._clock.nowMs());
+			await withTimeout(this._clock, this._pendingPoll, endMs - this._clock.nowMs());
 		}
 
 		const isReceived = this._isReceived(position);
 		if (!isReceived) {
-			this._waitAgainAtMs = this._clock.nowMs() + this._options.confirmationPauseMs;
+			this._waitResumesAtMs = this._clock.nowMs() + this._options.confirmationPauseMs;
 		}
 
 		return isReceived;
 	}
 
-	/** What a replica received in a term it keeps in that term. */
+	/** Whether a replica has received a position in the current term; within a term, it keeps what it has received. */
 	private _isReceived(position: LogPosition): boolean {
 		const term = this._replicas.term();
 		return this._replicas.reports().some(({status}) => status.term === term && hasReached(status.received, position));
--- a/src/common/store/version-observing-store.ts
+++ b/src/common/store/version-observing-store.ts
@@ -1,5 +1,6 @@
 /**
- * The store, with each answer's version noted before anybody uses it.
+ * A store that reports each response's version to the restore watch before the caller receives the
+ * response.
  */
 import type {Either} from 'purify-ts';
 import type {
@@ -7,7 +8,7 @@
 } from '../services/services.js';
 import type {RestoreWatch} from './restore-watch.js';
 
-/** Passes calls on. */
+/** Forwards calls to another store and observes the versions of its responses. */
 export class VersionObservingStore implements RowStore {
 	private readonly _store: RowStore;
 	private readonly _restores: RestoreWatch;
@@ -18,18 +19,18 @@
 	}
 
 	async read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>> {
-		return this._noted(await this._store.read(table, partition));
+		return this._observeVersion(await this._store.read(table, partition));
 	}
 
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
-		return this._noted(await this._store.follow(table, afterVersion, waitMs));
+		return this._observeVersion(await this._store.follow(table, afterVersion, waitMs));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {readonly version: number; readonly storeNowMs: number}>> {
-		return this._noted(await this._store.write(write));
+		return this._observeVersion(await this._store.write(write));
 	}
 
-	private _noted<Answer extends {readonly version: number}>(answer: Either<PlatformFault, Answer>): Either<PlatformFault, Answer> {
+	private _observeVersion<Answer extends {readonly version: number}>(answer: Either<PlatformFault, Answer>): Either<PlatformFault, Answer> {
 		return answer.ifRight(({version}) => {
 			this._restores.note(version);
 		});
