--- a/src/common/audit/audit-trail.ts
+++ b/src/common/audit/audit-trail.ts
@@ -107,11 +107,11 @@
 		const written = await table.put(this._itemOf(batch), 0);
 		if (written.isRight()) {
 			this._backoff.reset();
-			this._note('written', batch.length, this._buffer.completeBatch(clock.wallClockMs()));
+			this._reportBatch('written', batch.length, this._buffer.completeBatch(clock.wallClockMs()));
 			await this._pause(this._buffer.size > 0 ? this._options.writeIntervalMs : 0);
 		} else if (written.isLeft() && written.extract().kind === 'conditionFailed') {
 			// The item belongs to another process under the same name and incarnation.
-			this._note('dropped', batch.length, this._buffer.discardBatch(clock.wallClockMs()));
+			this._reportBatch('dropped', batch.length, this._buffer.discardBatch(clock.wallClockMs()));
 		} else {
 			this._backoff.fail();
 			await this._sleep.wait(this._backoff.remainingMs);
@@ -135,7 +135,7 @@
 		}
 	}
 
-	private _note(outcome: 'written' | 'dropped', count: number, droppedCount: number): void {
+	private _reportBatch(outcome: 'written' | 'dropped', count: number, droppedCount: number): void {
 		const {log, metrics} = this._services;
 		metrics.count('auditEntriesTotal', {outcome}, count);
 		metrics.gauge('auditBufferedEntries', this._buffer.size);
--- a/src/common/audit/row-audit.ts
+++ b/src/common/audit/row-audit.ts
@@ -18,7 +18,7 @@
 const retryMs = 1000;
 
 /** Time for which a written entry is kept, to be written again if the store loses it: copies are some seconds old. */
-const keptMs = 60_000;
+const retentionMs = 60_000;
 
 type Entry = {
 	readonly key: string;
@@ -26,7 +26,7 @@
 };
 
 /** Faults after which an entry is not written again: it stands already, or never can. */
-const settledFaults: ReadonlySet<PlatformFault['kind']> = new Set(['conditionFailed', 'invalid']);
+const finalFaults: ReadonlySet<PlatformFault['kind']> = new Set(['conditionFailed', 'invalid']);
 
 type AuditServices = {
 	readonly clock: Clock;
@@ -44,7 +44,7 @@
 	private readonly _waiting: Entry[] = [];
 	/** Written a while ago at the most, the oldest first, and when. */
 	private _written: Array<{readonly entry: Entry; readonly atMs: number}> = [];
-	private readonly _restores: Disposable;
+	private readonly _restoreSubscription: Disposable;
 	private _count = 0;
 	private _isWriting = false;
 	private _isDisposed = false;
@@ -52,7 +52,7 @@
 	constructor(services: AuditServices) {
 		this._services = services;
 		this._sleep = new WakeableSleep(services.clock);
-		this._restores = services.restores.onRestore(() => {
+		this._restoreSubscription = services.restores.onRestore(() => {
 			this._waiting.unshift(...this._written.map(({entry}) => entry));
 			this._written = [];
 			void this._write();
@@ -74,7 +74,7 @@
 
 	dispose(): void {
 		this._isDisposed = true;
-		this._restores.dispose();
+		this._restoreSubscription.dispose();
 		this._sleep.dispose();
 	}
 
@@ -90,9 +90,9 @@
 				table: auditTable, partition: '', key: entry.key, value: entry.value, expectedVersion: 0,
 			});
 			// A row that exists was written by an attempt whose answer was lost.
-			const isDone = !result.isLeft() || settledFaults.has(result.extract().kind);
+			const isDone = !result.isLeft() || finalFaults.has(result.extract().kind);
 			if (isDone) {
-				this._noteWritten(entry);
+				this._markWritten(entry);
 			} else {
 				await this._sleep.wait(retryMs);
 			}
@@ -102,13 +102,13 @@
 	}
 
 	/** A restore may have put others before it meanwhile, or the bound may have dropped it. */
-	private _noteWritten(entry: Entry): void {
+	private _markWritten(entry: Entry): void {
 		const index = this._waiting.indexOf(entry);
 		if (index !== -1) {
 			this._waiting.splice(index, 1);
 		}
 
 		const nowMs = this._services.clock.nowMs();
-		this._written = [...this._written, {entry, atMs: nowMs}].filter(({atMs}) => atMs >= nowMs - keptMs).slice(-maximumWaiting);
+		this._written = [...this._written, {entry, atMs: nowMs}].filter(({atMs}) => atMs >= nowMs - retentionMs).slice(-maximumWaiting);
 	}
 }
--- a/src/common/explaining/request-timeline.ts
+++ b/src/common/explaining/request-timeline.ts
@@ -66,7 +66,7 @@
 ]);
 
 /** What a refusal of a kind says about its cause, beyond its own line. */
-const causes: Partial<Record<ErrorKind, (story: Found) => string>> = {
+const causes: Partial<Record<ErrorKind, (story: NearbyEvents) => string>> = {
 	noPrimary: story => story.names.has('promotionStarted') || story.names.has('termFenced')
 		? 'The group had no primary that could be proved while a promotion was under way.'
 		: 'The node could neither reach nor prove the primary, and no promotion is logged: look for a cut between this node and the endpoint.',
@@ -84,7 +84,7 @@
 	shuttingDown: () => 'The node was stopping.',
 };
 
-type Found = {readonly names: ReadonlySet<string>};
+type NearbyEvents = {readonly names: ReadonlySet<string>};
 
 /** Puts together what is known of a request; undefined where no line names it. */
 export function buildRequestTimeline(lines: readonly LogLine[], request: string, times: TimelineWindow): RequestTimeline | undefined {
@@ -107,7 +107,7 @@
 		.toSorted((a, b) => Date.parse(a.time) - Date.parse(b.time) || a.number - b.number)
 		.map(line => ({line, isOwn: line.fields.request === request}));
 	const refusal = own.findLast(({name}) => name === 'statementRefused');
-	return {lines: timeline, refusal, conclusions: conclude(refusal, own, {names: new Set(near.map(({name}) => name))})};
+	return {lines: timeline, refusal, conclusions: drawConclusions(refusal, own, {names: new Set(near.map(({name}) => name))})};
 }
 
 /** Names of the groups and endpoints that lines name, also in the text of a refusal. */
@@ -124,10 +124,10 @@
 	return groupEvents.has(name) && [fields.group, fields.service, fields.endpoint, fields.primary].some(value => groups.has(value));
 }
 
-function conclude(refusal: LogLine | undefined, own: readonly LogLine[], found: Found): string[] {
+function drawConclusions(refusal: LogLine | undefined, own: readonly LogLine[], found: NearbyEvents): string[] {
 	const isUnconfirmed = own.some(({name}) => name === 'writeUnconfirmed');
 	const conclusions = [
-		...refusal ? [told(refusal), causeOf(refusal, found)] : ['No node refused the request: what is logged are detours on its way to an answer.'],
+		...refusal ? [describeAnswer(refusal), causeOf(refusal, found)] : ['No node refused the request: what is logged are detours on its way to an answer.'],
 		...isUnconfirmed ? ['Its write was acknowledged before a replica was known to have it: it is lost if its primary was lost right after.'] : [],
 		...found.names.has('logLinesDropped') ? ['A node left out lines in this time: the timeline may have gaps.'] : [],
 	];
@@ -135,7 +135,7 @@
 }
 
 /** What the caller was told of it. */
-function told({node, fields}: LogLine): string {
+function describeAnswer({node, fields}: LogLine): string {
 	const outcomes: Record<string, string> = {
 		notRun: 'did not run', ran: 'ran', unknown: 'may or may not have run',
 	};
@@ -143,7 +143,7 @@
 	return `${node} answered ${String(fields.kind)} after ${String(fields.tookMs)} ms (${String(fields.detail)}); the request ${outcome}.`;
 }
 
-function causeOf({fields}: LogLine, found: Found): string {
+function causeOf({fields}: LogLine, found: NearbyEvents): string {
 	const kind = String(fields.kind);
 	return Object.hasOwn(errorAnswers, kind) ? causes[kind as ErrorKind]?.(found) ?? '' : ''; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- a key of the table
 }
--- a/src/common/routing/group-view-cache.ts
+++ b/src/common/routing/group-view-cache.ts
@@ -50,49 +50,49 @@
 
 	/** The belief about a group; an empty one when nothing is known yet. */
 	group(name: string): CachedGroupView {
-		let belief = this._groups.get(name);
-		if (!belief) {
-			belief = {
+		let view = this._groups.get(name);
+		if (!view) {
+			view = {
 				term: 0,
 				primary: '',
 				rejectedTerm: 0,
 				rejectedUntilMs: 0,
 				endpoints: new Map(),
 			};
-			this._groups.set(name, belief);
+			this._groups.set(name, view);
 		}
 
-		return belief;
+		return view;
 	}
 
 	/** The belief about an endpoint. */
 	endpoint(group: string, name: string): CachedEndpointView {
 		const {endpoints} = this.group(group);
-		let belief = endpoints.get(name);
-		if (!belief) {
-			belief = {
+		let view = endpoints.get(name);
+		if (!view) {
+			view = {
 				applied: zeroPosition,
 				avoidedUntilMs: 0,
 				inProgress: 0,
 				homeNode: undefined,
 			};
-			endpoints.set(name, belief);
+			endpoints.set(name, view);
 		}
 
-		return belief;
+		return view;
 	}
 
 	/** Takes in who is primary; an older term changes nothing. */
 	learnPrimary({group, term, primary}: PrimaryAnnouncement): void {
-		const belief = this.group(group);
-		const isNewer = term > belief.term || (term === belief.term && belief.primary === '');
-		const isRejected = term <= belief.rejectedTerm && this._clock.nowMs() < belief.rejectedUntilMs;
+		const view = this.group(group);
+		const isNewer = term > view.term || (term === view.term && view.primary === '');
+		const isRejected = term <= view.rejectedTerm && this._clock.nowMs() < view.rejectedUntilMs;
 		if (!isNewer || isRejected) {
 			return;
 		}
 
-		belief.term = term;
-		belief.primary = primary;
+		view.term = term;
+		view.primary = primary;
 		this._onPrimary.fire(group);
 	}
 
@@ -117,8 +117,8 @@
 
 	/** Takes in a position that an endpoint's reads include. */
 	learnApplied(group: string, endpoint: string, position: LogPosition): void {
-		const belief = this.endpoint(group, endpoint);
-		belief.applied = laterPosition(belief.applied, position);
+		const view = this.endpoint(group, endpoint);
+		view.applied = laterPosition(view.applied, position);
 	}
 
 	/** Takes in a home's whole view of a group. */
@@ -139,14 +139,14 @@
 	 * believed again, so that stale views of others do not lead back to it at once.
 	 */
 	rejectPrimary(group: string, primary: string, durationMs: number): void {
-		const belief = this.group(group);
-		if (belief.primary !== primary) {
+		const view = this.group(group);
+		if (view.primary !== primary) {
 			return;
 		}
 
-		belief.primary = '';
-		belief.rejectedTerm = belief.term;
-		belief.rejectedUntilMs = this._clock.nowMs() + durationMs;
+		view.primary = '';
+		view.rejectedTerm = view.term;
+		view.rejectedUntilMs = this._clock.nowMs() + durationMs;
 	}
 
 	/** Passes over an endpoint for a while. */
--- a/src/common/routing/primary-finder.ts
+++ b/src/common/routing/primary-finder.ts
@@ -24,7 +24,7 @@
 /** Waits for a group to have a primary and asks around meanwhile; one search per group. */
 export class PrimaryFinder implements Disposable {
 	private readonly _services: PrimaryFinderServices;
-	private readonly _owned = new DisposableStore();
+	private readonly _disposables = new DisposableStore();
 	private readonly _searches = new Map<string, Promise<void>>();
 	private _waiterCount = 0;
 
@@ -55,7 +55,7 @@
 	}
 
 	dispose(): void {
-		this._owned.dispose();
+		this._disposables.dispose();
 	}
 
 	private async _nextPrimary(group: string, timeoutMs: number, signal: AbortSignal): Promise<boolean> {
@@ -100,7 +100,7 @@
 	private async _askUntilFound(group: string, untilMs: number): Promise<void> {
 		const {clock, views, options} = this._services;
 		let pauseMs = options.primaryPollMs;
-		while (!this._owned.isDisposed && clock.nowMs() < untilMs) {
+		while (!this._disposables.isDisposed && clock.nowMs() < untilMs) {
 			// One round asks every home of the group at the same time.
 			await this._askHomes(group);
 			if (views.group(group).primary) {
--- a/src/common/routing/replica-ranking.ts
+++ b/src/common/routing/replica-ranking.ts
@@ -44,30 +44,30 @@
 /** The replicas that may take a read, best first. */
 export function rankReplicas(
 	services: {readonly configuration: Configuration; readonly views: GroupViewCache; readonly random: Random},
-	demand: ReadRequirements,
+	requirements: ReadRequirements,
 ): RankedReplica[] {
 	const {configuration, views, random} = services;
-	const endpoints = configuration.group(demand.group)?.endpoints ?? [];
-	const {primary} = views.group(demand.group);
+	const endpoints = configuration.group(requirements.group)?.endpoints ?? [];
+	const {primary} = views.group(requirements.group);
 	const candidates: ReplicaCandidate[] = [];
 	for (const endpoint of endpoints) {
-		if (endpoint.name === primary || demand.refusedBy.has(endpoint.name)) {
+		if (endpoint.name === primary || requirements.refusedBy.has(endpoint.name)) {
 			continue;
 		}
 
 		const policy = configuration.endpointPolicy(endpoint.name);
-		const belief = views.endpoint(demand.group, endpoint.name);
-		const isOpen = policy.acceptsReads && !policy.isDraining && belief.avoidedUntilMs <= demand.nowMs;
-		if (!isOpen) {
+		const view = views.endpoint(requirements.group, endpoint.name);
+		const isEligible = policy.acceptsReads && !policy.isDraining && view.avoidedUntilMs <= requirements.nowMs;
+		if (!isEligible) {
 			continue;
 		}
 
 		candidates.push({
 			endpoint,
-			hasPosition: hasReached(belief.applied, demand.minimumPosition),
-			isLocal: endpoint.availabilityZone === demand.availabilityZone,
-			applied: belief.applied,
-			inProgress: belief.inProgress,
+			hasPosition: hasReached(view.applied, requirements.minimumPosition),
+			isLocal: endpoint.availabilityZone === requirements.availabilityZone,
+			applied: view.applied,
+			inProgress: view.inProgress,
 			tieBreak: random.next(),
 		});
 	}
--- a/src/common/routing/request-progress.ts
+++ b/src/common/routing/request-progress.ts
@@ -46,13 +46,13 @@
 
 	/** Largest age of the data that this request accepts. */
 	get maximumAgeMs(): number | undefined {
-		const {maximumAgeMs: stated} = this.session;
-		const {maximumAgeMs: ruled} = this.policy;
-		if (stated === undefined || ruled === undefined) {
-			return stated ?? ruled;
+		const {maximumAgeMs: sessionLimitMs} = this.session;
+		const {maximumAgeMs: policyLimitMs} = this.policy;
+		if (sessionLimitMs === undefined || policyLimitMs === undefined) {
+			return sessionLimitMs ?? policyLimitMs;
 		}
 
-		return Math.min(stated, ruled);
+		return Math.min(sessionLimitMs, policyLimitMs);
 	}
 
 	/**
--- a/src/common/routing/retry-policy.ts
+++ b/src/common/routing/retry-policy.ts
@@ -22,10 +22,10 @@
 export class RetryPolicy {
 	private readonly _services: RetryPolicyServices;
 
-	private readonly _nextSteps: Record<NextStep, (progress: RequestProgress, target: Target) => boolean | Promise<boolean>> = {
-		detour: async (progress, target) => this._findHome(progress, target),
-		anotherEndpoint: async (progress, target) => this._passOver(progress, target),
-		anotherReplica: async (progress, target) => !target.isPrimary && this._passOver(progress, target),
+	private readonly _stepHandlers: Record<NextStep, (progress: RequestProgress, target: Target) => boolean | Promise<boolean>> = {
+		detour: async (progress, target) => this._applyHomeCorrection(progress, target),
+		anotherEndpoint: async (progress, target) => this._excludeEndpoint(progress, target),
+		anotherReplica: async (progress, target) => !target.isPrimary && this._excludeEndpoint(progress, target),
 		findPrimary: async (progress, target) => this._rejectPrimary(progress, target),
 		retry: (progress, target) => this._spendRetry(progress, target),
 	};
@@ -41,13 +41,13 @@
 		}
 
 		const isKnownNotRun = refusal.answer.isProxyRetryable && refusal.answer.outcome === 'notRun';
-		const isHarmless = progress.session.isIdempotent && refusal.answer.outcome === 'unknown';
-		if (!isKnownNotRun && !isHarmless) {
+		const isSafeToRepeat = progress.session.isIdempotent && refusal.answer.outcome === 'unknown';
+		if (!isKnownNotRun && !isSafeToRepeat) {
 			return false;
 		}
 
 		const step = nextStepByKind[refusal.kind] ?? 'retry';
-		return this._nextSteps[step](progress, target);
+		return this._stepHandlers[step](progress, target);
 	}
 
 	/** A step aside that costs others nothing; the first is taken at once, later ones after a pause. */
@@ -68,18 +68,18 @@
 	}
 
 	/** The asked node does not serve the endpoint: believe what it said, or membership again. */
-	private async _findHome(progress: RequestProgress, target: Target): Promise<boolean> {
-		const belief = this._services.views.endpoint(progress.session.group, target.endpoint.name);
-		belief.homeNode = progress.lastRefusal?.correction?.homeNode;
-		if (!target.isPrimary && belief.homeNode === undefined) {
-			return this._passOver(progress, target);
+	private async _applyHomeCorrection(progress: RequestProgress, target: Target): Promise<boolean> {
+		const view = this._services.views.endpoint(progress.session.group, target.endpoint.name);
+		view.homeNode = progress.lastRefusal?.correction?.homeNode;
+		if (!target.isPrimary && view.homeNode === undefined) {
+			return this._excludeEndpoint(progress, target);
 		}
 
 		return this._takeDetour(progress);
 	}
 
 	/** The endpoint cannot take this request: another can. */
-	private async _passOver(progress: RequestProgress, target: Target): Promise<boolean> {
+	private async _excludeEndpoint(progress: RequestProgress, target: Target): Promise<boolean> {
 		progress.refusedBy.add(target.endpoint.name);
 		return target.isPrimary ? this._rejectPrimary(progress, target) : true;
 	}
--- a/src/common/routing/statement-router.ts
+++ b/src/common/routing/statement-router.ts
@@ -43,21 +43,21 @@
 	readonly views: GroupViewCache;
 
 	private readonly _services: StatementRouterServices;
-	private readonly _owned = new DisposableStore();
+	private readonly _disposables = new DisposableStore();
 	private readonly _budget: RetryBudget;
 	private readonly _limits = new CallerLimiter();
-	private readonly _choice: TargetSelector;
-	private readonly _next: RetryPolicy;
+	private readonly _targetSelector: TargetSelector;
+	private readonly _retryPolicy: RetryPolicy;
 	/** Hosts that hold sessions' transactions; an endpoint's home may move while they go on. */
-	private readonly _holders = new WeakMap<RoutedSession, Host>();
+	private readonly _transactionHosts = new WeakMap<RoutedSession, Host>();
 
 	constructor(services: StatementRouterServices) {
 		this._services = services;
 		this.views = new GroupViewCache(services.clock);
 		this._budget = new RetryBudget(services.options.retryShare, services.options.retryBurst);
-		this._choice = this._owned.register(new TargetSelector({...services, views: this.views}));
-		this._next = new RetryPolicy({...services, views: this.views, budget: this._budget});
-		this._owned.register(services.configuration.onChange(() => {
+		this._targetSelector = this._disposables.register(new TargetSelector({...services, views: this.views}));
+		this._retryPolicy = new RetryPolicy({...services, views: this.views, budget: this._budget});
+		this._disposables.register(services.configuration.onChange(() => {
 			this.views.retain(new Set(services.configuration.groups().map(group => group.name)));
 		}));
 	}
@@ -99,20 +99,20 @@
 		}
 
 		session.heldEndpoint = undefined;
-		const holder = this._holders.get(session);
+		const holder = this._transactionHosts.get(session);
 		if (holder) {
 			this._executorOf(holder).release(session.group, heldEndpoint, session.id);
 		}
 	}
 
 	dispose(): void {
-		this._owned.dispose();
+		this._disposables.dispose();
 	}
 
 	/** Tries targets one after another until one answers or nothing is left to try. */
 	private async _tryUntilAnswered(progress: RequestProgress): Promise<Either<Refusal, RouteEnd>> {
 		for (;;) {
-			const target = await this._choice.select(progress);
+			const target = await this._targetSelector.select(progress);
 			if (!target) {
 				return this._refuse(progress, progress.lastRefusal ?? new Refusal('noPrimary'));
 			}
@@ -124,7 +124,7 @@
 
 			const refusal = result.extract();
 			progress.lastRefusal = refusal;
-			if (!await this._next.prepareRetry(progress, target, refusal)) {
+			if (!await this._retryPolicy.prepareRetry(progress, target, refusal)) {
 				return this._refuse(progress, refusal);
 			}
 		}
@@ -161,7 +161,7 @@
 			return Left(progress.lastRefusal ?? new Refusal('deadlineExceeded'));
 		}
 
-		const home = session.heldEndpoint ? this._holders.get(session) : this._homeOf(session.group, target.endpoint);
+		const home = session.heldEndpoint ? this._transactionHosts.get(session) : this._homeOf(session.group, target.endpoint);
 		if (!home) {
 			return Left(new Refusal('endpointUnavailable', 'no host serves the endpoint'));
 		}
@@ -172,12 +172,12 @@
 		}
 
 		metrics.count('routedRequestsTotal', {access: progress.cycle.access, reason: target.reason});
-		const belief = this.views.endpoint(session.group, target.endpoint.name);
-		belief.inProgress += 1;
+		const view = this.views.endpoint(session.group, target.endpoint.name);
+		view.inProgress += 1;
 		const request = this._homeRequest(progress, target, timeLeftMs);
 		const executor = this._executorOf(home);
 		const result = await executor.execute(request, progress, progress.signal);
-		belief.inProgress -= 1;
+		view.inProgress -= 1;
 		if (result.isLeft() && progress.cycle.step === 'begin') {
 			// The home may have begun it all the same, and would keep a connection for it until it was idle for too long.
 			executor.release(session.group, target.endpoint.name, session.id);
@@ -223,7 +223,7 @@
 		session.marks.advance(group, end.position);
 		session.heldEndpoint = end.isHeld ? target.endpoint.name : undefined;
 		if (end.isHeld) {
-			this._holders.set(session, home);
+			this._transactionHosts.set(session, home);
 		}
 
 		session.transactionStatus = end.transactionStatus;
@@ -260,8 +260,8 @@
 	/** The home by the last correction while that host lives, else by rendezvous. */
 	private _homeOf(group: string, endpoint: EndpointDefinition): Host | undefined {
 		const {membership} = this._services;
-		const belief = this.views.endpoint(group, endpoint.name);
-		const corrected = belief.homeNode === undefined ? undefined : membership.host(belief.homeNode);
+		const view = this.views.endpoint(group, endpoint.name);
+		const corrected = view.homeNode === undefined ? undefined : membership.host(view.homeNode);
 		return corrected ?? membership.homeOf(endpoint);
 	}
 
--- a/src/common/sessions/session-parameters.ts
+++ b/src/common/sessions/session-parameters.ts
@@ -6,7 +6,7 @@
 import type {CallerSession} from './caller-session.js';
 
 /** How one parameter is read and written. An undefined value asks for the default. */
-type ParameterRule = {
+type ParameterHandler = {
 	/** Name under which a change is reported to the caller. */
 	readonly reportedAs?: string;
 	read(session: CallerSession): string;
@@ -14,7 +14,7 @@
 };
 
 /** A parameter that has one value here, under several spellings. */
-function fixed(value: string, spellings: RegExp, reportedAs?: string): ParameterRule {
+function fixedParameter(value: string, spellings: RegExp, reportedAs?: string): ParameterHandler {
 	return {
 		...(reportedAs ? {reportedAs} : {}),
 		read: () => value,
@@ -37,12 +37,12 @@
 	return match ? Number(match[1]) * (unitsMs.get(match[2] ?? '') ?? Number.NaN) : Number.NaN;
 }
 
-const truths: ReadonlyMap<string, boolean> = new Map([
+const booleanSpellings: ReadonlyMap<string, boolean> = new Map([
 	['on', true], ['true', true], ['yes', true], ['1', true], ['off', false], ['false', false], ['no', false], ['0', false],
 ]);
 
 /** A duration field of the session; zero or nothing stands for none. */
-function duration(field: 'deadlineMs' | 'maximumAgeMs', isZeroNone: boolean): ParameterRule {
+function durationParameter(field: 'deadlineMs' | 'maximumAgeMs', isZeroNone: boolean): ParameterHandler {
 	return {
 		read: session => session[field] === undefined ? '' : String(session[field]),
 		write(session, value) {
@@ -62,7 +62,7 @@
 	};
 }
 
-const rules: ReadonlyMap<string, ParameterRule> = new Map<string, ParameterRule>([
+const rules: ReadonlyMap<string, ParameterHandler> = new Map<string, ParameterHandler>([
 	['application_name', {
 		reportedAs: 'application_name',
 		read: session => session.caller.applicationName,
@@ -72,20 +72,20 @@
 		},
 	}],
 	// eslint-disable-next-line unicorn/text-encoding-identifier-case -- the database's own spelling
-	['client_encoding', fixed('UTF8', /^(?:utf-?8|unicode)$/iv, 'client_encoding')],
-	['datestyle', fixed('ISO, MDY', /^iso(?:\s*,\s*mdy)?$/iv, 'DateStyle')],
-	['intervalstyle', fixed('postgres', /^postgres$/iv, 'IntervalStyle')],
-	['timezone', fixed('UTC', /^(?:etc\/)?(?:utc|gmt|uct|zulu|universal|z|\+?0)$/iv, 'TimeZone')],
-	['extra_float_digits', fixed('1', /^[123]$/v)],
-	['standard_conforming_strings', fixed('on', /^(?:on|true|yes|1)$/iv, 'standard_conforming_strings')],
-	['client_min_messages', fixed('notice', /^(?:debug\d?|log|notice|warning|error)$/iv)],
-	['statement_timeout', duration('deadlineMs', true)],
-	['quetzalstream.deadline_ms', duration('deadlineMs', true)],
-	['quetzalstream.max_age_ms', duration('maximumAgeMs', false)],
+	['client_encoding', fixedParameter('UTF8', /^(?:utf-?8|unicode)$/iv, 'client_encoding')],
+	['datestyle', fixedParameter('ISO, MDY', /^iso(?:\s*,\s*mdy)?$/iv, 'DateStyle')],
+	['intervalstyle', fixedParameter('postgres', /^postgres$/iv, 'IntervalStyle')],
+	['timezone', fixedParameter('UTC', /^(?:etc\/)?(?:utc|gmt|uct|zulu|universal|z|\+?0)$/iv, 'TimeZone')],
+	['extra_float_digits', fixedParameter('1', /^[123]$/v)],
+	['standard_conforming_strings', fixedParameter('on', /^(?:on|true|yes|1)$/iv, 'standard_conforming_strings')],
+	['client_min_messages', fixedParameter('notice', /^(?:debug\d?|log|notice|warning|error)$/iv)],
+	['statement_timeout', durationParameter('deadlineMs', true)],
+	['quetzalstream.deadline_ms', durationParameter('deadlineMs', true)],
+	['quetzalstream.max_age_ms', durationParameter('maximumAgeMs', false)],
 	['quetzalstream.idempotent', {
 		read: session => session.isIdempotent ? 'on' : 'off',
 		write(session, value) {
-			const truth = truths.get((value ?? 'off').toLowerCase());
+			const truth = booleanSpellings.get((value ?? 'off').toLowerCase());
 			if (truth === undefined) {
 				return invalid('not a truth value');
 			}
--- a/src/common/sessions/session-token.ts
+++ b/src/common/sessions/session-token.ts
@@ -49,7 +49,7 @@
 			entries.push(entry);
 		}
 
-		return this._seal(entries.toReversed(), isTruncated);
+		return this._sign(entries.toReversed(), isTruncated);
 	}
 
 	/** Reads a token; refuses one that was not made with a key of this system. */
@@ -65,7 +65,7 @@
 
 		const body = bytes.subarray(0, bytes.length - signatureBytes);
 		const signature = bytes.subarray(bytes.length - signatureBytes);
-		if (!this._verifiers.some(signer => isSame(signer.sign(body), signature))) {
+		if (!this._verifiers.some(signer => isSignatureEqual(signer.sign(body), signature))) {
 			return Left(new Refusal('invalidToken', 'token was not issued by this system'));
 		}
 
@@ -73,7 +73,7 @@
 		return content ? Right(content) : Left(new Refusal('invalidToken', 'token has an unknown layout'));
 	}
 
-	private _seal(entries: readonly Uint8Array[], isTruncated: boolean): string {
+	private _sign(entries: readonly Uint8Array[], isTruncated: boolean): string {
 		const writer = new ByteWriter();
 		writer.byte(tokenVersion);
 		writer.byte(isTruncated ? truncatedFlag : 0);
@@ -120,8 +120,8 @@
 		positions.set(group, {term: reader.varint(), offset: reader.varint()});
 	}
 
-	const isWhole = reader.isAtEnd && positions.size === count && count <= maximumTokenGroups;
-	return isWhole ? {positions, isTruncated: (flags % 2) === truncatedFlag} : undefined;
+	const isComplete = reader.isAtEnd && positions.size === count && count <= maximumTokenGroups;
+	return isComplete ? {positions, isTruncated: (flags % 2) === truncatedFlag} : undefined;
 }
 
 function decodeName(bytes: Uint8Array): string | undefined {
@@ -133,7 +133,7 @@
 }
 
 /** Compares without telling by its time where the first difference is. */
-function isSame(computed: Uint8Array, given: Uint8Array): boolean {
+function isSignatureEqual(computed: Uint8Array, given: Uint8Array): boolean {
 	let difference = 0;
 	for (const [index, byte] of given.entries()) {
 		difference += byte === computed[index] ? 0 : 1;
--- a/src/common/statements/answer-filter.ts
+++ b/src/common/statements/answer-filter.ts
@@ -61,11 +61,11 @@
 			return false;
 		}
 
-		this._keep(reply);
+		this._updatePrepared(reply);
 		return reply.isInjected;
 	}
 
-	private _keep({name, statement}: ExpectedReply): void {
+	private _updatePrepared({name, statement}: ExpectedReply): void {
 		if (name === undefined) {
 			return;
 		}
--- a/src/common/statements/cycle-builder.ts
+++ b/src/common/statements/cycle-builder.ts
@@ -17,7 +17,7 @@
 /** Bounds of one cycle. */
 export type CycleLimits = Pick<typeof statementDefaults, 'maximumCycleBytes' | 'maximumCycleMessages'>;
 
-type Add = (frame: Uint8Array, draft: CycleDraft) => Refusal | undefined;
+type AddMessage = (frame: Uint8Array, draft: CycleDraft) => Refusal | undefined;
 
 const noName = Uint8Array.of(0);
 /** Endpoints hold no named statements, so that this one is unknown to them. */
@@ -29,14 +29,14 @@
 	private readonly _prepared: PreparedStatements;
 	private readonly _classifier: StatementClassifier;
 	private readonly _limits: CycleLimits;
-	private readonly _adders: ReadonlyMap<number, Add>;
+	private readonly _adders: ReadonlyMap<number, AddMessage>;
 	private _draft: CycleDraft | undefined;
 
 	constructor(prepared: PreparedStatements, classifier: StatementClassifier, limits: CycleLimits = statementDefaults) {
 		this._prepared = prepared;
 		this._classifier = classifier;
 		this._limits = limits;
-		this._adders = new Map<number, Add>([
+		this._adders = new Map<number, AddMessage>([
 			[frontendCodes.parse, this._addParse.bind(this)],
 			[frontendCodes.bind, this._addBind.bind(this)],
 			[frontendCodes.describe, this._addDescribe.bind(this)],
--- a/src/common/statements/cycle-draft.ts
+++ b/src/common/statements/cycle-draft.ts
@@ -44,7 +44,7 @@
 	private readonly _executed: RelayedStatement[] = [];
 	private readonly _parsed: PreparedStatement[] = [];
 	/** What the endpoint's unnamed statement is at this point of the cycle. */
-	private _current: PreparedStatement | undefined;
+	private _unnamedStatement: PreparedStatement | undefined;
 	private _hasLocal = false;
 	private _needsEndpoint = false;
 	private _executesUnknown = false;
@@ -74,12 +74,12 @@
 	parse(statement: PreparedStatement, expected: ExpectedReply): void {
 		this.push(statement.parseFrame, expected);
 		this._parsed.push(statement);
-		this._current = statement;
+		this._unnamedStatement = statement;
 	}
 
 	/** Sees that the endpoint's unnamed statement is this one. */
 	ensureParsed(statement: PreparedStatement | undefined): void {
-		if (statement && statement !== this._current) {
+		if (statement && statement !== this._unnamedStatement) {
 			this.parse(statement, {isInjected: true});
 		}
 	}
@@ -101,7 +101,7 @@
 		this.statementsByName.set(name, undefined);
 		this._frames.push(frame);
 		this._expected.push({isInjected: false, name});
-		this._current = undefined;
+		this._unnamedStatement = undefined;
 	}
 
 	/** Ends the cycle; `before` is the transaction as it is now. */
--- a/src/common/statements/local-answers.ts
+++ b/src/common/statements/local-answers.ts
@@ -29,9 +29,9 @@
 	readonly changed?: string;
 };
 
-type Perform = (act: LocalCommand, context: LocalContext) => Either<Refusal, LocalResult>;
+type CommandHandler = (act: LocalCommand, context: LocalContext) => Either<Refusal, LocalResult>;
 
-const performers: Readonly<Record<LocalCommand['name'], Perform>> = {
+const commandHandlers: Readonly<Record<LocalCommand['name'], CommandHandler>> = {
 	set({subject = '', value}, {session}) {
 		const refusal = writeParameter(session, subject, value);
 		return refusal ? Left(refusal) : Right({tag: 'SET', changed: subject});
@@ -74,7 +74,7 @@
 }
 
 function perform(act: LocalCommand, context: LocalContext, isDescribed: boolean): Either<Refusal, readonly Uint8Array[]> {
-	return performers[act.name](act, context).map(result => {
+	return commandHandlers[act.name](act, context).map(result => {
 		const reported = result.changed && reportedName(result.changed);
 		return [
 			...(result.row && isDescribed ? [textRowDescription(result.row.column)] : []),
@@ -121,7 +121,7 @@
 	}],
 	[frontendCodes.bind, () => Right([makeFrame(backendCodes.bindComplete)])],
 	[frontendCodes.describe, ({statement, name}) => {
-		const act = actOf(statement?.statements[0]);
+		const act = commandOf(statement?.statements[0]);
 		const column = act && columnOf(act);
 		return Right([
 			...(name === undefined ? [] : [noParameters]),
@@ -129,7 +129,7 @@
 		]);
 	}],
 	[frontendCodes.execute, ({statement}, context) => {
-		const act = actOf(statement?.statements[0]);
+		const act = commandOf(statement?.statements[0]);
 		return act ? perform(act, context, false) : Right([commandComplete('ROLLBACK')]);
 	}],
 	[frontendCodes.close, ({name}, {prepared}) => {
@@ -141,7 +141,7 @@
 	}],
 ]);
 
-function actOf(statement: Statement | undefined): LocalCommand | undefined {
+function commandOf(statement: Statement | undefined): LocalCommand | undefined {
 	return statement?.kind === 'local' ? statement.act : undefined;
 }
 
--- a/src/common/statements/statement-classifier.ts
+++ b/src/common/statements/statement-classifier.ts
@@ -15,7 +15,7 @@
 	await loadModule();
 }
 
-const uncertainWrite: Statement = {
+const assumedWrite: Statement = {
 	kind: 'relayed',
 	access: 'write',
 	transaction: {kind: 'none'},
@@ -76,7 +76,7 @@
 
 function scan(text: string): ClassifiedText {
 	return isSingleDataStatement(text)
-		? [uncertainWrite]
+		? [assumedWrite]
 		: [{kind: 'refused', reason: 'a text of this length must be one INSERT, UPDATE, DELETE, MERGE or SELECT; use parameters or split it'}];
 }
 
@@ -93,7 +93,7 @@
 	} catch (error) {
 		// Text that does not parse goes to the primary, which says what is wrong with it.
 		return hasSqlDetails(error)
-			? [uncertainWrite]
+			? [assumedWrite]
 			: [{kind: 'refused', reason: 'the statement is nested too deeply'}];
 	}
 
--- a/src/common/statements/statement-rules.ts
+++ b/src/common/statements/statement-rules.ts
@@ -12,13 +12,13 @@
 
 type Rule = (node: Tree) => Statement;
 
-const noAct: TransactionControl = {kind: 'none'};
+const noTransactionControl: TransactionControl = {kind: 'none'};
 
 function relay(access: 'read' | 'write', options: Partial<RelayedStatement> = {}): Statement {
 	return {
 		kind: 'relayed',
 		access,
-		transaction: options.transaction ?? noAct,
+		transaction: options.transaction ?? noTransactionControl,
 		mayDisableReadOnly: options.mayDisableReadOnly ?? false,
 		needsTransaction: options.needsTransaction ?? false,
 	};
@@ -34,14 +34,14 @@
 
 const refuseNotification: Rule = () => refuse('LISTEN, NOTIFY and UNLISTEN need a connection of their own');
 const refusePrepare: Rule = () => refuse(prepareReason);
-const refuseTemporary = (key: string): Rule => node => isSessionTemporary(node[key], node.oncommit) ? refuse(temporaryReason) : inspectWrite(node);
+const refuseTemporary = (key: string): Rule => node => isSessionTemporary(node[key], node.oncommit) ? refuse(temporaryReason) : classifyWrite(node);
 
 const rules: ReadonlyMap<string, Rule> = new Map<string, Rule>([
-	['SelectStmt', inspectRead],
-	['ExplainStmt', inspectExplain],
-	['TransactionStmt', inspectTransaction],
-	['VariableSetStmt', inspectSet],
-	['VariableShowStmt', inspectShow],
+	['SelectStmt', classifySelect],
+	['ExplainStmt', classifyExplain],
+	['TransactionStmt', classifyTransactionControl],
+	['VariableSetStmt', classifySet],
+	['VariableShowStmt', classifyShow],
 	['CopyStmt', () => refuse('COPY is not relayed; use INSERT with several rows')],
 	['ListenStmt', refuseNotification],
 	['NotifyStmt', refuseNotification],
@@ -51,12 +51,12 @@
 	['DeallocateStmt', node => local(isSetAt(node, 'name') ? {name: 'deallocate', subject: textAt(node, 'name')} : {name: 'deallocate'})],
 	['DiscardStmt', node => discards.get(textAt(node, 'target')) ?? refuse('DISCARD of this kind is not supported')],
 	['LoadStmt', () => refuse('LOAD needs a connection of its own')],
-	['DeclareCursorStmt', inspectCursor],
+	['DeclareCursorStmt', classifyCursor],
 	['CreateStmt', refuseTemporary('relation')],
 	['ViewStmt', refuseTemporary('view')],
 	['CreateSeqStmt', refuseTemporary('sequence')],
 	['DoStmt', () => relay('write', {mayDisableReadOnly: true})],
-	['CallStmt', node => withoutRefusal(node, () => relay('write', {mayDisableReadOnly: true}))],
+	['CallStmt', node => unlessRefused(node, () => relay('write', {mayDisableReadOnly: true}))],
 ]);
 
 const discards: ReadonlyMap<string, Statement> = new Map([
@@ -70,24 +70,24 @@
 export function classifyStatement(statement: unknown): Statement {
 	const [entry] = Object.entries(isTree(statement) ? statement : {});
 	const node = entry?.[1];
-	return (rules.get(entry?.[0] ?? '') ?? inspectWrite)(isTree(node) ? node : {});
+	return (rules.get(entry?.[0] ?? '') ?? classifyWrite)(isTree(node) ? node : {});
 }
 
-function withoutRefusal(node: Tree, onAllowed: (findings: Findings) => Statement): Statement {
+function unlessRefused(node: Tree, onAllowed: (findings: Findings) => Statement): Statement {
 	const findings = inspectTree(node);
 	return findings.refusal === undefined ? onAllowed(findings) : refuse(findings.refusal);
 }
 
-function inspectWrite(node: Tree): Statement {
-	return withoutRefusal(node, ({needsTransaction}) => relay('write', {needsTransaction}));
+function classifyWrite(node: Tree): Statement {
+	return unlessRefused(node, ({needsTransaction}) => relay('write', {needsTransaction}));
 }
 
-function inspectRead(node: Tree): Statement {
+function classifySelect(node: Tree): Statement {
 	if (isUnlockAll(node)) {
 		return local({name: 'unlockAll'});
 	}
 
-	return withoutRefusal(node, ({mayWrite, needsTransaction}) => relay(mayWrite ? 'write' : 'read', {needsTransaction}));
+	return unlessRefused(node, ({mayWrite, needsTransaction}) => relay(mayWrite ? 'write' : 'read', {needsTransaction}));
 }
 
 /** `SELECT pg_advisory_unlock_all()`, which pools send when they take a connection back. */
@@ -97,9 +97,9 @@
 	return others.length === 0 && !isSetAt(node, 'fromClause') && textAt(name, 'String', 'sval') === 'pg_advisory_unlock_all';
 }
 
-function inspectExplain(node: Tree): Statement {
+function classifyExplain(node: Tree): Statement {
 	const runs = listAt(node, 'options').some(option => textAt(option, 'DefElem', 'defname') === 'analyze');
-	return withoutRefusal(node, ({mayWrite, needsTransaction}) => relay(mayWrite || runs ? 'write' : 'read', {needsTransaction}));
+	return unlessRefused(node, ({mayWrite, needsTransaction}) => relay(mayWrite || runs ? 'write' : 'read', {needsTransaction}));
 }
 
 /** The read-only option of BEGIN or SET TRANSACTION. */
@@ -113,8 +113,8 @@
 }
 
 const transactionRules: ReadonlyMap<string, Rule> = new Map<string, Rule>([
-	['TRANS_STMT_BEGIN', beginRule],
-	['TRANS_STMT_START', beginRule],
+	['TRANS_STMT_BEGIN', classifyBegin],
+	['TRANS_STMT_START', classifyBegin],
 	['TRANS_STMT_COMMIT', node => relay('write', {transaction: {kind: 'commit', isChained: node.chain === true}})],
 	['TRANS_STMT_ROLLBACK', node => relay('write', {transaction: {kind: 'rollback', isChained: node.chain === true}})],
 	['TRANS_STMT_SAVEPOINT', () => relay('read')],
@@ -122,15 +122,15 @@
 	['TRANS_STMT_ROLLBACK_TO', () => relay('read', {transaction: {kind: 'rollbackTo'}})],
 ]);
 
-function beginRule(node: Tree): Statement {
+function classifyBegin(node: Tree): Statement {
 	return relay('write', {transaction: {kind: 'begin', mode: readMode(listAt(node, 'options'))}});
 }
 
-function inspectTransaction(node: Tree): Statement {
+function classifyTransactionControl(node: Tree): Statement {
 	return transactionRules.get(textAt(node, 'kind'))?.(node) ?? refuse('two-phase commit is not relayed');
 }
 
-function inspectSet(node: Tree): Statement {
+function classifySet(node: Tree): Statement {
 	const name = textAt(node, 'name').toLowerCase();
 	if (node.is_local === true || (node.kind === 'VAR_SET_MULTI' && name === 'transaction')) {
 		const mayLiftReadOnly = name === 'transaction_read_only' || (name === 'transaction' && readMode(listAt(node, 'args')) === 'readWrite');
@@ -152,7 +152,7 @@
 	return local(node.kind === 'VAR_SET_VALUE' ? {name: 'set', subject: name, value: readArguments(node)} : {name: 'set', subject: name});
 }
 
-function inspectShow(node: Tree): Statement {
+function classifyShow(node: Tree): Statement {
 	const parameter = textAt(node, 'name').toLowerCase();
 	return isSessionParameter(parameter) ? local({name: 'show', subject: parameter}) : relay('read');
 }
@@ -160,7 +160,7 @@
 /** The bit of DECLARE's options that says WITH HOLD. */
 const holdOption = 0x20;
 
-function inspectCursor(node: Tree): Statement {
+function classifyCursor(node: Tree): Statement {
 	const isHeld = Math.floor(numberAt(node, 'options') / holdOption) % 2 === 1;
-	return isHeld ? refuse('DECLARE WITH HOLD needs a connection of its own') : inspectWrite(node);
+	return isHeld ? refuse('DECLARE WITH HOLD needs a connection of its own') : classifyWrite(node);
 }
--- a/src/common/statements/text-scanner.ts
+++ b/src/common/statements/text-scanner.ts
@@ -13,8 +13,8 @@
 type Skip = (text: string, index: number) => number;
 
 const skips: ReadonlyMap<string, Skip> = new Map<string, Skip>([
-	['\'', (text, index) => isEscapeQuote(text, index) ? escapedEnd(text, index) : after(text, '\'', index + 1)],
-	['"', (text, index) => after(text, '"', index + 1)],
+	['\'', (text, index) => isEscapeQuote(text, index) ? escapedEnd(text, index) : endAfter(text, '\'', index + 1)],
+	['"', (text, index) => endAfter(text, '"', index + 1)],
 	['$', dollarEnd],
 	['-', (text, index) => text[index + 1] === '-' ? lineEnd(text, index) : index + 1],
 	// Nested comments are not worth following in such texts.
@@ -31,16 +31,16 @@
 
 	dollarTag.lastIndex = index;
 	const tag = dollarTag.exec(text)?.[0];
-	return tag ? after(text, tag, index + tag.length) : index + 1;
+	return tag ? endAfter(text, tag, index + tag.length) : index + 1;
 }
 
-function after(text: string, wanted: string, from: number): number {
+function endAfter(text: string, wanted: string, from: number): number {
 	const found = text.indexOf(wanted, from);
 	return found === -1 ? -1 : found + wanted.length;
 }
 
 function lineEnd(text: string, index: number): number {
-	const end = after(text, '\n', index);
+	const end = endAfter(text, '\n', index);
 	return end === -1 ? text.length : end;
 }
 
--- a/src/common/statements/transaction-plan.ts
+++ b/src/common/statements/transaction-plan.ts
@@ -12,56 +12,56 @@
 	readonly refusal: string | undefined;
 };
 
-type Progress = {
+type PlanState = {
 	isOpen: boolean;
 	isReadOnly: boolean;
 	isRead: boolean;
 	refusal: string | undefined;
 	/** Whether a statement came before, so that at least an implicit transaction is open. */
-	hasBegun: boolean;
+	hasPrecedingStatement: boolean;
 	hasCommitted: boolean;
 	hasRolledBack: boolean;
 	hasBegunWriting: boolean;
 };
 
-type Follow = (progress: Progress, statement: RelayedStatement) => void;
+type Transition = (progress: PlanState, statement: RelayedStatement) => void;
 
-const follows: Readonly<Record<RelayedStatement['transaction']['kind'], Follow>> = {
-	none: followStatement,
-	rollbackTo: followStatement,
-	begin: followBegin,
+const transitions: Readonly<Record<RelayedStatement['transaction']['kind'], Transition>> = {
+	none: applyStatement,
+	rollbackTo: applyStatement,
+	begin: applyBegin,
 	commit(progress, statement) {
 		progress.hasCommitted = true;
-		followEnd(progress, statement);
+		applyEnd(progress, statement);
 	},
 	rollback(progress, statement) {
 		progress.hasRolledBack = true;
-		followEnd(progress, statement);
+		applyEnd(progress, statement);
 	},
 };
 
 /** Routing relies on read-only transactions staying so. */
-const liftReason = 'a read-only transaction cannot be turned into one that writes';
+const disableReadOnlyReason = 'a read-only transaction cannot be turned into one that writes';
 
-function followStatement(progress: Progress, statement: RelayedStatement): void {
-	if (statement.needsTransaction && !progress.isOpen && !progress.hasBegun) {
+function applyStatement(progress: PlanState, statement: RelayedStatement): void {
+	if (statement.needsTransaction && !progress.isOpen && !progress.hasPrecedingStatement) {
 		progress.refusal = 'the value belongs to a connection; use RETURNING, or ask in the transaction that made it';
 	}
 
 	if (progress.isOpen && progress.isReadOnly) {
-		progress.refusal ??= statement.mayDisableReadOnly ? liftReason : undefined;
+		progress.refusal ??= statement.mayDisableReadOnly ? disableReadOnlyReason : undefined;
 		return;
 	}
 
 	progress.isRead &&= !progress.isOpen && statement.access === 'read';
 }
 
-function followBegin(progress: Progress, statement: RelayedStatement): void {
+function applyBegin(progress: PlanState, statement: RelayedStatement): void {
 	const mode = statement.transaction.kind === 'begin' ? statement.transaction.mode : 'default';
 	if (progress.isOpen) {
 		// A second BEGIN only warns, but its options apply.
 		progress.isRead &&= progress.isReadOnly;
-		progress.refusal ??= progress.isReadOnly && mode === 'readWrite' ? liftReason : undefined;
+		progress.refusal ??= progress.isReadOnly && mode === 'readWrite' ? disableReadOnlyReason : undefined;
 		return;
 	}
 
@@ -71,40 +71,40 @@
 	progress.hasBegunWriting ||= !progress.isReadOnly;
 }
 
-function followEnd(progress: Progress, statement: RelayedStatement): void {
+function applyEnd(progress: PlanState, statement: RelayedStatement): void {
 	progress.isRead &&= progress.isOpen && progress.isReadOnly;
 	const {transaction} = statement;
 	progress.isOpen &&= 'isChained' in transaction && transaction.isChained;
 }
 
-function plainPlan(access: 'read' | 'write'): TransactionPlan {
+function singleStatementPlan(access: 'read' | 'write'): TransactionPlan {
 	return {
 		access, step: 'none', isReadOnlyAfter: false, refusal: undefined,
 	};
 }
 
-const plainPlans = {read: plainPlan('read'), write: plainPlan('write')} as const;
+const singleStatementPlans = {read: singleStatementPlan('read'), write: singleStatementPlan('write')} as const;
 
 /** Follows statements that run one after another from a state. */
 export function planTransaction(statements: readonly RelayedStatement[], before: TransactionState): TransactionPlan {
 	const [first] = statements;
 	if (first && statements.length === 1 && !before.isOpen && first.transaction.kind === 'none' && !first.needsTransaction) {
 		// Most requests are a lone statement, which needs nothing to be followed.
-		return plainPlans[first.access];
+		return singleStatementPlans[first.access];
 	}
 
-	const progress: Progress = {
+	const progress: PlanState = {
 		...before,
 		isRead: true,
 		refusal: undefined,
-		hasBegun: false,
+		hasPrecedingStatement: false,
 		hasCommitted: false,
 		hasRolledBack: false,
 		hasBegunWriting: false,
 	};
 	for (const statement of statements) {
-		follows[statement.transaction.kind](progress, statement);
-		progress.hasBegun = true;
+		transitions[statement.transaction.kind](progress, statement);
+		progress.hasPrecedingStatement = true;
 	}
 
 	return {
@@ -116,7 +116,7 @@
 	};
 }
 
-function stepOf(wasOpen: boolean, progress: Progress): TransactionStep {
+function stepOf(wasOpen: boolean, progress: PlanState): TransactionStep {
 	if (!wasOpen) {
 		return progress.isOpen ? 'begin' : 'none';
 	}
