--- a/src/common/routing/caller-limiter.ts
+++ b/src/common/routing/caller-limiter.ts
@@ -1,12 +1,12 @@
 /**
- * Bounds the statements of one caller that are in progress on this node.
+ * Limits how many statements of one caller are in progress on this node at the same time.
  */
 
-/** Counts statements in progress by caller. */
+/** Counts the statements in progress of each caller. */
 export class CallerLimiter {
 	private readonly _inProgress = new Map<string, number>();
 
-	/** Takes a place for a statement; false when the caller has as many as it may. */
+	/** Counts a statement as in progress; returns false when the caller has reached its limit. */
 	tryEnter(caller: string, maximumInProgress: number): boolean {
 		const current = this._inProgress.get(caller) ?? 0;
 		if (current >= maximumInProgress) {
@@ -17,7 +17,7 @@
 		return true;
 	}
 
-	/** Gives the place back. */
+	/** Counts a statement of the caller as no longer in progress. */
 	leave(caller: string): void {
 		const current = this._inProgress.get(caller) ?? 0;
 		if (current <= 1) {
--- a/src/common/routing/constants.ts
+++ b/src/common/routing/constants.ts
@@ -4,29 +4,29 @@
 
 /** Options of the router; durations in milliseconds. */
 export type RoutingOptions = {
-	/** Longest time a write waits for the group to have a primary. */
+	/** Maximum time that a request waits for the group to have a primary. */
 	readonly primaryWaitMs: number;
-	/** Requests that may wait for a primary at one time; the rest are refused at once. */
+	/** Maximum number of requests that wait for a primary at the same time; further ones are refused immediately. */
 	readonly maximumPrimaryWaiters: number;
-	/** First pause before asking again for a primary; doubles up to the limit below. */
+	/** Pause before the homes are polled for the primary again; it doubles each time up to `maximumPrimaryPollMs`. */
 	readonly primaryPollMs: number;
 	readonly maximumPrimaryPollMs: number;
-	/** Timeout of asking one home for its view of a group. */
+	/** Timeout of a request to one home for its view of a group. */
 	readonly viewTimeoutMs: number;
-	/** How long an endpoint that could not be reached is passed over. */
+	/** How long no read is sent to an endpoint after a request to it failed. */
 	readonly endpointPenaltyMs: number;
-	/** How long the term of a primary that did not serve is not believed again. */
+	/** How long announcements of a term, or of an older one, are ignored after its primary did not serve as primary. */
 	readonly primaryRejectionMs: number;
-	/** Share of requests that may be sent again. */
+	/** Ratio of retries to requests that the retry budget allows. */
 	readonly retryShare: number;
-	/** Retries that are allowed however few requests there were. */
+	/** Retries that the budget allows in a burst, however few requests there were. */
 	readonly retryBurst: number;
-	/** Detours after a correction of the view that one request may take. */
+	/** Maximum number of detours of one request: attempts that follow a correction of the cached view. */
 	readonly maximumDetours: number;
-	/** Pause before the second detour; doubles up to the longest. The first is taken at once. */
+	/** Pause before the second detour of a request; it doubles up to `longestDetourPauseMs`. The first is taken immediately. */
 	readonly detourPauseMs: number;
 	readonly longestDetourPauseMs: number;
-	/** Least time that must be left for an attempt to make sense. */
+	/** Minimum time that must be left before the deadline for an attempt to be made. */
 	readonly minimumAttemptMs: number;
 };
 
--- a/src/common/routing/group-view-cache.ts
+++ b/src/common/routing/group-view-cache.ts
@@ -1,8 +1,9 @@
 /**
- * What this node believes about the groups it routes to.
+ * The cached views of the groups that this node routes to.
  *
- * Views are filled on demand and corrected by answers; nothing is broadcast. A wrong view
- * costs a refusal and a detour, because the home checks everything that matters.
+ * Views are filled on demand and corrected by the answers and refusals of homes; nothing is
+ * broadcast. A wrong view costs only a refusal and a detour, because the home of the endpoint
+ * checks everything that correctness depends on.
  */
 import type {ViewCorrection} from '../errors/error-kinds.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -11,32 +12,32 @@
 import {Emitter} from '../lifecycle/emitter.js';
 import type {Clock, GroupView, PrimaryAnnouncement} from '../services/services.js';
 
-/** What is believed about one endpoint. */
+/** The cached view of one endpoint. */
 export type CachedEndpointView = {
-	/** Position its reads were last known to include. */
+	/** Latest position that the endpoint's reads are known to include. */
 	applied: LogPosition;
-	/** Until when it is passed over, on the node's clock. */
+	/** Time until which reads avoid the endpoint, on the node's clock. */
 	avoidedUntilMs: number;
-	/** Requests from this node that it has not answered yet. */
+	/** Requests from this node that the endpoint has not answered yet. */
 	inProgress: number;
-	/** Node that said it serves the endpoint, where that differs from the rendezvous home. */
+	/** Node that serves the endpoint according to the last correction; undefined while the rendezvous home is used. */
 	homeNode: string | undefined;
 };
 
-/** What is believed about one group. */
+/** The cached view of one group. */
 export type CachedGroupView = {
 	term: number;
 	/** Name of the primary; empty when none is known. */
 	primary: string;
-	/** Term whose primary turned out not to serve, and until when that is remembered. */
+	/** Term whose primary did not serve as primary; announcements of it are ignored until `rejectedUntilMs`. */
 	rejectedTerm: number;
 	rejectedUntilMs: number;
 	readonly endpoints: Map<string, CachedEndpointView>;
 };
 
-/** Beliefs about groups, kept for those in use. */
+/** Caches the views of the groups that are in use. */
 export class GroupViewCache {
-	/** Fires with the group's name when its believed primary changes. */
+	/** Fires with the group's name when its cached primary changes. */
 	readonly onPrimary: Event<string>;
 
 	private readonly _groups = new Map<string, CachedGroupView>();
@@ -48,7 +49,7 @@
 		this.onPrimary = this._onPrimary.event;
 	}
 
-	/** The belief about a group; an empty one when nothing is known yet. */
+	/** The cached view of a group; an empty one is created when nothing is known yet. */
 	group(name: string): CachedGroupView {
 		let view = this._groups.get(name);
 		if (!view) {
@@ -65,7 +66,7 @@
 		return view;
 	}
 
-	/** The belief about an endpoint. */
+	/** The cached view of an endpoint; an empty one is created when nothing is known yet. */
 	endpoint(group: string, name: string): CachedEndpointView {
 		const {endpoints} = this.group(group);
 		let view = endpoints.get(name);
@@ -82,7 +83,7 @@
 		return view;
 	}
 
-	/** Takes in who is primary; an older term changes nothing. */
+	/** Updates the primary of a group; an announcement of an older term is ignored. */
 	learnPrimary({group, term, primary}: PrimaryAnnouncement): void {
 		const view = this.group(group);
 		const isNewer = term > view.term || (term === view.term && view.primary === '');
@@ -96,8 +97,8 @@
 		this._onPrimary.fire(group);
 	}
 
-	/** Takes in what a home said beside its answer or refusal. */
-	learnCorrection(group: string, asked: string, correction: ViewCorrection | undefined): void {
+	/** Applies the correction that a home sent with its answer or refusal. */
+	learnCorrection(group: string, requestedEndpoint: string, correction: ViewCorrection | undefined): void {
 		if (!correction) {
 			return;
 		}
@@ -107,7 +108,7 @@
 		}
 
 		if (correction.homeNode) {
-			this.endpoint(group, asked).homeNode = correction.homeNode;
+			this.endpoint(group, requestedEndpoint).homeNode = correction.homeNode;
 		}
 
 		for (const {endpoint, position} of correction.applied ?? []) {
@@ -115,13 +116,13 @@
 		}
 	}
 
-	/** Takes in a position that an endpoint's reads include. */
+	/** Updates the position that an endpoint's reads are known to include; it never moves back. */
 	learnApplied(group: string, endpoint: string, position: LogPosition): void {
 		const view = this.endpoint(group, endpoint);
 		view.applied = laterPosition(view.applied, position);
 	}
 
-	/** Takes in a home's whole view of a group. */
+	/** Applies a home's complete view of a group. */
 	learnView(view: GroupView): void {
 		if (view.primary) {
 			this.learnPrimary({group: view.group, term: view.term, primary: view.primary});
@@ -135,8 +136,9 @@
 	}
 
 	/**
-	 * Notes that the believed primary did not serve as one. For a while the same term is not
-	 * believed again, so that stale views of others do not lead back to it at once.
+	 * Records that the cached primary did not serve as primary. For `durationMs`, announcements
+	 * of the same or an older term are ignored, so that stale views of other nodes do not lead
+	 * back to it immediately.
 	 */
 	rejectPrimary(group: string, primary: string, durationMs: number): void {
 		const view = this.group(group);
@@ -149,12 +151,12 @@
 		view.rejectedUntilMs = this._clock.nowMs() + durationMs;
 	}
 
-	/** Passes over an endpoint for a while. */
+	/** Keeps reads away from an endpoint for `durationMs`. */
 	avoid(group: string, endpoint: string, durationMs: number): void {
 		this.endpoint(group, endpoint).avoidedUntilMs = this._clock.nowMs() + durationMs;
 	}
 
-	/** Forgets groups that the configuration no longer has. */
+	/** Removes the views of groups that are not among `names`, those of the configuration. */
 	retain(names: ReadonlySet<string>): void {
 		for (const name of this._groups.keys()) {
 			if (!names.has(name)) {
--- a/src/common/routing/primary-finder.ts
+++ b/src/common/routing/primary-finder.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the primary of a group on demand, by asking the homes of the group's endpoints.
+ * Finds the primary of a group on demand, by polling the homes of the group's endpoints.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {DisposableStore} from '../lifecycle/disposable.js';
@@ -10,7 +10,7 @@
 import type {RoutingOptions} from './constants.js';
 import type {GroupViewCache} from './group-view-cache.js';
 
-/** What the finder works with. */
+/** Services that the finder uses. */
 export type PrimaryFinderServices = {
 	readonly clock: Clock;
 	readonly configuration: Configuration;
@@ -21,7 +21,7 @@
 	readonly options: RoutingOptions;
 };
 
-/** Waits for a group to have a primary and asks around meanwhile; one search per group. */
+/** Waits until a group's primary is known and polls the group's homes meanwhile, in one search per group. */
 export class PrimaryFinder implements Disposable {
 	private readonly _services: PrimaryFinderServices;
 	private readonly _disposables = new DisposableStore();
@@ -32,13 +32,13 @@
 		this._services = services;
 	}
 
-	/** Whether another request may wait. */
+	/** Whether another request may wait for a primary. */
 	get hasWaiterCapacity(): boolean {
 		return this._waiterCount < this._services.options.maximumPrimaryWaiters;
 	}
 
 	/**
-	 * Resolves with true once a primary is believed, with false when the time is over or
+	 * Resolves with true once a primary is known, with false when the timeout has passed or
 	 * the request was cancelled.
 	 */
 	async waitForPrimary(group: string, timeoutMs: number, signal: AbortSignal): Promise<boolean> {
@@ -85,24 +85,24 @@
 		return isFound;
 	}
 
-	/** Starts a search unless one is on its way; it outlives the request that started it. */
+	/** Starts a search unless one is in progress; it continues when the request that started it has ended. */
 	private _search(group: string, untilMs: number): void {
 		if (this._searches.has(group)) {
 			return;
 		}
 
-		const search = this._askUntilFound(group, untilMs).finally(() => {
+		const search = this._pollUntilFound(group, untilMs).finally(() => {
 			this._searches.delete(group);
 		});
 		this._searches.set(group, search);
 	}
 
-	private async _askUntilFound(group: string, untilMs: number): Promise<void> {
+	private async _pollUntilFound(group: string, untilMs: number): Promise<void> {
 		const {clock, views, options} = this._services;
 		let pauseMs = options.primaryPollMs;
 		while (!this._disposables.isDisposed && clock.nowMs() < untilMs) {
-			// One round asks every home of the group at the same time.
-			await this._askHomes(group);
+			// Each round polls all homes of the group concurrently.
+			await this._pollHomes(group);
 			if (views.group(group).primary) {
 				return;
 			}
@@ -112,7 +112,7 @@
 		}
 	}
 
-	private async _askHomes(group: string): Promise<void> {
+	private async _pollHomes(group: string): Promise<void> {
 		const {configuration, membership, views} = this._services;
 		const homes = new Map<string, Host>();
 		for (const endpoint of configuration.group(group)?.endpoints ?? []) {
--- a/src/common/routing/refusal-steps.ts
+++ b/src/common/routing/refusal-steps.ts
@@ -1,9 +1,9 @@
 /**
- * What the router does after a refusal that lets a request go on.
+ * The step that the router takes after a refusal that allows another attempt.
  */
 import type {ErrorKind} from '../errors/error-kinds.js';
 
-/** The router's ways to go on. */
+/** How the router prepares another attempt of a refused request. */
 export type NextStep = 'detour' | 'anotherEndpoint' | 'anotherReplica' | 'findPrimary' | 'retry';
 
 /** Next step by the kind of refusal; kinds that are not listed are retried within the budget. */
--- a/src/common/routing/replica-ranking.ts
+++ b/src/common/routing/replica-ranking.ts
@@ -1,8 +1,9 @@
 /**
- * Chooses the endpoint of a read.
+ * Ranks the replicas that a read may be sent to.
  *
- * An endpoint that is believed to include the wanted position goes before one that is
- * not, one in the caller's zone before others, and a less busy one before a busier one.
+ * A replica that is known to include the required position ranks before one that is not.
+ * Among those that include it, the one with fewer requests in progress ranks first, where a
+ * replica outside the caller's availability zone counts as having a few more.
  */
 import {hasReached} from '../positions/log-position.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -12,10 +13,10 @@
 /** Why a replica was chosen; a label of the routing metric. */
 export type ReplicaReason = 'replica' | 'replicaMayCatchUp';
 
-/** Why the primary was chosen: for a write, by a rule, since no replica is open, or since those that are lag. */
+/** Why the primary was chosen: for a write, by the caller's policy, since no replica is eligible, or since the replicas that were tried lag. */
 export type PrimaryReason = 'primary' | 'primaryByRule' | 'primaryNoReplica' | 'primaryBehind';
 
-/** What a read asks of its endpoint. */
+/** What a read requires of its endpoint. */
 export type ReadRequirements = {
 	readonly group: string;
 	readonly availabilityZone: string;
@@ -25,7 +26,7 @@
 	readonly nowMs: number;
 };
 
-/** A chosen endpoint and the reason. */
+/** An eligible replica, and the reason that is reported if it is chosen. */
 export type RankedReplica = {
 	readonly endpoint: EndpointDefinition;
 	readonly reason: ReplicaReason;
@@ -37,11 +38,11 @@
 	readonly isLocal: boolean;
 	readonly applied: LogPosition;
 	readonly inProgress: number;
-	/** Spreads equal candidates. */
+	/** Random number that distributes reads over candidates of equal cost. */
 	readonly tieBreak: number;
 };
 
-/** The replicas that may take a read, best first. */
+/** Returns the replicas that are eligible for a read, best first. */
 export function rankReplicas(
 	services: {readonly configuration: Configuration; readonly views: GroupViewCache; readonly random: Random},
 	requirements: ReadRequirements,
@@ -85,15 +86,15 @@
 	}
 
 	if (!a.hasPosition) {
-		// Neither is known to have the position: the one further on is likelier to.
+		// Neither is known to include the position; the one with the later position is more likely to.
 		return (b.applied.term - a.applied.term) || (b.applied.offset - a.applied.offset);
 	}
 
-	// A local endpoint saves a crossing between zones, worth a few queued requests.
+	// A local endpoint saves a network hop between zones, which is worth a few queued requests.
 	const costA = a.inProgress + (a.isLocal ? 0 : remoteZoneCost);
 	const costB = b.inProgress + (b.isLocal ? 0 : remoteZoneCost);
 	return costA - costB || a.tieBreak - b.tieBreak;
 }
 
-/** How many requests in progress outweigh a crossing between zones. */
+/** Number of requests in progress that cost as much as a network hop between zones. */
 const remoteZoneCost = 3;
--- a/src/common/routing/request-progress.ts
+++ b/src/common/routing/request-progress.ts
@@ -1,5 +1,5 @@
 /**
- * One routed request while it is in progress: what it has left and what it has tried.
+ * State of one routed request while it is in progress: its limits and what was tried so far.
  */
 import type {Refusal} from '../errors/error-kinds.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -17,9 +17,9 @@
 	readonly signal: AbortSignal;
 	/** Endpoints that refused this request. */
 	readonly refusedBy = new Set<string>();
-	/** Last refusal, the answer when nothing else is left to try. */
+	/** Last refusal; it is the answer when no target is left to try. */
 	lastRefusal: Refusal | undefined;
-	/** Whether an attempt ended without its being known that nothing ran. */
+	/** Whether an attempt ended and it is not certain that nothing ran. */
 	mayHaveRun = false;
 	retryCount = 0;
 	detourCount = 0;
@@ -39,12 +39,12 @@
 		this.deadlineAtMs = deadlineAtMs;
 	}
 
-	/** Whether part of an answer has gone to the caller, after which nothing may be repeated. */
+	/** Whether part of an answer was sent to the caller; after that the request must not be retried. */
 	get hasPushed(): boolean {
 		return this._hasPushed;
 	}
 
-	/** Largest age of the data that this request accepts. */
+	/** Maximum staleness that this request accepts, the stricter limit of session and policy; undefined when neither has one. */
 	get maximumAgeMs(): number | undefined {
 		const {maximumAgeMs: sessionLimitMs} = this.session;
 		const {maximumAgeMs: policyLimitMs} = this.policy;
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Whether the answer must be proved fresh after the request came: a caller without a
-	 * complete token may have written elsewhere and states no age that it accepts.
+	 * Whether the answer's freshness must be proved after the request arrived: a caller without
+	 * a complete token may have written through another connection, and accepts no staleness.
 	 */
 	get needsProof(): boolean {
 		const {session, cycle} = this;
@@ -75,10 +75,10 @@
 	}
 }
 
-/** Where one attempt goes. */
+/** The endpoint that one attempt is sent to. */
 export type Target = {
 	readonly endpoint: EndpointDefinition;
-	/** Why it goes there; a label of the routing metric. */
+	/** Why the endpoint was chosen; a label of the routing metric. */
 	readonly reason: PrimaryReason | ReplicaReason | 'transaction';
 	readonly isPrimary: boolean;
 };
--- a/src/common/routing/retry-budget.ts
+++ b/src/common/routing/retry-budget.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds retries to a share of the requests, so that failures cannot multiply load.
+ * Limits retries to a share of the requests, so that failures cannot multiply the load.
  */
 
 /** A token bucket that requests fill and retries empty. */
@@ -10,7 +10,7 @@
 
 	/**
 	 * @param share tokens that one request adds
-	 * @param burst most tokens that are kept
+	 * @param burst maximum number of tokens in the bucket
 	 */
 	constructor(share: number, burst: number) {
 		this._share = share;
@@ -23,12 +23,12 @@
 		return this._tokens < 1;
 	}
 
-	/** Notes a first attempt. */
+	/** Adds the tokens of one request; to be called for its first attempt only. */
 	onRequest(): void {
 		this._tokens = Math.min(this._burst, this._tokens + this._share);
 	}
 
-	/** Takes one retry out of the budget; false when it is used up. */
+	/** Takes the token of one retry; returns false when the budget is exhausted. */
 	tryRetry(): boolean {
 		if (this._tokens < 1) {
 			return false;
--- a/src/common/routing/retry-policy.ts
+++ b/src/common/routing/retry-policy.ts
@@ -1,5 +1,5 @@
 /**
- * What follows a refusal: whether the request may be tried again, and what changes before.
+ * Decides after a refusal whether the request is attempted again, and what changes before that.
  */
 import type {Refusal} from '../errors/error-kinds.js';
 import type {Clock} from '../services/services.js';
@@ -10,7 +10,7 @@
 import {nextStepByKind, type NextStep} from './refusal-steps.js';
 import type {RetryBudget} from './retry-budget.js';
 
-/** What the decision works with. */
+/** Services that the policy uses. */
 export type RetryPolicyServices = {
 	readonly clock: Clock;
 	readonly views: GroupViewCache;
@@ -18,7 +18,7 @@
 	readonly options: RoutingOptions;
 };
 
-/** Decides over further attempts. */
+/** Decides whether a refused request is attempted again. */
 export class RetryPolicy {
 	private readonly _services: RetryPolicyServices;
 
@@ -34,7 +34,7 @@
 		this._services = services;
 	}
 
-	/** Decides after a refusal whether the request goes on, and prepares the next attempt. */
+	/** Resolves with whether the request is attempted again; if so, the next attempt has been prepared. */
 	async prepareRetry(progress: RequestProgress, target: Target, refusal: Refusal): Promise<boolean> {
 		if (progress.hasPushed || progress.signal.aborted) {
 			return false;
@@ -50,7 +50,7 @@
 		return this._stepHandlers[step](progress, target);
 	}
 
-	/** A step aside that costs others nothing; the first is taken at once, later ones after a pause. */
+	/** Counts a detour, which takes nothing from the retry budget; the first is taken immediately, later ones after a pause. */
 	private async _takeDetour(progress: RequestProgress): Promise<boolean> {
 		const {clock, options} = this._services;
 		progress.detourCount += 1;
@@ -67,7 +67,7 @@
 		return !progress.signal.aborted;
 	}
 
-	/** The asked node does not serve the endpoint: believe what it said, or membership again. */
+	/** The node does not serve the endpoint: uses the home that its refusal names, or the rendezvous home if it names none. */
 	private async _applyHomeCorrection(progress: RequestProgress, target: Target): Promise<boolean> {
 		const view = this._services.views.endpoint(progress.session.group, target.endpoint.name);
 		view.homeNode = progress.lastRefusal?.correction?.homeNode;
@@ -78,20 +78,20 @@
 		return this._takeDetour(progress);
 	}
 
-	/** The endpoint cannot take this request: another can. */
+	/** The endpoint cannot serve this request but another one may: excludes it from the next attempts. */
 	private async _excludeEndpoint(progress: RequestProgress, target: Target): Promise<boolean> {
 		progress.refusedBy.add(target.endpoint.name);
 		return target.isPrimary ? this._rejectPrimary(progress, target) : true;
 	}
 
-	/** What was believed to be primary is not: find out who is. */
+	/** The endpoint does not serve as primary: removes it from the cached view, so that the primary is searched for. */
 	private async _rejectPrimary(progress: RequestProgress, target: Target): Promise<boolean> {
 		const {primaryRejectionMs} = this._services.options;
 		this._services.views.rejectPrimary(progress.session.group, target.endpoint.name, primaryRejectionMs);
 		return this._takeDetour(progress);
 	}
 
-	/** Something broke: pass the endpoint over and spend from the budget. */
+	/** The attempt failed for another reason: avoids the endpoint and takes a retry from the budget. */
 	private _spendRetry(progress: RequestProgress, target: Target): boolean {
 		const {endpointPenaltyMs, primaryRejectionMs} = this._services.options;
 		const {group} = progress.session;
--- a/src/common/routing/statement-router.test.ts
+++ b/src/common/routing/statement-router.test.ts
@@ -28,11 +28,14 @@
 	name: 'stock', service: 'shop', labels: {}, endpoints: [endpoint('first'), endpoint('second'), endpoint('third')],
 };
 
-/** A router on the home of every endpoint; `first` is primary. Keeps what the homes were asked; replicas may lag. */
+/**
+ * Creates a router on the node that is the home of every endpoint; `first` is the primary.
+ * Records the requests to the home; replicas refuse as behind if `areReplicasBehind` is set.
+ */
 function makeRouter(areReplicasBehind = false) {
 	const requests: HomeRequest[] = [];
 	const unused = (): never => {
-		throw new Error('not expected here');
+		throw new Error('unexpected call of a service that the test does not use');
 	};
 
 	const services: StatementRouterServices = {
@@ -90,7 +93,7 @@
 	return {router, requests, services};
 }
 
-/** A home on another host: says what it was asked, and answers each cycle as told. */
+/** Executors of homes on other hosts: they record the host of each call and return the given answers in order. */
 function remoteHome(answers: ReadonlyArray<Either<Refusal, HomeEnd>>) {
 	const asked: string[] = [];
 	const left = [...answers];
@@ -136,10 +139,10 @@
 			name: 'a read with a complete token goes to a replica', session: {isComplete: true}, access: 'read', isPrimary: false, isProved: false,
 		},
 		{
-			name: 'a read without one goes to a replica, with a proof', session: {isComplete: false}, access: 'read', isPrimary: false, isProved: true,
+			name: 'a read without a complete token goes to a replica, with a freshness proof', session: {isComplete: false}, access: 'read', isPrimary: false, isProved: true,
 		},
 		{
-			name: 'a read without one that accepts an age goes to a replica', session: {isComplete: false, maximumAgeMs: 500}, access: 'read', isPrimary: false, isProved: false,
+			name: 'a read without a complete token that accepts a staleness goes to a replica', session: {isComplete: false, maximumAgeMs: 500}, access: 'read', isPrimary: false, isProved: false,
 		},
 		{
 			name: 'a write goes to the primary', session: {isComplete: false}, access: 'write', isPrimary: true, isProved: false,
@@ -169,7 +172,7 @@
 		expect(asked).toEqual(['n2', 'n2', 'n2 released']);
 	});
 
-	it('a BEGIN that was given up on is released, since it may have begun', async () => {
+	it('the connection of a BEGIN that failed is released, since the transaction may have begun', async () => {
 		const {router, services} = makeRouter();
 		const {asked, executorOf} = remoteHome([Left(new Refusal('deadlineExceeded'))]);
 		services.peers.executorOf = executorOf;
@@ -178,7 +181,7 @@
 		expect(asked).toEqual(['n2', 'n2 released']);
 	});
 
-	it('what may have run is not sent again', async () => {
+	it('a write that may have run is not sent again', async () => {
 		const {router, services} = makeRouter();
 		const {asked, executorOf} = remoteHome([Left(new Refusal('outcomeUnknown'))]);
 		services.peers.executorOf = executorOf;
@@ -188,7 +191,7 @@
 		expect(asked).toEqual(['n2']);
 	});
 
-	it('a read without a token that one replica lags behind goes to the primary next, with a proof', async () => {
+	it('a read without a token goes to the primary next, with a freshness proof, when a replica refuses it as behind', async () => {
 		const {router, requests} = makeRouter(true);
 		const cycle = {frames: new Uint8Array(5), access: 'read', step: 'none'} as const;
 		const end = await router.execute(makeSession({isComplete: false}), cycle, {push: () => undefined}, new AbortController().signal);
--- a/src/common/routing/statement-router.ts
+++ b/src/common/routing/statement-router.ts
@@ -1,6 +1,6 @@
 /**
- * Sees request cycles through: chooses an endpoint, asks its home, follows corrections and
- * retries what certainly did not run, within the deadline and a budget.
+ * Routes request cycles: chooses an endpoint, sends the cycle to its home, applies corrections
+ * and retries what certainly did not run or is idempotent, within the deadline and a budget.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -22,7 +22,7 @@
 import {RetryBudget} from './retry-budget.js';
 import {TargetSelector} from './target-selector.js';
 
-/** What the router works with. */
+/** Services that the router uses. */
 export type StatementRouterServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -32,14 +32,14 @@
 	readonly membership: Membership;
 	readonly peers: Peers;
 	readonly groups: Groups;
-	/** Executes for the endpoints that this node is home of. */
+	/** Executes requests for the endpoints whose home is this node. */
 	readonly localExecutor: HomeExecutor;
 	readonly options: RoutingOptions;
 };
 
 /** Routes the statements of this node's callers. */
 export class StatementRouter implements Router, Disposable {
-	/** What this node believes about groups; peers' announcements go here. */
+	/** Cached views of groups; announcements of peers are applied to them. */
 	readonly views: GroupViewCache;
 
 	private readonly _services: StatementRouterServices;
@@ -48,7 +48,7 @@
 	private readonly _limits = new CallerLimiter();
 	private readonly _targetSelector: TargetSelector;
 	private readonly _retryPolicy: RetryPolicy;
-	/** Hosts that hold sessions' transactions; an endpoint's home may move while they go on. */
+	/** Hosts that hold the open transactions of sessions; an endpoint's home may move while a transaction is open. */
 	private readonly _transactionHosts = new WeakMap<RoutedSession, Host>();
 
 	constructor(services: StatementRouterServices) {
@@ -109,7 +109,7 @@
 		this._disposables.dispose();
 	}
 
-	/** Tries targets one after another until one answers or nothing is left to try. */
+	/** Tries targets one after another until one answers or no target is left to try. */
 	private async _tryUntilAnswered(progress: RequestProgress): Promise<Either<Refusal, RouteEnd>> {
 		for (;;) {
 			const target = await this._targetSelector.select(progress);
@@ -130,7 +130,7 @@
 		}
 	}
 
-	/** The transaction's connection is at one home; nothing else can serve its statements. */
+	/** Sends a statement to the home that holds the transaction's connection; no other home can serve it. */
 	private async _continueTransaction(progress: RequestProgress, heldEndpoint: string): Promise<Either<Refusal, RouteEnd>> {
 		const {session} = progress;
 		const endpoint = this._endpoint(session.group, heldEndpoint);
@@ -152,7 +152,7 @@
 		});
 	}
 
-	/** One request to one home. */
+	/** Sends the request once, to the home of the target. */
 	private async _attempt(progress: RequestProgress, target: Target): Promise<Either<Refusal, RouteEnd>> {
 		const {clock, metrics, invariants} = this._services;
 		const {session} = progress;
@@ -167,7 +167,7 @@
 		}
 
 		const mayBeSent = !progress.mayHaveRun || session.isIdempotent;
-		if (!invariants.check('atMostOnce', mayBeSent, () => `${progress.lastRefusal?.kind ?? ''} and then ${target.endpoint.name}`)) {
+		if (!invariants.check('atMostOnce', mayBeSent, () => `${progress.lastRefusal?.kind ?? ''}, then sent to ${target.endpoint.name}`)) {
 			return Left(new Refusal('invariantViolated', 'the request may have run already'));
 		}
 
@@ -179,7 +179,7 @@
 		const result = await executor.execute(request, progress, progress.signal);
 		view.inProgress -= 1;
 		if (result.isLeft() && progress.cycle.step === 'begin') {
-			// The home may have begun it all the same, and would keep a connection for it until it was idle for too long.
+			// The home may have begun the transaction nevertheless, and would hold a connection for it until the idle timeout.
 			executor.release(session.group, target.endpoint.name, session.id);
 		}
 
@@ -217,7 +217,7 @@
 		this.views.learnApplied(group, target.endpoint.name, end.position);
 		if (cycle.access === 'read' && end.transactionStatus === 'idle') {
 			const wanted = progress.minimumPosition;
-			this._services.invariants.check('readYourWrites', hasReached(end.position, wanted), () => `${target.endpoint.name} answered before the session's position`);
+			this._services.invariants.check('readYourWrites', hasReached(end.position, wanted), () => `${target.endpoint.name} answered from a position before the session's`);
 		}
 
 		session.marks.advance(group, end.position);
@@ -241,7 +241,7 @@
 		this.views.learnCorrection(group, target.endpoint.name, refusal.correction);
 		progress.mayHaveRun ||= refusal.answer.outcome !== 'notRun';
 		if (refusal.kind === 'peerUnavailable') {
-			// Membership finds out whether that host is gone; a correction that named it would outlive it.
+			// Membership finds out whether that host is down; a correction that names it could outlast the host, so it is dropped.
 			this.views.endpoint(group, target.endpoint.name).homeNode = undefined;
 		}
 
@@ -257,7 +257,7 @@
 		return this._services.configuration.group(group)?.endpoints.find(endpoint => endpoint.name === name);
 	}
 
-	/** The home by the last correction while that host lives, else by rendezvous. */
+	/** The home that the last correction names while that host is a member, else the rendezvous home. */
 	private _homeOf(group: string, endpoint: EndpointDefinition): Host | undefined {
 		const {membership} = this._services;
 		const view = this.views.endpoint(group, endpoint.name);
@@ -271,7 +271,7 @@
 	}
 }
 
-/** A transaction whose home cannot be reached any more has been rolled back, unless it was being committed. */
+/** Turns a refusal after which the home no longer holds the transaction into `transactionLost`: unless it was being committed, it has been rolled back. */
 function lostTransactionRefusal(progress: RequestProgress, refusal: Refusal): Refusal {
 	const lostKinds = new Set<ErrorKind>(['peerUnavailable', 'notHome', 'endpointUnavailable', 'notPrimary']);
 	return lostKinds.has(refusal.kind) ? new Refusal('transactionLost', refusal.detail) : refusal;
--- a/src/common/routing/target-selector.ts
+++ b/src/common/routing/target-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses where the next attempt of a request goes: a replica for certain reads, else the
- * primary, which is waited for while the group has none.
+ * Chooses the endpoint of a request's next attempt: a replica for statements that are certain
+ * to be reads, else the primary. Waits for a primary while the group has none.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -9,10 +9,10 @@
 import {PrimaryFinder, type PrimaryFinderServices} from './primary-finder.js';
 import {rankReplicas, type PrimaryReason} from './replica-ranking.js';
 
-/** What the choice works with. */
+/** Services that the selector uses. */
 export type TargetSelectorServices = PrimaryFinderServices & {readonly random: Random};
 
-/** Chooses targets by rules, beliefs and what the request has met so far. */
+/** Chooses targets by the caller's policy, the cached views and the request's refusals so far. */
 export class TargetSelector implements Disposable {
 	private readonly _services: TargetSelectorServices;
 	private readonly _finder: PrimaryFinder;
@@ -22,7 +22,7 @@
 		this._finder = new PrimaryFinder(services);
 	}
 
-	/** The target of the next attempt; undefined when there is none in time. */
+	/** Resolves with the target of the next attempt; undefined when none is found in time. */
 	async select(progress: RequestProgress): Promise<Target | undefined> {
 		if (progress.cycle.access === 'read') {
 			const target = this._chooseReadTarget(progress);
@@ -59,7 +59,7 @@
 		return best && {endpoint: best.endpoint, reason: best.reason, isPrimary: false};
 	}
 
-	/** The primary, waited for where there is none at the moment. */
+	/** Resolves with the primary; waits for one while none is known. */
 	private async _choosePrimary(progress: RequestProgress): Promise<Target | undefined> {
 		const {group} = progress.session;
 		if (!this._services.views.group(group).primary) {
