--- a/src/common/routing/constants.ts
+++ b/src/common/routing/constants.ts
@@ -13,7 +13,7 @@
 	readonly maximumPrimaryPollMs: number;
 	/** Timeout of a request to one home for its view of a group. */
 	readonly viewTimeoutMs: number;
-	/** How long no read is sent to an endpoint after a request to it failed. */
+	/** How long an endpoint is not chosen as a replica after a request to it failed. */
 	readonly endpointPenaltyMs: number;
 	/** How long announcements of a term, or of an older one, are ignored after its primary did not serve as primary. */
 	readonly primaryRejectionMs: number;
--- a/src/common/routing/group-view-cache.ts
+++ b/src/common/routing/group-view-cache.ts
@@ -1,9 +1,9 @@
 /**
  * The cached views of the groups that this node routes to.
  *
- * Views are filled on demand and corrected by the answers and refusals of homes; nothing is
- * broadcast. A wrong view costs only a refusal and a detour, because the home of the endpoint
- * checks everything that correctness depends on.
+ * Views are filled on demand and corrected by the answers and refusals of homes; they are not
+ * broadcast to all nodes. A wrong view costs only a refusal and a detour, because the home of
+ * the endpoint checks everything that correctness depends on.
  */
 import type {ViewCorrection} from '../errors/error-kinds.js';
 import type {LogPosition} from '../positions/log-position.js';
@@ -16,7 +16,7 @@
 export type CachedEndpointView = {
 	/** Latest position that the endpoint's reads are known to include. */
 	applied: LogPosition;
-	/** Time until which reads avoid the endpoint, on the node's clock. */
+	/** Time until which the endpoint is not chosen as a replica, on the node's clock. */
 	avoidedUntilMs: number;
 	/** Requests from this node that the endpoint has not answered yet. */
 	inProgress: number;
@@ -151,7 +151,7 @@
 		view.rejectedUntilMs = this._clock.nowMs() + durationMs;
 	}
 
-	/** Keeps reads away from an endpoint for `durationMs`. */
+	/** Excludes an endpoint from the choice of replicas for `durationMs`. */
 	avoid(group: string, endpoint: string, durationMs: number): void {
 		this.endpoint(group, endpoint).avoidedUntilMs = this._clock.nowMs() + durationMs;
 	}
--- a/src/common/routing/request-progress.ts
+++ b/src/common/routing/request-progress.ts
@@ -57,7 +57,8 @@
 
 	/**
 	 * Whether the answer's freshness must be proved after the request arrived: a caller without
-	 * a complete token may have written through another connection, and accepts no staleness.
+	 * a complete token may have written through another connection, and states no staleness
+	 * that it accepts.
 	 */
 	get needsProof(): boolean {
 		const {session, cycle} = this;
--- a/src/common/routing/retry-policy.ts
+++ b/src/common/routing/retry-policy.ts
@@ -91,7 +91,7 @@
 		return this._takeDetour(progress);
 	}
 
-	/** The attempt failed for another reason: avoids the endpoint and takes a retry from the budget. */
+	/** The attempt failed for another reason: avoids the endpoint for a while and takes a retry from the budget. */
 	private _spendRetry(progress: RequestProgress, target: Target): boolean {
 		const {endpointPenaltyMs, primaryRejectionMs} = this._services.options;
 		const {group} = progress.session;
