--- a/src/common/statements/answer-filter.ts
+++ b/src/common/statements/answer-filter.ts
@@ -1,16 +1,16 @@
 /**
- * Takes out of an answer the replies to messages that the proxy put in, and keeps the
- * session's prepared statements in step with what the endpoint confirmed.
+ * Removes from an answer the replies to messages that the proxy injected, and updates the
+ * session's prepared statements with what the endpoint confirmed.
  */
 import {backendCodes} from './constants.js';
 import {joinFrames, readUint32} from './frames.js';
 import type {PreparedStatement, PreparedStatements} from './prepared-statements.js';
 
-/** A ParseComplete or CloseComplete that is to come, in the order of the requests. */
+/** A ParseComplete or CloseComplete that is expected; replies come in the order of their requests. */
 export type ExpectedReply = {
 	/** Whether it answers a message that the caller did not send. */
 	readonly isInjected: boolean;
-	/** Name of the statement that the caller parses or closes; undefined for others. */
+	/** Name of the statement that the caller parses or closes; undefined for other messages. */
 	readonly name?: string;
 	/** The statement that the caller parses; undefined when it closes the name. */
 	readonly statement?: PreparedStatement;
@@ -27,12 +27,12 @@
 		this._prepared = prepared;
 	}
 
-	/** Filters whole backend messages; may leave nothing. */
+	/** Filters complete backend messages; returns no bytes if all of them are removed. */
 	apply(frames: Uint8Array): Uint8Array {
 		const kept: Uint8Array[] = [];
 		let keptFrom = 0;
 		let offset = 0;
-		// Once every reply has come, the rest passes without a look at its frames.
+		// Once every expected reply has arrived, the rest passes without its frames being read.
 		while (offset < frames.length && this._next < this._expected.length) {
 			const end = offset + 1 + readUint32(frames, offset + 1);
 			if (this._isInjected(frames[offset])) {
--- a/src/common/statements/constants.ts
+++ b/src/common/statements/constants.ts
@@ -1,24 +1,24 @@
-/** Bounds, message codes and lists of names for statements. */
+/** Limits, message codes and lists of function names for statement handling. */
 
 /** Options of statement handling and their defaults. */
 export const statementDefaults = {
-	/** Classified texts that are remembered. */
+	/** Maximum number of classified texts in the cache. */
 	maximumCachedTexts: 1000,
-	/** Longest text that is remembered, in characters. */
+	/** Longest text that is cached, in characters. */
 	maximumCachedChars: 8192,
-	/** Longest text that is parsed; a longer one is only scanned (30 µs a parse grows to 10 ms here). */
+	/** Longest text that is parsed, in characters; a longer one is only scanned, since a parse that usually takes 30 µs takes 10 ms at this length. */
 	maximumParsedChars: 32_768,
-	/** Prepared statements of one session. */
+	/** Maximum number of prepared statements of one session. */
 	maximumPrepared: 256,
-	/** Bytes of one session's prepared statements. */
+	/** Maximum size of one session's prepared statements, in bytes. */
 	maximumPreparedBytes: 1_048_576,
-	/** Bytes of one request cycle. */
+	/** Maximum size of one request cycle, in bytes. */
 	maximumCycleBytes: 33_554_432,
-	/** Messages of one request cycle. */
+	/** Maximum number of messages of one request cycle. */
 	maximumCycleMessages: 10_000,
 };
 
-/** Codes of the frontend messages that matter here. */
+/** Codes of the frontend messages that the proxy handles. */
 export const frontendCodes = {
 	bind: 0x42,
 	close: 0x43,
@@ -30,7 +30,7 @@
 	sync: 0x53,
 } as const;
 
-/** Codes of the backend messages that matter here. */
+/** Codes of the backend messages that the proxy reads or writes. */
 export const backendCodes = {
 	parseComplete: 0x31,
 	bindComplete: 0x32,
@@ -46,16 +46,16 @@
 	parameterDescription: 0x74,
 } as const;
 
-/** What Describe and Close name. */
+/** Kinds of target in Describe and Close messages. */
 export const targetCodes = {statement: 0x53, portal: 0x50} as const;
 
 /** Object identifier of the type `text`. */
 export const textTypeOid = 25;
 
 /**
- * Functions that are certain to change nothing and to need no connection of their own.
- * A function that is not listed makes its statement a write, which costs a replica read
- * but is never wrong.
+ * Functions that are certain to change nothing and to need no dedicated connection.
+ * A function that is not listed makes its statement a write, which keeps a possible read off
+ * the replicas but is always safe.
  */
 export const readOnlyFunctions: ReadonlySet<string> = new Set(`
 abs acos age any_value array_agg array_append array_cat array_length array_lower array_ndims array_position
@@ -90,8 +90,8 @@
 phraseto_tsquery width_bucket xmlagg similar_to_escape
 `.trim().split(/\s+/v));
 
-/** Functions whose results depend on what ran before on the same connection. */
+/** Functions whose results depend on statements that ran earlier on the same connection. */
 export const sessionStateFunctions: ReadonlySet<string> = new Set(['currval', 'lastval']);
 
-/** Ways of sampling a table that come with the database. */
+/** Table sampling methods that are built into the database. */
 export const builtInSamplingMethods: ReadonlySet<string> = new Set(['system', 'bernoulli']);
--- a/src/common/statements/cycle-builder.test.ts
+++ b/src/common/statements/cycle-builder.test.ts
@@ -12,7 +12,7 @@
 
 const outside: TransactionState = {isOpen: false, isReadOnly: false};
 
-/** Makes a message from its short form: code, then its texts separated by bars. */
+/** Encodes a message from its short form: the code, the kind of target for Describe and Close, then the texts separated by `|`. */
 function message(short: string): Uint8Array {
 	const code = short.codePointAt(0) ?? 0;
 	const target = /^[DC]/v.test(short) ? Uint8Array.of(short.codePointAt(1) ?? 0) : new Uint8Array(0);
@@ -49,7 +49,7 @@
 	readonly prepared = new PreparedStatements({maximumPrepared: 3, maximumPreparedBytes: 1000});
 	readonly builder = new CycleBuilder(this.prepared, new StatementClassifier(), {maximumCycleBytes: 5000, maximumCycleMessages: 50});
 
-	/** Adds messages and ends the cycle. */
+	/** Adds messages and builds the cycle; returns the kind of the refusal if there is one. */
 	cycle(shorts: readonly string[], transaction = outside): BuiltCycle | string {
 		for (const short of shorts) {
 			const refusal = this.builder.add(message(short));
@@ -63,7 +63,7 @@
 		return built.isLeft() ? built.extract().kind : built.unsafeCoerce();
 	}
 
-	/** Runs a cycle against replies; returns what is sent and what the caller gets. */
+	/** Filters the replies to a cycle; returns the messages for the endpoint and the reply codes that the caller receives. */
 	run(shorts: readonly string[], replies: string): {readonly sent: string; readonly got: string} {
 		const cycle = this.cycle(shorts);
 		if (typeof cycle === 'string' || cycle.kind === 'local') {
@@ -80,25 +80,25 @@
 describe('CycleBuilder', () => {
 	before(loadParser);
 
-	it('makes cycles that run on any connection, and hides what it put in', () => {
+	it('builds cycles that run on any connection, and removes the replies to injected messages', () => {
 		const session = new Session();
 		const steps: ReadonlyArray<readonly [shorts: readonly string[], replies: string, sent: string, got: string]> = [
-			// An unnamed statement passes as it is.
+			// An unnamed statement passes unchanged.
 			[['P|select 1', 'B|', 'DP', 'E'], '12TDC', 'P|select 1 B| DP E S', '12TDC'],
-			// It is still known in the next cycle.
+			// The unnamed statement can still be bound in the next cycle.
 			[['B|', 'E'], '12DC', 'P|select 1 B| E S', '2DC'],
 			[['Ps1|select 2', 'DSs1'], '1tT', 'P|select 2 DS S', '1tT'],
 			[['B|s1', 'E'], '12DC', 'P|select 2 B| E S', '2DC'],
-			// One parse serves two uses in a row, and each change needs one.
+			// One Parse serves consecutive uses of a statement; each change of statement needs another.
 			[['B|s1', 'E', 'B|s1', 'E', 'B|', 'E'], '12DC2DC12DC', 'P|select 2 B| E B| E P|select 1 B| E S', '2DC2DC2DC'],
 			[['Ps2|select 3', 'B|s1', 'E', 'B|s2', 'E'], '112DC12DC', 'P|select 3 P|select 2 B| E P|select 3 B| E S', '12DC2DC'],
-			// What an endpoint refused is not known afterwards.
+			// A statement whose Parse the endpoint refused is not stored.
 			[['Ps3|select wrong'], 'E', 'P|select wrong S', 'E'],
 			[['B|s3', 'E'], 'E', 'B|s3 E S', 'E'],
-			// The close of a statement among others keeps its place.
+			// The reply to a Close of a statement keeps its place among the other replies.
 			[['B|s1', 'E', 'CSs1', 'CP'], '12DC33', 'P|select 2 B| E CS CP S', '2DC33'],
 			[['B|s1', 'E'], 'E', 'B|s1 E S', 'E'],
-			// A session's unnamed statement never meets another session's.
+			// A session never uses the unnamed statement of another session.
 			[['CS', 'P|select 4'], '31', 'CS P|select 4 S', '31'],
 			[['CS', 'B|'], '3E', 'CS B|unnamed S', '3E'],
 		];
@@ -107,7 +107,7 @@
 		}
 	});
 
-	it('knows what a cycle needs', () => {
+	it('plans access and transaction step of a cycle', () => {
 		const cases: ReadonlyArray<readonly [shorts: readonly string[], transaction: TransactionState, plan: string]> = [
 			[['P|select 1', 'B|', 'E'], outside, 'read none'],
 			[['P|delete from t', 'B|', 'E'], outside, 'write none'],
@@ -128,7 +128,7 @@
 		}
 	});
 
-	it('answers here what needs no endpoint, and refuses what cannot be carried', () => {
+	it('answers cycles locally that need no endpoint, and refuses those that a shared connection cannot carry', () => {
 		const cases: ReadonlyArray<readonly [shorts: readonly string[], expected: string]> = [
 			[['P|set application_name = x', 'B|', 'DP', 'E', 'CP'], 'local'],
 			[['P|', 'B|', 'E'], 'local'],
@@ -146,14 +146,14 @@
 		}
 	});
 
-	it('refuses messages whose texts do not end', () => {
+	it('refuses messages whose texts have no terminating zero', () => {
 		for (const code of ['P', 'B', 'D', 'E', 'C', 'x']) {
 			const frame = makeFrame(code.codePointAt(0) ?? 0, Uint8Array.of(0x53, 0x41));
 			expect(new Session().builder.add(frame)?.kind).toEqual('malformedMessage');
 		}
 	});
 
-	it('keeps a bounded number of prepared statements', () => {
+	it('limits the number of prepared statements', () => {
 		const session = new Session();
 		for (const name of ['a', 'b', 'c']) {
 			session.run([`P${name}|select 1`], '1');
--- a/src/common/statements/cycle-builder.ts
+++ b/src/common/statements/cycle-builder.ts
@@ -1,7 +1,7 @@
 /**
- * Gathers the messages of the extended protocol up to Sync or Flush, and makes them run
- * on any connection: statements lose their names, and a statement that was prepared in an
- * earlier cycle is parsed again where it is used.
+ * Collects the messages of the extended protocol up to Sync or Flush, and rewrites them so
+ * that they run on any connection: statements are sent unnamed, and a statement that was
+ * prepared in an earlier cycle is parsed again where it is used.
  */
 import type {Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -14,17 +14,17 @@
 import type {StatementClassifier} from './statement-classifier.js';
 import type {TransactionState} from './types.js';
 
-/** Bounds of one cycle. */
+/** Limits of one cycle. */
 export type CycleLimits = Pick<typeof statementDefaults, 'maximumCycleBytes' | 'maximumCycleMessages'>;
 
 type AddMessage = (frame: Uint8Array, draft: CycleDraft) => Refusal | undefined;
 
 const noName = Uint8Array.of(0);
-/** Endpoints hold no named statements, so that this one is unknown to them. */
+/** Endpoints hold no named statements, so they report any name as unknown. */
 const unknownName = encodeText('unnamed');
 const closeUnnamed = makeFrame(frontendCodes.close, Uint8Array.of(targetCodes.statement), noName);
 
-/** Builds one cycle after another for one session. */
+/** Builds the cycles of one session, one after another. */
 export class CycleBuilder {
 	private readonly _prepared: PreparedStatements;
 	private readonly _classifier: StatementClassifier;
@@ -45,17 +45,17 @@
 		]);
 	}
 
-	/** Whether no message was added since the last cycle. */
+	/** Whether no message was added since the last cycle was built. */
 	get isEmpty(): boolean {
 		return this._draft === undefined;
 	}
 
-	/** Whether a portal is made or used, which does not outlive a cycle outside a transaction. */
+	/** Whether the cycle creates or uses a portal; outside a transaction, a portal ends with its cycle. */
 	get hasPortal(): boolean {
 		return this._draft?.hasPortal === true;
 	}
 
-	/** Adds a message; a refusal means that nothing of the cycle may run. */
+	/** Adds a message; if it returns a refusal, no message of the cycle may run. */
 	add(frame: Uint8Array): Refusal | undefined {
 		this._draft ??= new CycleDraft();
 		this._draft.sizeBytes += frame.length;
@@ -67,14 +67,14 @@
 		return adder ? adder(frame, this._draft) : malformed();
 	}
 
-	/** Ends the cycle; `before` is the transaction as it is now. */
+	/** Ends the cycle and builds it; `before` is the transaction state at its start. */
 	build(before: TransactionState): Either<Refusal, BuiltCycle> {
 		const draft = this._draft ?? new CycleDraft();
 		this._draft = undefined;
 		return draft.build(before);
 	}
 
-	/** Forgets the messages that were added. */
+	/** Discards the messages that were added. */
 	reset(): void {
 		this._draft = undefined;
 	}
@@ -120,7 +120,7 @@
 			return new Refusal('unsupportedStatement', 'a prepared statement can hold only one command');
 		}
 
-		// A copy, because the received bytes are not kept after the cycle.
+		// The frame is copied, because the buffer of the received bytes does not outlive the cycle.
 		return {parseFrame: makeFrame(frontendCodes.parse, noName, frame.subarray(nameEnd)), statements, isLocal};
 	}
 
@@ -221,7 +221,11 @@
 	return new Refusal('malformedMessage');
 }
 
-/** Statements have no names at endpoints; one that is not known here must not be known there. */
+/**
+ * The name to send for a statement. Endpoints know statements only as the unnamed one, which
+ * may be another statement; for one that the session does not have, a name is sent that the
+ * endpoint reports as unknown.
+ */
 function nameAtEndpoint(name: string, statement: PreparedStatement | undefined): Uint8Array {
 	if (statement) {
 		return noName;
--- a/src/common/statements/cycle-draft.ts
+++ b/src/common/statements/cycle-draft.ts
@@ -1,4 +1,4 @@
-/** What one request cycle of the extended protocol has gathered so far. */
+/** Collects the messages of one request cycle of the extended protocol until it is built. */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
 import type {ExpectedReply} from './answer-filter.js';
@@ -7,12 +7,12 @@
 import {planTransaction, type TransactionPlan} from './transaction-plan.js';
 import type {RelayedStatement, Statement, TransactionState} from './types.js';
 
-/** A message of the extended protocol, as the proxy would answer it itself. */
+/** A message of the extended protocol, with what the proxy needs to answer it itself. */
 export type LocalMessage = {
 	readonly code: number;
-	/** The statement that it is about; undefined for Close. */
+	/** Statement that the message refers to; undefined for the Close of a statement, and if it is not known. */
 	readonly statement: PreparedStatement | undefined;
-	/** Name of the statement that it names; undefined when it names a portal. */
+	/** Name of the statement that the message names; undefined when it names a portal. */
 	readonly name: string | undefined;
 };
 
@@ -23,45 +23,45 @@
 			readonly kind: 'relayed';
 			readonly frames: Uint8Array;
 			readonly plan: TransactionPlan;
-			/** Statements that are executed, in order. */
+			/** Statements that the cycle executes, in order. */
 			readonly executed: readonly RelayedStatement[];
-			/** The messages, for the case that no endpoint is needed after all. */
+			/** The messages, in case the cycle can be answered without an endpoint after all. */
 			readonly messages: readonly LocalMessage[];
 			readonly expected: readonly ExpectedReply[];
 		};
 
-/** Gathers one cycle. */
+/** One request cycle while its messages are collected. */
 export class CycleDraft {
-	/** Statements of this cycle over those of the session; undefined once closed. */
+	/** Statements that this cycle parses, which take precedence over those of the session; undefined once closed. */
 	readonly statementsByName = new Map<string, PreparedStatement | undefined>();
 	readonly statementsByPortal = new Map<string, PreparedStatement>();
 	sizeBytes = 0;
-	/** Whether a portal is made or used, which does not outlive a cycle outside a transaction. */
+	/** Whether the cycle creates or uses a portal; outside a transaction, a portal ends with its cycle. */
 	hasPortal = false;
 	private readonly _frames: Uint8Array[] = [];
 	private readonly _messages: LocalMessage[] = [];
 	private readonly _expected: ExpectedReply[] = [];
 	private readonly _executed: RelayedStatement[] = [];
 	private readonly _parsed: PreparedStatement[] = [];
-	/** What the endpoint's unnamed statement is at this point of the cycle. */
+	/** The endpoint's unnamed statement at this point of the cycle; undefined when there is none from this cycle. */
 	private _unnamedStatement: PreparedStatement | undefined;
 	private _hasLocal = false;
 	private _needsEndpoint = false;
 	private _executesUnknown = false;
 
-	/** Messages for the endpoint so far. */
+	/** Number of messages for the endpoint so far. */
 	get length(): number {
 		return this._frames.length;
 	}
 
-	/** Notes a message; whether it is about a statement that the proxy answers itself. */
+	/** Records a message; returns whether it refers to a statement that the proxy answers itself. */
 	note(code: number, statement: PreparedStatement | undefined, name?: string): boolean {
 		this._messages.push({code, statement, name});
 		this._hasLocal ||= statement?.isLocal === true;
 		return statement?.isLocal === true;
 	}
 
-	/** Adds a message for the endpoint, and the reply to look out for. */
+	/** Adds a message for the endpoint, and the reply that the answer filter has to expect. */
 	push(frame: Uint8Array, expected?: ExpectedReply): void {
 		this._needsEndpoint = true;
 		this._frames.push(frame);
@@ -77,14 +77,14 @@
 		this._unnamedStatement = statement;
 	}
 
-	/** Sees that the endpoint's unnamed statement is this one. */
+	/** Injects a Parse message unless the statement is the endpoint's unnamed statement already. */
 	ensureParsed(statement: PreparedStatement | undefined): void {
 		if (statement && statement !== this._unnamedStatement) {
 			this.parse(statement, {isInjected: true});
 		}
 	}
 
-	/** Adds an Execute message of a statement, or of a portal from an earlier cycle. */
+	/** Adds an Execute message; the statement is undefined if its portal is from an earlier cycle. */
 	execute(frame: Uint8Array, statement: PreparedStatement | undefined): void {
 		for (const executed of statement?.statements ?? []) {
 			if (executed.kind === 'relayed') {
@@ -96,7 +96,7 @@
 		this.push(frame);
 	}
 
-	/** Adds the close of a statement, which needs no endpoint but keeps its place among replies. */
+	/** Adds the Close of a statement. On its own it needs no endpoint; in a relayed cycle its reply keeps its place among the others. */
 	close(frame: Uint8Array, name: string): void {
 		this.statementsByName.set(name, undefined);
 		this._frames.push(frame);
@@ -104,7 +104,7 @@
 		this._unnamedStatement = undefined;
 	}
 
-	/** Ends the cycle; `before` is the transaction as it is now. */
+	/** Builds the cycle; `before` is the transaction state at its start. */
 	build(before: TransactionState): Either<Refusal, BuiltCycle> {
 		if (!this._needsEndpoint) {
 			return Right({kind: 'local', messages: this._messages});
@@ -134,7 +134,7 @@
 		return {...plan, access: isRead ? 'read' : 'write'};
 	}
 
-	/** Statements that are parsed but not executed must suit the endpoint too. */
+	/** Whether the statements that are parsed but not executed are reads too; the endpoint has to accept them as well. */
 	private _preparesOnlyReads(): boolean {
 		const executed = new Set<Statement>(this._executed);
 		return this._parsed.every(({statements}) =>
--- a/src/common/statements/frames.ts
+++ b/src/common/statements/frames.ts
@@ -1,6 +1,6 @@
 /**
- * Frontend and backend messages as bytes: reads their fields and makes new ones. A frame
- * is one whole message: code, length, body.
+ * Encodes and decodes frontend and backend messages. A frame is one complete message: code,
+ * length and body.
  */
 import {errorAnswers, type Refusal} from '../errors/error-kinds.js';
 import type {TransactionStatus} from '../services/services.js';
@@ -9,20 +9,20 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder();
 
-/** Bytes of code and length. */
+/** Size of code and length, in bytes. */
 export const headerBytes = 5;
 
-/** Reads a 16-bit number. */
+/** Reads an unsigned 16-bit number; missing bytes count as zero. */
 export function readUint16(bytes: Uint8Array, offset: number): number {
 	return ((bytes[offset] ?? 0) * 0x1_00) + (bytes[offset + 1] ?? 0);
 }
 
-/** Reads a 32-bit number. Arithmetic, because a DataView for every frame costs more. */
+/** Reads an unsigned 32-bit number by arithmetic, because creating a DataView for every frame costs more. */
 export function readUint32(bytes: Uint8Array, offset: number): number {
 	return (readUint16(bytes, offset) * 0x1_00_00) + readUint16(bytes, offset + 2);
 }
 
-/** Writes a 32-bit number; each byte takes its quotient modulo 256. */
+/** Writes a 32-bit number; the byte array stores each quotient modulo 256. */
 export function writeUint32(bytes: Uint8Array, offset: number, value: number): void {
 	bytes[offset] = Math.floor(value / 0x1_00_00_00);
 	bytes[offset + 1] = Math.floor(value / 0x1_00_00);
@@ -47,12 +47,12 @@
 	return text.includes('\0') ? text.replaceAll('\0', '') : text;
 }
 
-/** Encodes a zero-terminated text; zeros inside would break the message and are dropped. */
+/** Encodes a zero-terminated text; zeros inside it would break the message and are removed. */
 export function encodeText(text: string): Uint8Array {
 	return encoder.encode(`${withoutZeros(text)}\0`);
 }
 
-/** Makes a frame of a code and the parts of its body. */
+/** Builds a frame from a code and the parts of its body. */
 export function makeFrame(code: number, ...parts: readonly Uint8Array[]): Uint8Array {
 	let length = headerBytes;
 	for (const part of parts) {
@@ -71,7 +71,7 @@
 	return frame;
 }
 
-/** Joins frames; one frame is returned as it is. */
+/** Joins frames; a single frame is returned without a copy. */
 export function joinFrames(frames: readonly Uint8Array[]): Uint8Array {
 	if (frames.length === 1 && frames[0]) {
 		return frames[0];
@@ -99,22 +99,22 @@
 	failed: makeFrame(backendCodes.readyForQuery, Uint8Array.of(statusCodes.failed)),
 };
 
-/** ReadyForQuery. */
+/** A ReadyForQuery message. */
 export function readyForQuery(status: TransactionStatus): Uint8Array {
 	return readyFrames[status];
 }
 
-/** ParameterStatus. */
+/** A ParameterStatus message. */
 export function parameterStatus(name: string, value: string): Uint8Array {
 	return makeFrame(backendCodes.parameterStatus, encoder.encode(`${withoutZeros(name)}\0${withoutZeros(value)}\0`));
 }
 
-/** CommandComplete. */
+/** A CommandComplete message. */
 export function commandComplete(tag: string): Uint8Array {
 	return makeFrame(backendCodes.commandComplete, encodeText(tag));
 }
 
-/** RowDescription of one column of type text. */
+/** A RowDescription message of one column of type text. */
 export function textRowDescription(column: string): Uint8Array {
 	const type = new Uint8Array(18);
 	writeUint32(type, 6, textTypeOid);
@@ -122,7 +122,7 @@
 	return makeFrame(backendCodes.rowDescription, Uint8Array.of(0, 1), encodeText(column), type);
 }
 
-/** DataRow of one text value; the text and binary formats of a text are the same. */
+/** A DataRow message of one text value; the text and binary formats of a text are the same. */
 export function textRow(value: string): Uint8Array {
 	const bytes = encoder.encode(value);
 	const length = new Uint8Array(4);
@@ -130,7 +130,7 @@
 	return makeFrame(backendCodes.dataRow, Uint8Array.of(0, 1), length, bytes);
 }
 
-/** ErrorResponse of a refusal; the hint has a closed form that programs can read. */
+/** An ErrorResponse message for a refusal; its hint has a fixed format that programs can parse. */
 export function errorResponse(refusal: Refusal, severity: 'ERROR' | 'FATAL' = errorAnswers[refusal.kind].severity): Uint8Array {
 	const answer = errorAnswers[refusal.kind];
 	const fields = [
@@ -144,10 +144,10 @@
 	return makeFrame(backendCodes.errorResponse, ...fields.map(field => encodeText(field)), Uint8Array.of(0));
 }
 
-/** A simple query. */
+/** A Query message of the simple protocol. */
 export function queryFrame(text: string): Uint8Array {
 	return makeFrame(frontendCodes.query, encodeText(text));
 }
 
-/** Sync. */
+/** The Sync message. */
 export const syncFrame = makeFrame(frontendCodes.sync);
--- a/src/common/statements/local-answers.ts
+++ b/src/common/statements/local-answers.ts
@@ -1,4 +1,4 @@
-/** Answers the statements that the proxy handles itself. */
+/** Answers the statements that the proxy handles itself, without an endpoint. */
 import {Left, Right, type Either} from 'purify-ts';
 import type {Refusal} from '../errors/error-kinds.js';
 import type {CallerSession} from '../sessions/caller-session.js';
@@ -13,19 +13,19 @@
 import type {PreparedStatements} from './prepared-statements.js';
 import type {LocalCommand, Statement} from './types.js';
 
-/** The session and what goes with it. */
+/** State of the session that local statements read and change. */
 export type LocalContext = {
 	readonly session: CallerSession;
 	readonly prepared: PreparedStatements;
 };
 
-/** What a local statement gives. */
+/** Result of a local statement. */
 type LocalResult = {
 	/** Column and value of its only row. */
 	readonly row?: {readonly column: string; readonly value: string};
-	/** Undefined for an empty query. */
+	/** Command tag; undefined for an empty query. */
 	readonly tag: string | undefined;
-	/** Parameter whose new value is reported. */
+	/** Parameter whose new value is reported to the caller. */
 	readonly changed?: string;
 };
 
@@ -64,7 +64,7 @@
 
 const emptyQuery = makeFrame(backendCodes.emptyQueryResponse);
 
-/** Column of the row that an act will give; undefined for none. */
+/** Column of the row that a command returns; undefined if it returns none. */
 function columnOf(act: LocalCommand): string | undefined {
 	if (act.name === 'show') {
 		return act.subject;
@@ -85,7 +85,7 @@
 	});
 }
 
-/** Frames of an answer, and the refusal that ended it early. */
+/** Frames of an answer, and the refusal that ended it early; undefined if there was none. */
 export type LocalAnswer = {
 	readonly frames: readonly Uint8Array[];
 	readonly refusal: Refusal | undefined;
@@ -146,8 +146,8 @@
 }
 
 /**
- * Answers messages of the extended protocol that need no endpoint: those of local
- * statements, and those of a ROLLBACK whose transaction is gone already.
+ * Answers messages of the extended protocol that need no endpoint: those of local statements,
+ * and those of a statement that ends a transaction which has been rolled back already.
  */
 export function answerMessages(messages: readonly LocalMessage[], context: LocalContext): LocalAnswer {
 	const frames: Uint8Array[] = [];
--- a/src/common/statements/prepared-statements.ts
+++ b/src/common/statements/prepared-statements.ts
@@ -1,6 +1,6 @@
 /**
- * The prepared statements of one session. Endpoints only ever see the unnamed statement,
- * so that shared connections gather nothing and one session's names cannot meet another's.
+ * The prepared statements of one session. Endpoints only ever see the unnamed statement, so
+ * that shared connections accumulate no statements and the names of sessions cannot collide.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import {statementDefaults} from './constants.js';
@@ -8,17 +8,17 @@
 
 /** A statement that the session prepared. */
 export type PreparedStatement = {
-	/** A Parse message of the statement under no name. */
+	/** A Parse message that makes it the unnamed statement of the endpoint. */
 	readonly parseFrame: Uint8Array;
 	readonly statements: ClassifiedText;
 	/** Whether the proxy answers it itself. */
 	readonly isLocal: boolean;
 };
 
-/** Bounds of one session's prepared statements. */
+/** Limits of one session's prepared statements. */
 export type PreparedLimits = Pick<typeof statementDefaults, 'maximumPrepared' | 'maximumPreparedBytes'>;
 
-/** Keeps statements by the names that the session gave them. */
+/** Stores statements by the names that the session gave them. */
 export class PreparedStatements {
 	private readonly _limits: PreparedLimits;
 	private _byName: Map<string, PreparedStatement> | undefined;
@@ -36,9 +36,9 @@
 		return this._byName?.get(name);
 	}
 
-	/** Why a further statement of this size cannot be kept. */
+	/** The refusal of a further statement of this size; undefined if it can be stored. */
 	refusalFor(name: string, sizeBytes: number): Refusal | undefined {
-		// The unnamed statement is bounded by the size of a message.
+		// The unnamed statement is limited by the maximum size of a message.
 		if (name === '') {
 			return undefined;
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-/** The unnamed statement does not count: a session has one at most. */
+/** Size that counts against the limit; the unnamed statement does not count, since a session has at most one. */
 function sizeOf(name: string, statement: PreparedStatement): number {
 	return name === '' ? 0 : statement.parseFrame.length;
 }
--- a/src/common/statements/statement-classifier.test.ts
+++ b/src/common/statements/statement-classifier.test.ts
@@ -4,7 +4,7 @@
 import {loadParser, StatementClassifier} from './statement-classifier.js';
 import type {Statement} from './types.js';
 
-/** One word for what a statement is. */
+/** Short description of how a statement was classified. */
 function describeStatement(statement: Statement): string {
 	if (statement.kind === 'relayed') {
 		const {transaction} = statement;
@@ -16,7 +16,7 @@
 	return statement.kind === 'local' ? [statement.act.name, statement.act.subject, statement.act.value].filter(part => part !== undefined).join(' ') : 'refused';
 }
 
-/** Texts by what their statements are. */
+/** Statement texts by the expected description. */
 const textsByClass: ReadonlyMap<string, readonly string[]> = new Map([
 	['read', [
 		'select 1',
@@ -124,7 +124,7 @@
 	before(loadParser);
 
 	for (const [expected, texts] of textsByClass) {
-		it(`knows ${expected}`, () => {
+		it(`classifies ${expected}`, () => {
 			const classifier = new StatementClassifier();
 			for (const text of texts) {
 				expect([text, classifier.classify(text).map(statement => describeStatement(statement))]).toEqual([text, [expected]]);
@@ -157,7 +157,7 @@
 		}
 	});
 
-	it('remembers a bounded number of short texts', () => {
+	it('caches a limited number of short texts', () => {
 		const classifier = new StatementClassifier({maximumCachedTexts: 3, maximumCachedChars: 20});
 		for (let index = 0; index < 10; index++) {
 			classifier.classify(`select ${index}`);
@@ -168,7 +168,7 @@
 		expect(classifier.classify('select 9')).toExactlyEqual(classifier.classify('select 9'));
 	});
 
-	it('survives texts that nest deeply and texts of any kind', () => {
+	it('classifies deeply nested and arbitrary texts without throwing', () => {
 		const classifier = new StatementClassifier();
 		for (const text of [`select ${'('.repeat(15_000)}`, `select ${'1+'.repeat(15_000)}1`, `select ${'not '.repeat(8000)}true`]) {
 			expect(classifier.classify(text).length).toEqual(1);
--- a/src/common/statements/statement-classifier.ts
+++ b/src/common/statements/statement-classifier.ts
@@ -1,4 +1,4 @@
-/** Decides for each statement text what it does, with a bounded cache of texts. */
+/** Classifies statement texts by what they do, with a bounded cache of texts. */
 import {
 	hasSqlDetails, loadModule, parseSync, type ParseResult,
 } from 'libpg-query';
@@ -10,7 +10,7 @@
 /** Options of the classifier. */
 export type ClassifierOptions = Partial<Pick<typeof statementDefaults, 'maximumCachedTexts' | 'maximumCachedChars' | 'maximumParsedChars'>>;
 
-/** Loads the parser; once before the first classification. */
+/** Loads the parser; must be awaited once before the first classification. */
 export async function loadParser(): Promise<void> {
 	await loadModule();
 }
@@ -27,8 +27,9 @@
 export class StatementClassifier {
 	private readonly _options: Required<ClassifierOptions>;
 	/**
-	 * Texts in two generations, so that a hit changes nothing: reordering one map on every
-	 * hit cost 2 µs. A full young generation becomes the old one, whose rest is forgotten.
+	 * The cached texts in two generations, so that a hit in the young one changes nothing:
+	 * reordering a single map on every hit costs 2 µs. When the young generation is full, it
+	 * replaces the old one, whose remaining texts are evicted.
 	 */
 	private _young = new Map<string, ClassifiedText>();
 	private _old = new Map<string, ClassifiedText>();
@@ -37,31 +38,31 @@
 		this._options = {...statementDefaults, ...options};
 	}
 
-	/** Texts that are remembered. */
+	/** Number of texts in the cache. */
 	get cachedTexts(): number {
 		return this._young.size + this._old.size;
 	}
 
-	/** The statements of a text. */
+	/** Returns the classified statements of a text. */
 	classify(text: string): ClassifiedText {
 		const known = this._young.get(text);
 		if (known) {
 			return known;
 		}
 
-		const aged = this._old.get(text);
-		if (aged) {
+		const oldEntry = this._old.get(text);
+		if (oldEntry) {
 			this._old.delete(text);
-			this._remember(text, aged);
-			return aged;
+			this._store(text, oldEntry);
+			return oldEntry;
 		}
 
 		const classified = text.length > this._options.maximumParsedChars ? scan(text) : parse(text);
-		this._remember(text, classified);
+		this._store(text, classified);
 		return classified;
 	}
 
-	private _remember(text: string, classified: ClassifiedText): void {
+	private _store(text: string, classified: ClassifiedText): void {
 		if (text.length > this._options.maximumCachedChars) {
 			return;
 		}
@@ -91,7 +92,7 @@
 	try {
 		result = parseSync(text);
 	} catch (error) {
-		// Text that does not parse goes to the primary, which says what is wrong with it.
+		// A text that does not parse goes to the primary, which reports the syntax error.
 		return hasSqlDetails(error)
 			? [assumedWrite]
 			: [{kind: 'refused', reason: 'the statement is nested too deeply'}];
--- a/src/common/statements/statement-rules.ts
+++ b/src/common/statements/statement-rules.ts
@@ -1,4 +1,4 @@
-/** The table from kind of statement to how it is handled. */
+/** The table from the kind of a parsed statement to how it is handled. */
 import {isSessionParameter} from '../sessions/session-parameters.js';
 import {
 	inspectTree, isSessionTemporary, prepareReason, temporaryReason, type Findings,
@@ -66,7 +66,7 @@
 	['DISCARD_SEQUENCES', local({name: 'nothing', subject: 'DISCARD SEQUENCES'})],
 ]);
 
-/** Handles one parsed statement, an object with its kind as only key. */
+/** Classifies one parsed statement, an object with its kind as only key. */
 export function classifyStatement(statement: unknown): Statement {
 	const [entry] = Object.entries(isTree(statement) ? statement : {});
 	const node = entry?.[1];
@@ -90,7 +90,7 @@
 	return unlessRefused(node, ({mayWrite, needsTransaction}) => relay(mayWrite ? 'write' : 'read', {needsTransaction}));
 }
 
-/** `SELECT pg_advisory_unlock_all()`, which pools send when they take a connection back. */
+/** Whether it is `SELECT pg_advisory_unlock_all()`, which connection pools send when a connection is released. */
 function isUnlockAll(node: Tree): boolean {
 	const [target, ...others] = listAt(node, 'targetList');
 	const [name] = listAt(target, 'ResTarget', 'val', 'FuncCall', 'funcname');
@@ -98,8 +98,8 @@
 }
 
 function classifyExplain(node: Tree): Statement {
-	const runs = listAt(node, 'options').some(option => textAt(option, 'DefElem', 'defname') === 'analyze');
-	return unlessRefused(node, ({mayWrite, needsTransaction}) => relay(mayWrite || runs ? 'write' : 'read', {needsTransaction}));
+	const isExecuted = listAt(node, 'options').some(option => textAt(option, 'DefElem', 'defname') === 'analyze');
+	return unlessRefused(node, ({mayWrite, needsTransaction}) => relay(mayWrite || isExecuted ? 'write' : 'read', {needsTransaction}));
 }
 
 /** The read-only option of BEGIN or SET TRANSACTION. */
@@ -133,8 +133,8 @@
 function classifySet(node: Tree): Statement {
 	const name = textAt(node, 'name').toLowerCase();
 	if (node.is_local === true || (node.kind === 'VAR_SET_MULTI' && name === 'transaction')) {
-		const mayLiftReadOnly = name === 'transaction_read_only' || (name === 'transaction' && readMode(listAt(node, 'args')) === 'readWrite');
-		return relay('write', {mayDisableReadOnly: mayLiftReadOnly});
+		const mayDisable = name === 'transaction_read_only' || (name === 'transaction' && readMode(listAt(node, 'args')) === 'readWrite');
+		return relay('write', {mayDisableReadOnly: mayDisable});
 	}
 
 	if (node.kind === 'VAR_RESET_ALL') {
@@ -157,7 +157,7 @@
 	return isSessionParameter(parameter) ? local({name: 'show', subject: parameter}) : relay('read');
 }
 
-/** The bit of DECLARE's options that says WITH HOLD. */
+/** The bit for WITH HOLD in the options of DECLARE. */
 const holdOption = 0x20;
 
 function classifyCursor(node: Tree): Statement {
--- a/src/common/statements/text-scanner.ts
+++ b/src/common/statements/text-scanner.ts
@@ -1,6 +1,6 @@
 /**
- * Looks at texts that are too long to parse: says only whether one is a single statement
- * that reads or changes data, without what a shared connection cannot carry.
+ * Scans texts that are too long to parse. Decides only whether a text is a single statement
+ * that reads or changes data and uses nothing that a shared connection cannot carry.
  */
 
 const firstWord = /^\s*(?:insert|update|delete|merge|select|with|values)\b/iv;
@@ -9,7 +9,7 @@
 const nameChar = /[\w$\u{80}-\u{10FFFF}]/v;
 const dollarTag = /\$(?:[A-Za-z_]\w*)?\$/vy;
 
-/** Finds the end of what begins at an index; -1 when it has none, the index itself for nothing special. */
+/** Finds the end of the token that begins at an index; -1 if it has none, or if the text may hold more than one statement. */
 type Skip = (text: string, index: number) => number;
 
 const skips: ReadonlyMap<string, Skip> = new Map<string, Skip>([
@@ -17,14 +17,14 @@
 	['"', (text, index) => endAfter(text, '"', index + 1)],
 	['$', dollarEnd],
 	['-', (text, index) => text[index + 1] === '-' ? lineEnd(text, index) : index + 1],
-	// Nested comments are not worth following in such texts.
+	// Block comments can be nested, which is not worth scanning for in such texts.
 	['/', (text, index) => text[index + 1] === '*' ? -1 : index + 1],
 	[';', (text, index) => text.slice(index + 1).trim() === '' ? text.length : -1],
 ]);
 
-/** End of a text between dollar tags. */
+/** End of a dollar-quoted text. */
 function dollarEnd(text: string, index: number): number {
-	// Inside a name the sign quotes nothing.
+	// Inside a name, a dollar sign does not begin a quoted text.
 	if (nameChar.test(text[index - 1] ?? '')) {
 		return index + 1;
 	}
@@ -44,7 +44,7 @@
 	return end === -1 ? text.length : end;
 }
 
-/** Whether the quote belongs to an E'...' text, and not to a type's name before a text. */
+/** Whether the quote begins an E'...' text; an `e` that ends a name before the quote, as in date'...', does not count. */
 function isEscapeQuote(text: string, index: number): boolean {
 	return /[eE]/v.test(text[index - 1] ?? '') && !nameChar.test(text[index - 2] ?? '');
 }
--- a/src/common/statements/transaction-plan.test.ts
+++ b/src/common/statements/transaction-plan.test.ts
@@ -10,7 +10,7 @@
 describe('planTransaction', () => {
 	before(loadParser);
 
-	it('follows sequences of statements through transactions', () => {
+	it('plans sequences of statements inside and outside transactions', () => {
 		const cases = [
 			{text: 'select 1', from: outside, plan: 'read none'},
 			{text: 'select 1; select 2', from: outside, plan: 'read none'},
--- a/src/common/statements/transaction-plan.ts
+++ b/src/common/statements/transaction-plan.ts
@@ -1,12 +1,12 @@
-/** Follows a sequence of statements through transaction state. */
+/** Plans a sequence of statements: how it accesses data and how it changes the transaction state. */
 import type {TransactionStep} from '../services/services.js';
 import type {RelayedStatement, TransactionState} from './types.js';
 
-/** What a sequence of statements needs and does. */
+/** What a sequence of statements requires, and how it changes the transaction. */
 export type TransactionPlan = {
 	readonly access: 'read' | 'write';
 	readonly step: TransactionStep;
-	/** Whether a transaction that is open afterwards is certainly read-only. */
+	/** Whether a transaction that is open afterwards is certain to be read-only. */
 	readonly isReadOnlyAfter: boolean;
 	/** Why the sequence cannot be relayed; undefined if it can. */
 	readonly refusal: string | undefined;
@@ -17,7 +17,7 @@
 	isReadOnly: boolean;
 	isRead: boolean;
 	refusal: string | undefined;
-	/** Whether a statement came before, so that at least an implicit transaction is open. */
+	/** Whether a statement precedes this one, so that at least an implicit transaction is open. */
 	hasPrecedingStatement: boolean;
 	hasCommitted: boolean;
 	hasRolledBack: boolean;
@@ -40,12 +40,12 @@
 	},
 };
 
-/** Routing relies on read-only transactions staying so. */
+/** Read-only transactions may run on replicas, so routing relies on them staying read-only. */
 const disableReadOnlyReason = 'a read-only transaction cannot be turned into one that writes';
 
 function applyStatement(progress: PlanState, statement: RelayedStatement): void {
 	if (statement.needsTransaction && !progress.isOpen && !progress.hasPrecedingStatement) {
-		progress.refusal = 'the value belongs to a connection; use RETURNING, or ask in the transaction that made it';
+		progress.refusal = 'the value belongs to a connection; use RETURNING, or read it in the transaction that produced it';
 	}
 
 	if (progress.isOpen && progress.isReadOnly) {
@@ -59,7 +59,7 @@
 function applyBegin(progress: PlanState, statement: RelayedStatement): void {
 	const mode = statement.transaction.kind === 'begin' ? statement.transaction.mode : 'default';
 	if (progress.isOpen) {
-		// A second BEGIN only warns, but its options apply.
+		// A BEGIN inside a transaction only gives a warning, but its options apply.
 		progress.isRead &&= progress.isReadOnly;
 		progress.refusal ??= progress.isReadOnly && mode === 'readWrite' ? disableReadOnlyReason : undefined;
 		return;
@@ -85,11 +85,11 @@
 
 const singleStatementPlans = {read: singleStatementPlan('read'), write: singleStatementPlan('write')} as const;
 
-/** Follows statements that run one after another from a state. */
+/** Plans statements that run one after another, starting from the transaction state `before`. */
 export function planTransaction(statements: readonly RelayedStatement[], before: TransactionState): TransactionPlan {
 	const [first] = statements;
 	if (first && statements.length === 1 && !before.isOpen && first.transaction.kind === 'none' && !first.needsTransaction) {
-		// Most requests are a lone statement, which needs nothing to be followed.
+		// Most requests are a single statement outside a transaction, whose plan depends only on its access.
 		return singleStatementPlans[first.access];
 	}
 
@@ -110,7 +110,7 @@
 	return {
 		access: progress.isRead ? 'read' : 'write',
 		step: stepOf(before.isOpen, progress),
-		// An error may leave any of the transactions of the sequence open, so all must be read-only.
+		// If a statement fails, any transaction of the sequence may stay open, so all must be read-only.
 		isReadOnlyAfter: (!before.isOpen || before.isReadOnly) && progress.isReadOnly && !progress.hasBegunWriting,
 		refusal: progress.refusal,
 	};
--- a/src/common/statements/tree-inspector.ts
+++ b/src/common/statements/tree-inspector.ts
@@ -1,17 +1,17 @@
 /**
- * Looks through a parsed statement for what keeps it from being a certain read, and for
- * what a shared connection cannot carry.
+ * Searches a parsed statement for anything that may make it a write, and for anything that a
+ * shared connection cannot carry.
  */
 import {sessionStateFunctions, readOnlyFunctions, builtInSamplingMethods} from './constants.js';
 import {
 	isSetAt, isTree, listAt, textAt, type Tree,
 } from './tree-values.js';
 
-/** What was found in a statement. */
+/** Properties that were found in a statement. */
 export type Findings = {
-	/** Whether it may change something, as far as can be told. */
+	/** Whether it may change data; true unless it certainly does not. */
 	mayWrite: boolean;
-	/** Whether it depends on what ran before on the same connection. */
+	/** Whether it depends on statements that ran earlier on the same connection. */
 	needsTransaction: boolean;
 	/** Why a shared connection cannot carry it; undefined if it can. */
 	refusal: string | undefined;
@@ -41,7 +41,7 @@
 /** Walks the whole tree of a statement. */
 export function inspectTree(root: unknown): Findings {
 	const findings: Findings = {mayWrite: false, needsTransaction: false, refusal: undefined};
-	// A stack of its own, since long expressions nest deeper than the call stack allows.
+	// An explicit stack, since long expressions nest deeper than the call stack allows.
 	const pending: unknown[] = [root];
 	while (pending.length > 0) {
 		const node = pending.pop();
@@ -56,7 +56,7 @@
 	return findings;
 }
 
-/** Last part of a qualified name, and whether it is the database's own. */
+/** Last part of a qualified name, and whether the name can refer to a built-in of the database. */
 function readName(parts: readonly unknown[]): {readonly name: string; readonly isBuiltIn: boolean} {
 	const names = parts.map(part => textAt(part, 'String', 'sval'));
 	return {
@@ -78,7 +78,7 @@
 	}
 }
 
-/** Names of functions that take or free locks that outlive a transaction. */
+/** Whether a function acquires or releases advisory locks that outlive a transaction. */
 function isSessionLock(name: string): boolean {
 	return /^pg_(?:try_)?advisory_(?!xact_)/v.test(name);
 }
--- a/src/common/statements/tree-values.ts
+++ b/src/common/statements/tree-values.ts
@@ -1,4 +1,4 @@
-/** Typed access to the parser's tree. */
+/** Typed access to the parser's syntax tree. */
 
 /** A node of the parser's tree. */
 export type Tree = Readonly<Record<string, unknown>>;
@@ -8,7 +8,7 @@
 	return typeof value === 'object' && value !== null;
 }
 
-/** What is found by a path of keys. */
+/** The value at a path of keys; undefined when there is none. */
 function valueAt(node: unknown, path: readonly string[]): unknown {
 	let value = node;
 	for (const key of path) {
@@ -24,13 +24,13 @@
 	return typeof value === 'string' ? value : '';
 }
 
-/** The number at a path of keys; the parser leaves zeros out. */
+/** The number at a path of keys; zero when there is none, since the parser omits zeros. */
 export function numberAt(node: unknown, ...path: readonly string[]): number {
 	const value = valueAt(node, path);
 	return typeof value === 'number' ? value : 0;
 }
 
-/** Whether there is something true at a path of keys. */
+/** Whether the value at a path of keys is truthy. */
 export function isSetAt(node: unknown, ...path: readonly string[]): boolean {
 	return Boolean(valueAt(node, path));
 }
@@ -41,7 +41,7 @@
 	return Array.isArray(value) ? value : [];
 }
 
-/** The arguments of SET as one text, as SHOW would give them. */
+/** The arguments of SET as one text, in the form that SHOW returns. */
 export function readArguments(node: unknown): string {
 	return listAt(node, 'args').map(value => readConstant(value)).join(', ');
 }
--- a/src/common/statements/types.ts
+++ b/src/common/statements/types.ts
@@ -10,16 +10,16 @@
 /** A statement that the endpoint runs. */
 export type RelayedStatement = {
 	readonly kind: 'relayed';
-	/** `read` only if that is certain. */
+	/** `read` only if the statement certainly changes nothing. */
 	readonly access: 'read' | 'write';
 	readonly transaction: TransactionControl;
 	/** Whether it might turn a read-only transaction into one that writes. */
 	readonly mayDisableReadOnly: boolean;
-	/** Whether it depends on what ran before on the same connection. */
+	/** Whether it depends on statements that ran earlier on the same connection. */
 	readonly needsTransaction: boolean;
 };
 
-/** What a statement asks of the proxy itself. */
+/** A command that the proxy carries out itself. */
 export type LocalCommand = {
 	readonly name: 'set' | 'show' | 'resetAll' | 'discardAll' | 'deallocate' | 'unlockAll' | 'nothing' | 'empty';
 	/** The parameter, the prepared statement, or the tag to answer with. */
@@ -37,7 +37,7 @@
 /** A statement that a shared connection cannot carry. */
 export type RefusedStatement = {
 	readonly kind: 'refused';
-	/** For people; never holds statement text. */
+	/** Explanation for people; never contains statement text. */
 	readonly reason: string;
 };
 
@@ -46,7 +46,7 @@
 /** The statements of one text, in order. */
 export type ClassifiedText = readonly Statement[];
 
-/** The transaction as the proxy follows it. */
+/** The transaction state that the proxy tracks. */
 export type TransactionState = {
 	readonly isOpen: boolean;
 	/** Whether the open transaction was begun as read-only. */
