--- a/src/common/sessions/base64url.ts
+++ b/src/common/sessions/base64url.ts
@@ -1,4 +1,4 @@
-/** Base64url without padding, without the host's buffer types. */
+/** Encodes and decodes base64url without padding, and without buffer types that only some runtimes have. */
 
 const alphabet = 'ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_';
 const bitsPerChar = 6;
@@ -6,7 +6,7 @@
 const charScale = 2 ** bitsPerChar;
 const byteScale = 2 ** bitsPerByte;
 
-/** Encodes bytes. */
+/** Encodes bytes as base64url text. */
 export function toBase64Url(bytes: Uint8Array): string {
 	let text = '';
 	let rest = 0;
@@ -25,7 +25,7 @@
 	return restBits === 0 ? text : text + alphabet.charAt(rest * (2 ** (bitsPerChar - restBits)));
 }
 
-/** Decodes text; undefined when it is not base64url as this module writes it. */
+/** Decodes text; undefined unless it is exactly what `toBase64Url` writes for some bytes. */
 export function fromBase64Url(text: string): Uint8Array | undefined {
 	const bytes = new Uint8Array(Math.floor(text.length * bitsPerChar / bitsPerByte));
 	let rest = 0;
@@ -47,6 +47,6 @@
 		}
 	}
 
-	// A lone last character, or bits left over, would let one token have several texts.
+	// A lone last character and spare bits that are not zero are refused, since they would let one token have several texts.
 	return rest === 0 && restBits < bitsPerChar ? bytes : undefined;
 }
--- a/src/common/sessions/caller-session.ts
+++ b/src/common/sessions/caller-session.ts
@@ -1,8 +1,8 @@
-/** One caller's session: what routing needs to know, and what the caller has set. */
+/** The session of one caller: the state that routing needs, and the parameters that the caller has set. */
 import type {CallerDescription, RoutedSession, TransactionStatus} from '../services/services.js';
 import type {TokenSessionMarks} from './token-session-marks.js';
 
-/** A session from the end of its start-up to the close of its connection. */
+/** A session, from the end of its start-up phase until its connection closes. */
 export class CallerSession implements RoutedSession {
 	readonly id: string;
 	readonly group: string;
@@ -15,7 +15,7 @@
 	transactionStatus: TransactionStatus = 'idle';
 	/** Whether the open transaction was begun as read-only. */
 	isReadOnlyTransaction = false;
-	/** Whether an answer of the proxy's own failed the transaction, which the endpoint does not know. */
+	/** Whether an answer of the proxy itself failed the transaction; the endpoint does not know of it. */
 	isFailedByProxy = false;
 
 	constructor(id: string, caller: CallerDescription, group: string, marks: TokenSessionMarks) {
@@ -25,12 +25,12 @@
 		this.marks = marks;
 	}
 
-	/** Transaction status as the caller is told. */
+	/** Transaction status that is reported to the caller. */
 	get reportedStatus(): TransactionStatus {
 		return this.isFailedByProxy ? 'failed' : this.transactionStatus;
 	}
 
-	/** Whether the caller believes to be in a transaction. */
+	/** Whether the caller is in a transaction, according to the status that was reported to it. */
 	get isInTransaction(): boolean {
 		return this.reportedStatus !== 'idle';
 	}
--- a/src/common/sessions/session-parameters.test.ts
+++ b/src/common/sessions/session-parameters.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('session parameters', () => {
-	it('are taken where they change nothing, kept where they are the proxy\'s, and refused elsewhere', () => {
+	it('are accepted if they change nothing, stored if they are the proxy\'s own, and refused otherwise', () => {
 		const token = codec.encode({positions: new Map([['stock', {term: 1, offset: 2}]]), isTruncated: false});
 		const cases: ReadonlyArray<readonly [name: string, value: string | undefined, expected: string]> = [
 			['application_name', 'till 4', 'till 4'],
@@ -50,7 +50,7 @@
 		}
 	});
 
-	it('are reset but for the marks', () => {
+	it('are reset to their defaults, while the marks stay', () => {
 		const session = makeSession();
 		session.marks.advance('stock', {term: 1, offset: 2});
 		writeParameter(session, 'statement_timeout', '5s');
--- a/src/common/sessions/session-parameters.ts
+++ b/src/common/sessions/session-parameters.ts
@@ -1,11 +1,11 @@
 /**
- * The session parameters that the proxy keeps itself: those that drivers set and that
+ * The session parameters that the proxy handles itself: those that drivers set and that
  * change nothing on a shared connection, and the proxy's own.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {CallerSession} from './caller-session.js';
 
-/** How one parameter is read and written. An undefined value asks for the default. */
+/** How one parameter is read and written. Writing undefined resets it to its default. */
 type ParameterHandler = {
 	/** Name under which a change is reported to the caller. */
 	readonly reportedAs?: string;
@@ -13,7 +13,7 @@
 	write(session: CallerSession, value: string | undefined): Refusal | undefined;
 };
 
-/** A parameter that has one value here, under several spellings. */
+/** A parameter with a single supported value, which is accepted in several spellings. */
 function fixedParameter(value: string, spellings: RegExp, reportedAs?: string): ParameterHandler {
 	return {
 		...(reportedAs ? {reportedAs} : {}),
@@ -31,7 +31,7 @@
 ]);
 const durationPattern = /^(\d{1,12})\s*([a-z]*)$/v;
 
-/** Reads a duration as the database writes it; NaN when it is none. */
+/** Parses a duration in the database's notation into milliseconds; NaN if it is not a duration. */
 function readDurationMs(text: string): number {
 	const match = durationPattern.exec(text.trim());
 	return match ? Number(match[1]) * (unitsMs.get(match[2] ?? '') ?? Number.NaN) : Number.NaN;
@@ -41,7 +41,7 @@
 	['on', true], ['true', true], ['yes', true], ['1', true], ['off', false], ['false', false], ['no', false], ['0', false],
 ]);
 
-/** A duration field of the session; zero or nothing stands for none. */
+/** A parameter for a duration field of the session; an empty value clears it, and zero does so if `isZeroNone` is set. */
 function durationParameter(field: 'deadlineMs' | 'maximumAgeMs', isZeroNone: boolean): ParameterHandler {
 	return {
 		read: session => session[field] === undefined ? '' : String(session[field]),
@@ -87,31 +87,31 @@
 		write(session, value) {
 			const truth = booleanSpellings.get((value ?? 'off').toLowerCase());
 			if (truth === undefined) {
-				return invalid('not a truth value');
+				return invalid('not a boolean value');
 			}
 
 			session.isIdempotent = truth;
 			return undefined;
 		},
 	}],
-	// Reported at the end of every answer after which it has changed.
+	// A changed token is reported at the end of the answer that changed it.
 	['quetzalstream.token', {
 		read: session => session.marks.token,
 		write: (session, value) => value ? session.marks.mergeToken(value).swap().toMaybe().extract() : undefined,
 	}],
 ]);
 
-/** Whether the proxy keeps the parameter itself. */
+/** Whether the proxy handles the parameter itself. */
 export function isSessionParameter(name: string): boolean {
 	return rules.has(name.toLowerCase());
 }
 
-/** The value of a parameter that the proxy keeps. */
+/** The value of a parameter that the proxy handles; empty for any other. */
 export function readParameter(session: CallerSession, name: string): string {
 	return rules.get(name.toLowerCase())?.read(session) ?? '';
 }
 
-/** Sets a parameter; refuses those that would need a connection of their own. */
+/** Sets a parameter; returns a refusal for an invalid value or a parameter that would need a dedicated connection. */
 export function writeParameter(session: CallerSession, name: string, value: string | undefined): Refusal | undefined {
 	const rule = rules.get(name.toLowerCase());
 	return rule
@@ -119,12 +119,12 @@
 		: new Refusal('unsupportedStatement', `parameter ${name} needs a connection of its own; use SET LOCAL in a transaction`);
 }
 
-/** Name under which a change of the parameter is reported; undefined when it is not. */
+/** Name under which a change of the parameter is reported; undefined when changes are not reported. */
 export function reportedName(name: string): string | undefined {
 	return rules.get(name.toLowerCase())?.reportedAs;
 }
 
-/** Sets every parameter but the token back to its default. */
+/** Resets every parameter to its default, except the token. */
 export function resetParameters(session: CallerSession): void {
 	for (const rule of rules.values()) {
 		rule.write(session, undefined);
--- a/src/common/sessions/session-token.test.ts
+++ b/src/common/sessions/session-token.test.ts
@@ -7,14 +7,14 @@
 import {SessionTokenCodec} from './session-token.js';
 import type {TokenSigner} from './types.js';
 
-/** A keyed checksum is enough where no attacker chooses the key. */
+/** Signs with a keyed checksum, which is enough in a test without an attacker. */
 function makeSigner(key: number): TokenSigner {
 	return {
 		sign(bytes) {
 			const signature = new Uint8Array(16).fill(key);
 			for (const [index, byte] of bytes.entries()) {
-				const place = index % 16;
-				signature[place] = ((signature[place] ?? 0) * 31) + byte + index;
+				const slot = index % 16;
+				signature[slot] = ((signature[slot] ?? 0) * 31) + byte + index;
 			}
 
 			return signature;
@@ -30,7 +30,7 @@
 }
 
 describe('SessionTokenCodec', () => {
-	it('reads what it wrote', () => {
+	it('decodes the tokens that it encodes', () => {
 		const names = fc.string({unit: 'grapheme', maxLength: 20});
 		const positions = fc.record({term: fc.maxSafeNat(), offset: fc.maxSafeNat()}, {noNullPrototype: true});
 		const contents = fc.array(fc.tuple(names, positions), {maxLength: 8});
@@ -55,7 +55,7 @@
 		}
 	});
 
-	it('refuses tokens that were changed, made with another key, or are no tokens', () => {
+	it('refuses tokens that were modified, signed with another key, or are malformed', () => {
 		const token = tokenOf({stock: position});
 		const foreign = new SessionTokenCodec(makeSigner(2)).encode({positions: new Map([['stock', position]]), isTruncated: false});
 		const last = token.at(-1) === 'A' ? 'B' : 'A';
@@ -66,20 +66,20 @@
 		}
 	});
 
-	it('refuses any text without failing', () => {
+	it('refuses arbitrary texts without throwing', () => {
 		fc.assert(fc.property(fc.oneof(fc.string(), fc.base64String()), text => {
 			expect(codec.decode(text).isLeft()).toEqual(true);
 		}), {seed: 2, numRuns: 500});
 	});
 
-	it('takes tokens of a key that is being replaced', () => {
+	it('accepts tokens that were signed with a previous key', () => {
 		const renewed = new SessionTokenCodec(makeSigner(2), [makeSigner(1)]);
 		expect(renewed.decode(tokenOf({stock: position})).isRight()).toEqual(true);
 	});
 });
 
-describe('MarkedSession', () => {
-	it('only moves forward', () => {
+describe('TokenSessionMarks', () => {
+	it('only moves marks forward', () => {
 		const session = new TokenSessionMarks(codec, 'stock', 'primary');
 		session.advance('stock', {term: 2, offset: 5});
 		session.advance('stock', {term: 1, offset: 9});
@@ -89,7 +89,7 @@
 		expect(session.mark('other')).toEqual({term: 0, offset: 0});
 	});
 
-	it('is complete only with a token that cannot miss the group', () => {
+	it('is complete only with a token that cannot have left out the group', () => {
 		const cases = [
 			{tokens: [], reads: 'primary', isComplete: false},
 			{tokens: [], reads: 'sessionOnly', isComplete: true},
@@ -110,7 +110,7 @@
 		}
 	});
 
-	it('gives its token when it changed, within bounds', () => {
+	it('returns its token only after a change, and within the limits', () => {
 		const session = new TokenSessionMarks(codec, 'g0', 'primary');
 		expect(session.takeChangedToken()).toEqual(undefined);
 		for (let index = 0; index < 200; index++) {
--- a/src/common/sessions/session-token.ts
+++ b/src/common/sessions/session-token.ts
@@ -1,8 +1,8 @@
 /**
- * The text that carries a session's marks between connections and proxies.
+ * The session token: the text that carries a session's marks between connections and proxies.
  *
  * Layout: version, flags, count, then per group the name's length, the name, term and
- * offset; then the signature. Base64url over all of it.
+ * offset; then the signature. All of it is encoded as base64url.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -19,21 +19,21 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder('utf-8', {fatal: true});
 
-/** Body bytes that fit into the longest token text beside the signature. */
+/** Maximum size of the body, in bytes: what the longest token text can hold besides the signature. */
 const maximumBodyBytes = Math.floor(maximumTokenChars * 3 / 4) - signatureBytes;
 
-/** Makes tokens and checks the ones that callers bring. */
+/** Encodes tokens, and verifies and decodes those that callers send. */
 export class SessionTokenCodec {
 	private readonly _signer: TokenSigner;
 	private readonly _verifiers: readonly TokenSigner[];
 
-	/** Tokens are signed by the first signer; those of previous keys are still taken. */
+	/** Tokens are signed by `signer`; those that one of `previousSigners` has signed are still accepted. */
 	constructor(signer: TokenSigner, previousSigners: readonly TokenSigner[] = []) {
 		this._signer = signer;
 		this._verifiers = [signer, ...previousSigners];
 	}
 
-	/** Writes a token; leaves out the least recently advanced groups beyond the bounds. */
+	/** Encodes a token; leaves out the least recently advanced groups if not all fit. */
 	encode(content: TokenContent): string {
 		const entries: Uint8Array[] = [];
 		let sizeBytes = headerBytes;
@@ -52,7 +52,7 @@
 		return this._sign(entries.toReversed(), isTruncated);
 	}
 
-	/** Reads a token; refuses one that was not made with a key of this system. */
+	/** Decodes a token; refuses one that is malformed or was not signed with a key of this system. */
 	decode(text: string): Either<Refusal, TokenContent> {
 		if (text.length > maximumTokenChars) {
 			return Left(new Refusal('invalidToken', 'token is too long'));
@@ -132,7 +132,7 @@
 	}
 }
 
-/** Compares without telling by its time where the first difference is. */
+/** Compares signatures in a time that does not depend on where the first difference is. */
 function isSignatureEqual(computed: Uint8Array, given: Uint8Array): boolean {
 	let difference = 0;
 	for (const [index, byte] of given.entries()) {
--- a/src/common/sessions/token-bytes.ts
+++ b/src/common/sessions/token-bytes.ts
@@ -1,6 +1,6 @@
-/** Reads and writes the fields of a token's body. */
+/** Encodes and decodes the fields of a token's body. */
 
-/** Collects bytes. */
+/** Writes fields one after another. */
 export class ByteWriter {
 	private readonly _bytes: number[] = [];
 
@@ -16,7 +16,7 @@
 		this._bytes.push(...values);
 	}
 
-	/** Seven bits a byte, lowest first; exact up to 2^53. */
+	/** Writes a variable-length integer, seven bits per byte, least significant first; exact up to 2^53. */
 	varint(value: number): void {
 		let rest = value;
 		while (rest >= 0x80) {
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Takes bytes in order; `isBroken` once something was missing or out of range. */
+/** Reads fields in order; `isMalformed` is set once bytes are missing or a number is out of range. */
 export class ByteReader {
 	isMalformed = false;
 	private readonly _bytes: Uint8Array;
@@ -42,7 +42,7 @@
 		this._bytes = bytes;
 	}
 
-	/** Whether everything was read, and read well. */
+	/** Whether all bytes were read and no field was malformed. */
 	get isAtEnd(): boolean {
 		return !this.isMalformed && this._offset === this._bytes.length;
 	}
--- a/src/common/sessions/token-session-marks.ts
+++ b/src/common/sessions/token-session-marks.ts
@@ -9,7 +9,7 @@
 import type {SessionTokenCodec} from './session-token.js';
 import type {TokenlessReads} from './types.js';
 
-/** Keeps a session's marks and the token that carries them. */
+/** Stores a session's marks, and encodes them as a token. */
 export class TokenSessionMarks implements SessionMarks {
 	private readonly _codec: SessionTokenCodec;
 	private readonly _group: string;
@@ -20,7 +20,7 @@
 	private _isMarkMissing = false;
 	private _hasChanged = false;
 
-	/** `group` is the one that the session's statements go to. */
+	/** `group` is the group that the session's statements are sent to. */
 	constructor(codec: SessionTokenCodec, group: string, tokenlessReads: TokenlessReads) {
 		this._codec = codec;
 		this._group = group;
@@ -28,14 +28,15 @@
 	}
 
 	/**
-	 * A session without a token may have written through another connection, and a token
-	 * that had to leave groups out may have left out this one.
+	 * Whether the marks cover everything that the caller may have seen or written in the group.
+	 * A session without a token may have written through another connection, and a truncated
+	 * token may have left out this group.
 	 */
 	get isComplete(): boolean {
 		return this._hasToken ? !this._isMarkMissing : this._tokenlessReads === 'sessionOnly';
 	}
 
-	/** The token for the marks as they are now. */
+	/** The token for the current marks. */
 	get token(): string {
 		return this._codec.encode({positions: this._positions, isTruncated: this._isTruncated});
 	}
@@ -50,13 +51,13 @@
 			return;
 		}
 
-		// Inserted anew, so that the map stays in the order of the last advance.
+		// Deleted and inserted again, so that the map stays in the order of the last advance.
 		this._positions.delete(group);
 		this._positions.set(group, laterPosition(current, position));
 		this._hasChanged = true;
 	}
 
-	/** Takes in a token that the caller brought; marks only move forward. */
+	/** Merges a token that the caller sent into the marks; marks only move forward. */
 	mergeToken(text: string): Either<Refusal, void> {
 		return this._codec.decode(text).ifRight(content => {
 			for (const [group, position] of content.positions) {
@@ -71,7 +72,7 @@
 		}).map(() => undefined);
 	}
 
-	/** The token if it changed since the last call. */
+	/** Returns the token if it has changed since the last call. */
 	takeChangedToken(): string | undefined {
 		if (!this._hasChanged) {
 			return undefined;
@@ -81,7 +82,7 @@
 		return this.token;
 	}
 
-	/** Tokens brought one after another must not grow the marks without bound. */
+	/** Limits the number of marks, which would otherwise grow with every token that the caller sends. */
 	private _dropOldest(): void {
 		for (const group of this._positions.keys()) {
 			if (this._positions.size <= maximumTokenGroups) {
--- a/src/common/sessions/types.ts
+++ b/src/common/sessions/types.ts
@@ -7,7 +7,7 @@
 	sign(bytes: Uint8Array): Uint8Array;
 };
 
-/** What a token says. */
+/** Content of a token. */
 export type TokenContent = {
 	/** Position per group, least recently advanced first. */
 	readonly positions: ReadonlyMap<string, LogPosition>;
@@ -16,7 +16,8 @@
 };
 
 /**
- * What the reads of a session without a token need: `primary` for proof that they are as
- * fresh as the primary, `sessionOnly` when the caller keeps to one connection per session.
+ * What reads of a session without a token require: with `primary`, a proof that they are as
+ * fresh as the primary; with `sessionOnly`, no proof, for callers that use one connection per
+ * session.
  */
 export type TokenlessReads = 'primary' | 'sessionOnly';
