--- a/src/common/explaining/day-plot.ts
+++ b/src/common/explaining/day-plot.ts
@@ -4,12 +4,12 @@
 import type {DaySummary, RefusalCause} from './day-summary.js';
 import {entriesOf} from './day-summary.js';
 
-/** Sizes in pixels: wide enough for a minute in spans of a second on a phone held across. */
+/** Sizes in pixels; the width shows one minute in spans of a second on a phone in landscape orientation. */
 const plot = {
 	width: 720, height: 240, margin: 32, legendRow: 16,
 } as const;
 
-/** Colours that stay apart for colour-blind readers. */
+/** Colours that colour-blind readers can distinguish. */
 const colours: Readonly<Record<RefusalCause, string>> = {
 	primaryUnknown: '#000000',
 	termNotProved: '#e69f00',
@@ -23,16 +23,16 @@
 	requestItself: '#dddddd',
 };
 
-/** The plot of a day that was told in spans of a length. */
+/** Returns the plot of a day as SVG text; `spanMs` is the length of the summary's spans. */
 export function plotDay({spans, totals}: DaySummary, spanMs: number): string {
 	const lastMs = Math.max(spanMs, ...spans.map(({fromMs}) => fromMs + spanMs));
 	const sums = spans.map(({refused}) => entriesOf(refused).reduce((sum, [, count]) => sum + count, 0));
 	const highest = Math.max(1, ...sums);
 	const perMs = (plot.width - (2 * plot.margin)) / lastMs;
 	const perRequest = (plot.height - (2 * plot.margin)) / highest;
-	const floorY = plot.height - plot.margin;
+	const baselineY = plot.height - plot.margin;
 	const bars = spans.flatMap(({fromMs, refused}) => {
-		let y = floorY;
+		let y = baselineY;
 		return entriesOf(refused).map(([cause, count]) => {
 			y -= count * perRequest;
 			return `<rect x="${round(plot.margin + (fromMs * perMs))}" y="${round(y)}" width="${round(spanMs * perMs)}" height="${round(count * perRequest)}" fill="${colours[cause]}"/>`;
@@ -46,7 +46,7 @@
 	return [
 		`<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${plot.width} ${height}" font-family="sans-serif" font-size="11">`,
 		`<text x="${plot.margin}" y="16">Refused requests in ${spanMs / 1000} s, at most ${highest}; ${Math.round(lastMs / 1000)} s in all</text>`,
-		`<line x1="${plot.margin}" y1="${floorY}" x2="${plot.width - plot.margin}" y2="${floorY}" stroke="#000000"/>`,
+		`<line x1="${plot.margin}" y1="${baselineY}" x2="${plot.width - plot.margin}" y2="${baselineY}" stroke="#000000"/>`,
 		...bars,
 		...legend,
 		'</svg>',
--- a/src/common/explaining/day-summary.ts
+++ b/src/common/explaining/day-summary.ts
@@ -1,13 +1,13 @@
 /**
- * From the collected logs of all nodes to what requests were refused for, second by second,
- * and what happened meanwhile.
+ * Summarises the collected logs of all nodes: why requests were refused in each span of time,
+ * and which events happened in it.
  */
 import {groupBy} from '../configuration/group-by.js';
 import type {ErrorKind} from '../errors/error-kinds.js';
 import type {LogEventName} from '../services/services.js';
 import type {LogLine} from './log-lines.js';
 
-/** Every cause. */
+/** All causes of refusals. */
 export const refusalCauses = [
 	'primaryUnknown',
 	'termNotProved',
@@ -21,30 +21,30 @@
 	'requestItself',
 ] as const;
 
-/** What a refused request had waited for, or met. */
+/** What a refused request had waited for, or failed on. */
 export type RefusalCause = typeof refusalCauses[number];
 
-/** A span of the day. */
+/** A span of time of the day. */
 export type DaySpan = {
-	/** Start of the span in milliseconds of the day's first line. */
+	/** Start of the span, in milliseconds after the day's first line. */
 	readonly fromMs: number;
 	/** Refused requests by cause; causes without any are left out. */
 	readonly refused: Readonly<Partial<Record<RefusalCause, number>>>;
-	/** What happened: one text a kind of event, with the nodes or groups that it concerns. */
+	/** Events of the span: one text per kind of event, with the nodes, groups or endpoints concerned. */
 	readonly marks: readonly string[];
 };
 
-/** A day as its logs tell it. */
+/** Summary of the logs of a day. */
 export type DaySummary = {
 	/** Time of the first line, in Unix milliseconds. */
 	readonly startMs: number;
-	/** Spans in which requests were refused or something happened, in their order. */
+	/** Spans with refused requests or events, in order of time. */
 	readonly spans: readonly DaySpan[];
-	/** Refused requests of the whole day by cause, most first. */
+	/** Refused requests of the whole day by cause, the most frequent first. */
 	readonly totals: ReadonlyArray<readonly [RefusalCause, number]>;
 };
 
-/** Causes by kind of refusal; where a kind has several, the detail tells. */
+/** Causes by kind of refusal; if a kind has several, the refusal's detail decides. */
 const causes: Readonly<Partial<Record<ErrorKind, (detail: string) => RefusalCause>>> = {
 	noPrimary: detail => noPrimaryCause(detail),
 	notPrimary: () => 'primaryOutOfReach',
@@ -62,7 +62,7 @@
 	shuttingDown: () => 'leaving',
 };
 
-/** Events that explain refusals, and the field that says what they concern; nodes where there is none. */
+/** Events that explain refusals, and the field that names what they concern; undefined if that is the node that logged them. */
 const markedEvents: ReadonlyMap<string, string | undefined> = new Map<LogEventName, string | undefined>([
 	['processLoaded', undefined],
 	['processReady', undefined],
@@ -79,7 +79,7 @@
 	['endpointGone', 'endpoint'],
 ]);
 
-/** Tells a day in spans of a length; undefined where there are no lines. */
+/** Summarises a day in spans of `spanMs`; undefined if there are no lines. */
 export function summariseDay(lines: readonly LogLine[], spanMs: number): DaySummary | undefined {
 	const [startMs] = lines.map(({time}) => Date.parse(time)).toSorted((a, b) => a - b);
 	if (startMs === undefined) {
@@ -94,7 +94,7 @@
 	return {startMs, spans, totals: entriesOf(countCauses(lines))};
 }
 
-/** Causes with their counts, most first. */
+/** Causes with their counts, the most frequent first. */
 export function entriesOf(refused: DaySpan['refused']): Array<readonly [RefusalCause, number]> {
 	const entries = refusalCauses.map(cause => [cause, refused[cause] ?? 0] as const);
 	return entries.filter(([, count]) => count > 0).toSorted(([, a], [, b]) => b - a);
@@ -125,9 +125,9 @@
 function marksOf(lines: readonly LogLine[]): string[] {
 	const marked = lines.filter(({name}) => markedEvents.has(name));
 	const byName = groupBy(marked, ({name}) => name);
-	return [...byName].map(([name, of]) => {
+	return [...byName].map(([name, events]) => {
 		const field = markedEvents.get(name);
-		const concerned = new Set(of.map(({node, fields}) => field === undefined ? node : String(fields[field])));
+		const concerned = new Set(events.map(({node, fields}) => field === undefined ? node : String(fields[field])));
 		return `${name} (${[...concerned].join(', ')})`;
 	});
 }
--- a/src/common/explaining/log-lines.ts
+++ b/src/common/explaining/log-lines.ts
@@ -1,5 +1,5 @@
 /**
- * Reads back the lines that nodes log.
+ * Parses the log lines of nodes.
  */
 import {z} from 'zod';
 
@@ -15,7 +15,7 @@
 /** One line of a node's log. */
 export type LogLine = z.output<typeof lineSchema>;
 
-/** Lines of a text in their order; what stands before a line on it, and what is no line of a log, is left out. */
+/** Returns the log lines of a text in order; prefixes of log lines and lines that are not log lines are left out. */
 export function parseLogLines(text: string): LogLine[] {
 	return text.split('\n').flatMap(line => {
 		const start = line.indexOf('{');
@@ -28,7 +28,7 @@
 		const parsed = lineSchema.safeParse(JSON.parse(json));
 		return parsed.success ? [parsed.data] : [];
 	} catch {
-		// Collected logs hold lines of other programs and lines that were cut off.
+		// Collected logs contain lines of other programs and truncated lines.
 		return [];
 	}
 }
--- a/src/common/explaining/request-timeline.ts
+++ b/src/common/explaining/request-timeline.ts
@@ -1,6 +1,6 @@
 /**
- * From the id of a request to its cause: what nodes logged of it, and of the group that it
- * went to, as one timeline.
+ * Explains the answer to a request from its id: merges what the nodes logged about the request
+ * and about the group that it was sent to into one timeline.
  */
 import type {LogEventName} from '../services/services.js';
 import type {ErrorKind} from '../errors/error-kinds.js';
@@ -13,22 +13,22 @@
 	readonly isOwn: boolean;
 };
 
-/** What became of a request. */
+/** The timeline of a request, and what to conclude from it. */
 export type RequestTimeline = {
 	readonly lines: readonly TimelineLine[];
-	/** What the caller was told last; undefined where no node refused the request. */
+	/** The line of the last refusal that the caller received; undefined if no node refused the request. */
 	readonly refusal: LogLine | undefined;
-	/** What to conclude, one sentence an item. */
+	/** Conclusions, one sentence per item. */
 	readonly conclusions: readonly string[];
 };
 
-/** Times around a request in which other events may explain it, in milliseconds. */
+/** Times before and after a request in which other events may explain its answer, in milliseconds. */
 export type TimelineWindow = {
 	readonly beforeMs: number;
 	readonly afterMs: number;
 };
 
-/** Events of a group or an endpoint that decide where its statements go. */
+/** Events of a group or an endpoint that affect where its statements are sent. */
 const groupEvents: ReadonlySet<string> = new Set<LogEventName>([
 	'primaryAdopted',
 	'promotionStarted',
@@ -50,7 +50,7 @@
 	'endpointGone',
 ]);
 
-/** Events of the node that answered. */
+/** Events of a node that may explain the answers of that node. */
 const nodeEvents: ReadonlySet<string> = new Set<LogEventName>([
 	'processStarted',
 	'processDraining',
@@ -65,28 +65,28 @@
 	'hostTrusted',
 ]);
 
-/** What a refusal of a kind says about its cause, beyond its own line. */
-const causes: Partial<Record<ErrorKind, (story: NearbyEvents) => string>> = {
-	noPrimary: story => story.names.has('promotionStarted') || story.names.has('termFenced')
+/** What can be concluded about the cause of a refusal from its kind, in addition to its log line. */
+const causes: Partial<Record<ErrorKind, (nearby: NearbyEvents) => string>> = {
+	noPrimary: nearby => nearby.names.has('promotionStarted') || nearby.names.has('termFenced')
 		? 'The group had no primary that could be proved while a promotion was under way.'
-		: 'The node could neither reach nor prove the primary, and no promotion is logged: look for a cut between this node and the endpoint.',
-	overloaded: () => 'Every endpoint that was fresh enough was full or refused connections; the lines before name each.',
-	deadlineUnreachable: () => 'What was queued before it would have taken longer than the time that the request had left.',
-	deadlineExceeded: () => 'The request waited in a queue until its time was over.',
-	outcomeUnknown: story => story.names.has('primaryAdopted')
+		: 'The node could neither reach nor prove the primary, and no promotion is logged: look for a network failure between this node and the endpoint.',
+	overloaded: () => 'Every endpoint that was fresh enough was full or refused connections; the earlier lines name each of them.',
+	deadlineUnreachable: () => 'The requests queued before it would have taken longer than the time that the request had left.',
+	deadlineExceeded: () => 'The request waited in a queue until its deadline passed.',
+	outcomeUnknown: nearby => nearby.names.has('primaryAdopted')
 		? 'The statement had been sent, and its primary was replaced: the write stands if the new primary had received it.'
-		: 'The statement had been sent, and its answer did not come: only a read of what it wrote tells whether it took effect.',
+		: 'The statement had been sent, and its answer did not arrive: only a read of what it wrote shows whether it took effect.',
 	transactionLost: () => 'The connection of the transaction broke before its commit was sent: the endpoint rolled it back.',
-	tooStale: () => 'No endpoint that could be reached had what the session had seen, or was as fresh as its route asks.',
+	tooStale: () => 'No endpoint that could be reached had applied the position of the session, or was as fresh as its route requires.',
 	unknownGroup: () => 'No route of the configuration in force had the name of the database.',
-	endpointUnavailable: () => 'The endpoint could not be reached, and no other could take the request.',
+	endpointUnavailable: () => 'The endpoint could not be reached, and no other could serve the request.',
 	peerUnavailable: () => 'The node that holds the connections to the endpoint gave no answer.',
 	shuttingDown: () => 'The node was stopping.',
 };
 
 type NearbyEvents = {readonly names: ReadonlySet<string>};
 
-/** Puts together what is known of a request; undefined where no line names it. */
+/** Builds the timeline of a request; undefined if no line names the request. */
 export function buildRequestTimeline(lines: readonly LogLine[], request: string, times: TimelineWindow): RequestTimeline | undefined {
 	const own = lines.filter(({fields}) => fields.request === request);
 	if (own.length === 0) {
@@ -110,7 +110,7 @@
 	return {lines: timeline, refusal, conclusions: drawConclusions(refusal, own, {names: new Set(near.map(({name}) => name))})};
 }
 
-/** Names of the groups and endpoints that lines name, also in the text of a refusal. */
+/** Names of the groups and endpoints in the request's own lines, also in the detail of a refusal. */
 function groupsOf(own: readonly LogLine[], lines: readonly LogLine[]): ReadonlySet<unknown> {
 	const named = own.flatMap(({fields}) => [fields.group, fields.endpoint]);
 	const details = own.map(({fields}) => typeof fields.detail === 'string' ? fields.detail : '').join(' ');
@@ -127,14 +127,14 @@
 function drawConclusions(refusal: LogLine | undefined, own: readonly LogLine[], found: NearbyEvents): string[] {
 	const isUnconfirmed = own.some(({name}) => name === 'writeUnconfirmed');
 	const conclusions = [
-		...refusal ? [describeAnswer(refusal), causeOf(refusal, found)] : ['No node refused the request: what is logged are detours on its way to an answer.'],
-		...isUnconfirmed ? ['Its write was acknowledged before a replica was known to have it: it is lost if its primary was lost right after.'] : [],
-		...found.names.has('logLinesDropped') ? ['A node left out lines in this time: the timeline may have gaps.'] : [],
+		...refusal ? [describeAnswer(refusal), causeOf(refusal, found)] : ['No node refused the request: its lines show detours before it was answered.'],
+		...isUnconfirmed ? ['Its write was acknowledged before a replica was known to have it: it is lost if the primary was lost right afterwards.'] : [],
+		...found.names.has('logLinesDropped') ? ['A node dropped log lines in this time: the timeline may have gaps.'] : [],
 	];
 	return conclusions.filter(text => text !== '');
 }
 
-/** What the caller was told of it. */
+/** Describes the answer that the caller received. */
 function describeAnswer({node, fields}: LogLine): string {
 	const outcomes: Record<string, string> = {
 		notRun: 'did not run', ran: 'ran', unknown: 'may or may not have run',
