--- a/src/common/audit/audit-buffer.ts
+++ b/src/common/audit/audit-buffer.ts
@@ -1,11 +1,11 @@
 /**
- * Entries that wait to be written, within a bound.
+ * Buffers a bounded number of audit entries that wait to be written.
  */
 import type {AuditEntry} from '../services/services.js';
 import {droppedAct, type AuditOptions} from './constants.js';
 import type {AuditRecord} from './types.js';
 
-/** Keeps the oldest entries when it is full, and one entry that tells how many it dropped. */
+/** Drops new entries when it is full, and later adds one entry that records how many it dropped. */
 export class AuditBuffer {
 	private readonly _node: string;
 	private readonly _options: AuditOptions;
@@ -19,12 +19,12 @@
 		this._options = options;
 	}
 
-	/** Entries that are not known to be written. */
+	/** Number of entries that are not known to be written. */
 	get size(): number {
 		return this._batch.length + this._waiting.length;
 	}
 
-	/** Takes an entry; false when it was dropped. */
+	/** Adds an entry; returns false if it was dropped. */
 	add(entry: AuditEntry, atMs: number): boolean {
 		this._sequence++;
 		if (this.size >= this._options.bufferedEntries) {
@@ -45,7 +45,7 @@
 		return true;
 	}
 
-	/** The batch to write next. It stays the same until `finish`: a retry must not differ. */
+	/** The batch to write next. It stays the same until it is completed or discarded, since a retry must not differ. */
 	batch(): readonly AuditRecord[] {
 		if (this._batch.length === 0) {
 			this._batch = this._waiting.splice(0, this._batchLength());
@@ -55,8 +55,8 @@
 	}
 
 	/**
-	 * Forgets the batch; the entry about dropped ones follows what was kept before them.
-	 * Returns how many that entry tells of.
+	 * Removes the batch. If entries were dropped, adds an entry that records their number; it
+	 * follows the entries that were buffered before them. Returns that number.
 	 */
 	completeBatch(atMs: number): number {
 		this._batch = [];
@@ -75,7 +75,7 @@
 		return count;
 	}
 
-	/** Counts the entries of a batch that can't be written as dropped, and forgets it. */
+	/** Removes a batch that cannot be written, and counts its entries as dropped. */
 	discardBatch(atMs: number): number {
 		this._droppedCount += this._batch.length;
 		return this.completeBatch(atMs);
--- a/src/common/audit/audit-keys.ts
+++ b/src/common/audit/audit-keys.ts
@@ -1,9 +1,9 @@
 /**
  * Keys of the audit trail in the table.
  *
- * A partition holds the batches of one day (UTC). The table reads a partition upwards only,
- * so the sort keys begin with the time counted down from a far future: newest first. Node
- * and sequence follow, so that no two nodes write one item.
+ * A partition holds the batches of one day (UTC). The table reads a partition in ascending
+ * order only, so the sort keys begin with the time subtracted from a time in the far future:
+ * the newest come first. Node and sequence follow, so that no two nodes write the same item.
  */
 import type {AuditRecord} from './types.js';
 
@@ -11,20 +11,20 @@
 const timeDigits = 15;
 const sequenceDigits = 12;
 
-/** Milliseconds of a day. */
+/** Length of a day, in milliseconds. */
 export const dayMs = 86_400_000;
 
-/** First millisecond of a time's day. */
+/** Start of the day (UTC) that a time belongs to, in Unix milliseconds. */
 export function dayStartMs(timeMs: number): number {
 	return timeMs - (timeMs % dayMs);
 }
 
-/** Partition of a time's day. */
+/** Partition of the day that a time belongs to. */
 export function partitionOf(timeMs: number): string {
 	return `audit#${new Date(timeMs).toISOString().slice(0, 10)}`;
 }
 
-/** Start of the sort keys of a time; it is before every whole key of that time. */
+/** Prefix of the sort keys of a time; it sorts before every complete key of that time. */
 export function timePrefix(timeMs: number): string {
 	return String(largestTimeMs - timeMs).padStart(timeDigits, '0');
 }
@@ -40,7 +40,7 @@
 	return `${timePrefix(latestMs)}#${first.node}#${String(first.sequence).padStart(sequenceDigits, '0')}`;
 }
 
-/** Place of an entry in the trail, newest first; also the cursor of the page after it. */
+/** Key that orders the entries of the trail newest first; also the cursor of the page after the entry. */
 export function recordKey(record: AuditRecord): string {
 	const countdown = String((10 ** sequenceDigits) - record.sequence).padStart(sequenceDigits, '0');
 	return `${timePrefix(record.atMs)}#${record.node}#${countdown}`;
--- a/src/common/audit/audit-reader.ts
+++ b/src/common/audit/audit-reader.ts
@@ -13,15 +13,15 @@
 
 const batchSchema = z.array(auditRecordSchema);
 
-/** Entries in the order of their keys. */
+/** An entry with the key that it is ordered by. */
 type KeyedRecord = {readonly key: string; readonly record: AuditRecord};
 
-/** Reads one page. */
+/** Reads one page of the trail. */
 export class AuditReader {
 	private readonly _table: Table;
 	private readonly _options: AuditOptions;
 	private readonly _limit: number;
-	/** Cursor; entries with larger keys are older. */
+	/** Cursor of the page, which holds only entries with larger keys, that is older ones. */
 	private readonly _before: string;
 	private readonly _found: KeyedRecord[] = [];
 
@@ -35,10 +35,11 @@
 	async read(): Promise<Either<PlatformFault, AuditPage>> {
 		const cursorMs = timeOfKey(this._before);
 		if (cursorMs === undefined) {
-			return Left({kind: 'invalid', detail: 'not a place in the audit trail'});
+			return Left({kind: 'invalid', detail: 'not a cursor of the audit trail'});
 		}
 
-		// A batch stands at the time of its latest entry, and spans a bounded time.
+		// A batch is stored under the time of its latest entry and spans at most `batchSpanMs`, so
+		// entries before the cursor may be in a batch that is stored that much later.
 		const startMs = cursorMs + this._options.batchSpanMs;
 		const firstDayMs = dayStartMs(startMs);
 		for (let day = 0; day <= this._options.daysRead; day++) {
@@ -86,8 +87,9 @@
 	}
 
 	/**
-	 * Whether a page, and one entry that tells that there is a next one, was found after a
-	 * time. What was not read yet is not later than that time, so the page is final.
+	 * Whether a full page, and one more entry that shows that there is a next page, were found
+	 * after a time. Entries that were not read yet are not later than that time, so the page is
+	 * final.
 	 */
 	private _isFilledAfter(timeMs: number): boolean {
 		return this._found.filter(({record}) => record.atMs > timeMs).length > this._limit;
@@ -101,7 +103,7 @@
 	}
 }
 
-/** The entries of an item; none when something else wrote it. */
+/** The entries of an item; none if the item was not written by an audit trail. */
 function decodeBatch(body: string): AuditRecord[] {
 	return parseJsonWith(batchSchema, body).orDefault([]);
 }
--- a/src/common/audit/audit-trail.test.ts
+++ b/src/common/audit/audit-trail.test.ts
@@ -47,7 +47,7 @@
 const acts = (records: readonly AuditRecord[]): string[] => records.map(({act}) => act);
 
 describe('AuditTrail', () => {
-	it('writes batches at a bounded rate, and nothing when there is nothing', async () => {
+	it('writes batches at a bounded rate, and stops when no entry is buffered', async () => {
 		const {clock, platform, connect} = setUp();
 		const {trail} = connect('n1/1');
 		for (let number = 0; number < 60; number++) {
@@ -80,7 +80,7 @@
 		}
 	});
 
-	it('keeps a bounded number during an outage and tells how many it dropped', async () => {
+	it('buffers a bounded number of entries during an outage and records how many it dropped', async () => {
 		const {clock, platform, connect} = setUp({bufferedEntries: 10});
 		const {trail} = connect('n1/1');
 		platform.faults.outage = 'refused';
@@ -113,7 +113,7 @@
 		expect(acts(await readAll(trail, 50))).toEqual(Array.from({length: 200}, (_, index) => String(199 - index)));
 	});
 
-	it('flushes without pauses, and gives up at its bound', async () => {
+	it('flushes without pauses, and gives up at its timeout', async () => {
 		const {clock, platform, connect} = setUp({batchEntries: 1});
 		const {trail} = connect('n1/1');
 		const record = (): void => {
@@ -134,7 +134,7 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('drops and says so when its item belongs to another process', async () => {
+	it('drops a batch and reports it when its item belongs to another process', async () => {
 		const {clock, connect, log} = setUp();
 		const trails = [connect('n1/1').trail, connect('n1/1').trail];
 		trails[0].record(entry('first'));
@@ -145,7 +145,7 @@
 		expect(log.names).toEqual(['auditEntriesDropped']);
 	});
 
-	it('refuses a place that is none', async () => {
+	it('refuses a text that is not a cursor', async () => {
 		const read = await setUp().connect('n1/1').trail.read(10, 'yesterday');
 		expect(read.isLeft() && read.extract().kind).toEqual('invalid');
 	});
--- a/src/common/audit/audit-trail.ts
+++ b/src/common/audit/audit-trail.ts
@@ -1,8 +1,9 @@
 /**
- * The audit trail: who did what, on what ground, with what outcome.
+ * The audit trail: who did what, on what basis, with what outcome.
  *
  * Entries are written in batches, one item each, at a bounded rate. The item of a batch is
- * written once and never changed, so a lost answer is always found by writing it again.
+ * written once and never changed, so after a lost answer it is safe to write it again, which
+ * shows whether it had been written.
  */
 import type {Either} from 'purify-ts';
 import {WakeableSleep, withTimeout} from '../lifecycle/timing.js';
@@ -19,20 +20,20 @@
 import {auditDefaults, type AuditOptions} from './constants.js';
 import type {AuditPage, AuditRecord, AuditServices} from './types.js';
 
-/** Keeps the trail of this node in the table, and reads that of all nodes. */
+/** Writes the entries of this node to the table, and reads those of all nodes. */
 export class AuditTrail implements Audit, Disposable {
 	private readonly _services: AuditServices;
 	private readonly _options: AuditOptions;
 	private readonly _buffer: AuditBuffer;
 	private readonly _sleep: WakeableSleep;
 	private readonly _backoff: Backoff;
-	/** Tells this trail's writes from those of another process under the same name. */
+	/** Distinguishes this trail's writes from those of another process with the same name. */
 	private readonly _writerId: string;
 	private _writing: Promise<void> | undefined;
 	private _isFlushing = false;
 	private _isDisposed = false;
 
-	/** `node` must differ between two starts of one name: `<name>/<incarnation>`. */
+	/** `node` is `<name>/<incarnation>`; it must differ between two starts of a node with the same name. */
 	constructor(services: AuditServices, node: string, options: Partial<AuditOptions> = {}) {
 		const {clock, random} = services;
 		this._services = services;
@@ -43,7 +44,7 @@
 		this._backoff = new Backoff(clock, random, this._options.retryMinimumMs, this._options.retryMaximumMs);
 	}
 
-	/** Entries that are not known to be written. */
+	/** Number of entries that are not known to be written. */
 	get bufferedCount(): number {
 		return this._buffer.size;
 	}
@@ -59,21 +60,21 @@
 	}
 
 	/**
-	 * Entries before a place in the trail, newest first; before now when none is given.
+	 * Reads entries before a cursor, newest first; starts at the newest one if there is none.
 	 * `before` is the `next` of an earlier page.
 	 */
 	async read(limit: number, before?: string): Promise<Either<PlatformFault, AuditPage>> {
-		// Clocks of other nodes may be ahead.
+		// The read starts a day ahead, since clocks of other nodes may be ahead.
 		const now = timePrefix(Math.floor(this._services.clock.wallClockMs()) + dayMs);
 		return new AuditReader(this._services.table, this._options, limit, before ?? now).read();
 	}
 
-	/** Writes what waits without the usual pauses; resolves with whether all was written in time. */
-	async flush(boundMs: number): Promise<boolean> {
+	/** Writes the buffered entries without the usual pauses; resolves with whether all were written in time. */
+	async flush(timeoutMs: number): Promise<boolean> {
 		if (this._writing) {
 			this._isFlushing = true;
 			this._sleep.wake();
-			await withTimeout(this._services.clock, this._writing, boundMs);
+			await withTimeout(this._services.clock, this._writing, timeoutMs);
 			this._isFlushing = false;
 		}
 
@@ -85,7 +86,7 @@
 		this._sleep.dispose();
 	}
 
-	/** The task that writes lives only while something waits. */
+	/** Starts the task that writes, unless it is running; it ends when no entry is buffered. */
 	private _start(): void {
 		if (!this._writing && !this._isDisposed) {
 			this._writing = this._write();
@@ -110,7 +111,7 @@
 			this._reportBatch('written', batch.length, this._buffer.completeBatch(clock.wallClockMs()));
 			await this._pause(this._buffer.size > 0 ? this._options.writeIntervalMs : 0);
 		} else if (written.isLeft() && written.extract().kind === 'conditionFailed') {
-			// The item belongs to another process under the same name and incarnation.
+			// The item belongs to another process with the same name and incarnation.
 			this._reportBatch('dropped', batch.length, this._buffer.discardBatch(clock.wallClockMs()));
 		} else {
 			this._backoff.fail();
--- a/src/common/audit/constants.ts
+++ b/src/common/audit/constants.ts
@@ -4,29 +4,29 @@
 
 /** Defaults of `AuditOptions`. */
 export const auditDefaults = {
-	/** Entries that wait for the table at most; further ones are counted and dropped. */
+	/** Maximum number of entries that wait to be written; further ones are counted and dropped. */
 	bufferedEntries: 500,
-	/** Entries that one item of the table holds at most. */
+	/** Maximum number of entries in one item of the table. */
 	batchEntries: 25,
-	/** Longest time between the entries of one batch; bounds how far a reader looks back. */
+	/** Maximum time between the entries of one batch; limits how much later than its cursor a reader has to start. */
 	batchSpanMs: 10_000,
-	/** Entries are gathered for this long before the first write. */
+	/** How long entries are collected before the first write. */
 	gatherMs: 200,
-	/** Time between two writes, so that a busy node writes once a second at most. */
+	/** Minimum time between two writes, so that a busy node writes at most once per second. */
 	writeIntervalMs: 1000,
-	/** First and longest delay between two attempts while the table does not answer. */
+	/** Minimum and maximum backoff between two attempts while the table does not answer. */
 	retryMinimumMs: 500,
 	retryMaximumMs: 30_000,
-	/** Longest text of a field; five such fields in 25 entries stay below an item's 400 KB. */
+	/** Longest text of a field, in characters; five such fields in each of 25 entries stay below the limit of 400 KB per item. */
 	fieldCharacters: 1000,
-	/** Items that one query of a reader asks for. */
+	/** Number of items that a reader requests in one query. */
 	pageItems: 50,
-	/** Days before the wanted time that one read looks into. */
+	/** Number of days before the cursor that one read searches. */
 	daysRead: 31,
 } as const;
 
 /** Options of the audit trail; units are in the names. */
 export type AuditOptions = {readonly [Name in keyof typeof auditDefaults]: number};
 
-/** Act of the entry that stands for dropped ones. */
+/** Act of the entry that records dropped entries. */
 export const droppedAct = 'audit.dropped';
--- a/src/common/audit/row-audit.test.ts
+++ b/src/common/audit/row-audit.test.ts
@@ -44,8 +44,8 @@
 		audit.dispose();
 	});
 
-	it('drops no further entry when the one that is being written was dropped for the bound', async () => {
-		// The entry that is on its way is the oldest one.
+	it('drops no further entry when the one that is being written was dropped because too many waited', async () => {
+		// The entry that is being written is the oldest one, which is dropped first.
 		for (let count = 0; count <= 256; count++) {
 			record(String(count));
 		}
@@ -55,27 +55,27 @@
 		expect(written.at(-1)).toEqual('256');
 	});
 
-	it('keeps an entry that waited for long from its writing on', async () => {
+	it('retains an entry from the time of its write, even if it waited for long before', async () => {
 		store.isUnavailable = true;
 		record('late');
 		await clock.advance(120_000);
-		const copy = store.takeSnapshot();
+		const snapshot = store.takeSnapshot();
 		store.isUnavailable = false;
 		await clock.advance(2000);
 		expect(await subjects()).toEqual(['late']);
-		store.restore(copy);
+		store.restore(snapshot);
 		await subjects();
 		await clock.advance(2000);
 		expect(await subjects()).toEqual(['late']);
 	});
 
-	it('writes entries again that a store has lost by coming back from an older copy, once', async () => {
+	it('writes entries again, once, that a store has lost by a restore from an older snapshot', async () => {
 		record('kept');
 		await clock.advance(10);
-		const copy = store.takeSnapshot();
+		const snapshot = store.takeSnapshot();
 		record('lost');
 		await clock.advance(1000);
-		store.restore(copy);
+		store.restore(snapshot);
 		expect(await subjects()).toEqual(['kept']);
 		await clock.advance(2000);
 		expect(await subjects()).toEqual(['kept', 'lost']);
--- a/src/common/audit/row-audit.ts
+++ b/src/common/audit/row-audit.ts
@@ -1,5 +1,6 @@
 /**
- * The audit trail as rows of the store, one an act. Bounded while the store is away.
+ * Writes the audit trail as rows of the store, one row per act. While the store is unavailable,
+ * a bounded number of entries waits.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {WakeableSleep} from '../lifecycle/timing.js';
@@ -8,16 +9,19 @@
 	Audit, AuditEntry, Clock, Log, PlatformFault, RowStore,
 } from '../services/services.js';
 
-/** Table of the trail. */
+/** Name of the table that holds the audit trail. */
 export const auditTable = 'audit';
 
-/** Entries that wait while the store is away; the oldest are dropped beyond. */
+/** Maximum number of entries that wait while the store is unavailable; beyond it, the oldest are dropped. */
 const maximumWaiting = 256;
 
-/** Wait after a write that failed. */
+/** Pause after a write that failed. */
 const retryMs = 1000;
 
-/** Time for which a written entry is kept, to be written again if the store loses it: copies are some seconds old. */
+/**
+ * How long a written entry is retained, to be written again if the store loses it by a restore;
+ * snapshots of the store are some seconds old.
+ */
 const retentionMs = 60_000;
 
 type Entry = {
@@ -25,7 +29,7 @@
 	readonly value: string;
 };
 
-/** Faults after which an entry is not written again: it stands already, or never can. */
+/** Faults after which a write is not retried: the row exists already, or can never be written. */
 const finalFaults: ReadonlySet<PlatformFault['kind']> = new Set(['conditionFailed', 'invalid']);
 
 type AuditServices = {
@@ -42,7 +46,7 @@
 	private readonly _services: AuditServices;
 	private readonly _sleep: WakeableSleep;
 	private readonly _waiting: Entry[] = [];
-	/** Written a while ago at the most, the oldest first, and when. */
+	/** Entries that were written within `retentionMs`, oldest first, with the time of the write. */
 	private _written: Array<{readonly entry: Entry; readonly atMs: number}> = [];
 	private readonly _restoreSubscription: Disposable;
 	private _count = 0;
@@ -89,7 +93,7 @@
 			const result = await this._services.store.write({
 				table: auditTable, partition: '', key: entry.key, value: entry.value, expectedVersion: 0,
 			});
-			// A row that exists was written by an attempt whose answer was lost.
+			// If the row exists already, an attempt whose answer was lost has written it.
 			const isDone = !result.isLeft() || finalFaults.has(result.extract().kind);
 			if (isDone) {
 				this._markWritten(entry);
@@ -101,7 +105,10 @@
 		this._isWriting = false;
 	}
 
-	/** A restore may have put others before it meanwhile, or the bound may have dropped it. */
+	/**
+ * Moves an entry from the waiting to the written ones. It need not be the first that waits: a
+ * restore may have put others before it meanwhile, or it may have been dropped for the maximum.
+ */
 	private _markWritten(entry: Entry): void {
 		const index = this._waiting.indexOf(entry);
 		if (index !== -1) {
--- a/src/common/audit/types.ts
+++ b/src/common/audit/types.ts
@@ -6,7 +6,7 @@
 	AuditEntry, Clock, Log, Metrics, Random, Table,
 } from '../services/services.js';
 
-/** An entry with when and where it was made. */
+/** An entry with the time and the node of its recording. */
 export const auditRecordSchema = z.object({
 	actor: z.string(),
 	act: z.string(),
@@ -23,14 +23,14 @@
 
 export type AuditRecord = z.infer<typeof auditRecordSchema>;
 
-/** Part of the trail, newest entries first. */
+/** One page of the trail, newest entries first. */
 export type AuditPage = {
 	readonly records: readonly AuditRecord[];
-	/** Where the next page begins; undefined when the days looked into hold no more. */
+	/** Cursor of the next page; undefined when the days that were searched hold no more entries. */
 	readonly next: string | undefined;
 };
 
-/** What the trail uses. */
+/** Services that the trail uses. */
 export type AuditServices = {
 	readonly table: Table;
 	readonly clock: Clock;
