--- a/src/common/sessions/session-token.ts
+++ b/src/common/sessions/session-token.ts
@@ -1,8 +1,8 @@
 /**
- * The text that carries a session's marks between connections and proxies.
+ * The session token: the text that carries a session's marks between connections and proxies.
  *
  * Layout: version, flags, count, then per group the name's length, the name, term and
- * offset; then the signature. Base64url over all of it.
+ * offset; then the signature. All of it is encoded as base64url.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -19,21 +19,21 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder('utf-8', {fatal: true});
 
-/** Body bytes that fit into the longest token text beside the signature. */
+/** Maximum size of the body, in bytes: what the longest token text can hold besides the signature. */
 const maximumBodyBytes = Math.floor(maximumTokenChars * 3 / 4) - signatureBytes;
 
-/** Makes tokens and checks the ones that callers bring. */
+/** Encodes tokens, and verifies and decodes those that callers send. */
 export class SessionTokenCodec {
 	private readonly _signer: TokenSigner;
 	private readonly _verifiers: readonly TokenSigner[];
 
-	/** Tokens are signed by the first signer; those of previous keys are still taken. */
+	/** Tokens are signed by `signer`; those that one of `previousSigners` has signed are still accepted. */
 	constructor(signer: TokenSigner, previousSigners: readonly TokenSigner[] = []) {
 		this._signer = signer;
 		this._verifiers = [signer, ...previousSigners];
 	}
 
-	/** Writes a token; leaves out the least recently advanced groups beyond the bounds. */
+	/** Encodes a token; leaves out the least recently advanced groups if not all fit. */
 	encode(content: TokenContent): string {
 		const entries: Uint8Array[] = [];
 		let sizeBytes = headerBytes;
@@ -49,10 +49,10 @@
 			entries.push(entry);
 		}
 
-		return this._seal(entries.toReversed(), isTruncated);
+		return this._sign(entries.toReversed(), isTruncated);
 	}
 
-	/** Reads a token; refuses one that was not made with a key of this system. */
+	/** Decodes a token; refuses one that is malformed or was not signed with a key of this system. */
 	decode(text: string): Either<Refusal, TokenContent> {
 		if (text.length > maximumTokenChars) {
 			return Left(new Refusal('invalidToken', 'token is too long'));
@@ -65,7 +65,7 @@
 
 		const body = bytes.subarray(0, bytes.length - signatureBytes);
 		const signature = bytes.subarray(bytes.length - signatureBytes);
-		if (!this._verifiers.some(signer => isSame(signer.sign(body), signature))) {
+		if (!this._verifiers.some(signer => isSignatureEqual(signer.sign(body), signature))) {
 			return Left(new Refusal('invalidToken', 'token was not issued by this system'));
 		}
 
@@ -73,7 +73,7 @@
 		return content ? Right(content) : Left(new Refusal('invalidToken', 'token has an unknown layout'));
 	}
 
-	private _seal(entries: readonly Uint8Array[], isTruncated: boolean): string {
+	private _sign(entries: readonly Uint8Array[], isTruncated: boolean): string {
 		const writer = new ByteWriter();
 		writer.byte(tokenVersion);
 		writer.byte(isTruncated ? truncatedFlag : 0);
@@ -120,8 +120,8 @@
 		positions.set(group, {term: reader.varint(), offset: reader.varint()});
 	}
 
-	const isWhole = reader.isAtEnd && positions.size === count && count <= maximumTokenGroups;
-	return isWhole ? {positions, isTruncated: (flags % 2) === truncatedFlag} : undefined;
+	const isComplete = reader.isAtEnd && positions.size === count && count <= maximumTokenGroups;
+	return isComplete ? {positions, isTruncated: (flags % 2) === truncatedFlag} : undefined;
 }
 
 function decodeName(bytes: Uint8Array): string | undefined {
@@ -132,8 +132,8 @@
 	}
 }
 
-/** Compares without telling by its time where the first difference is. */
-function isSame(computed: Uint8Array, given: Uint8Array): boolean {
+/** Compares signatures in a time that does not depend on where the first difference is. */
+function isSignatureEqual(computed: Uint8Array, given: Uint8Array): boolean {
 	let difference = 0;
 	for (const [index, byte] of given.entries()) {
 		difference += byte === computed[index] ? 0 : 1;
--- a/src/common/statements/local-answers.ts
+++ b/src/common/statements/local-answers.ts
@@ -1,4 +1,4 @@
-/** Answers the statements that the proxy handles itself. */
+/** Answers the statements that the proxy handles itself, without an endpoint. */
 import {Left, Right, type Either} from 'purify-ts';
 import type {Refusal} from '../errors/error-kinds.js';
 import type {CallerSession} from '../sessions/caller-session.js';
@@ -13,25 +13,25 @@
 import type {PreparedStatements} from './prepared-statements.js';
 import type {LocalCommand, Statement} from './types.js';
 
-/** The session and what goes with it. */
+/** State of the session that local statements read and change. */
 export type LocalContext = {
 	readonly session: CallerSession;
 	readonly prepared: PreparedStatements;
 };
 
-/** What a local statement gives. */
+/** Result of a local statement. */
 type LocalResult = {
 	/** Column and value of its only row. */
 	readonly row?: {readonly column: string; readonly value: string};
-	/** Undefined for an empty query. */
+	/** Command tag; undefined for an empty query. */
 	readonly tag: string | undefined;
-	/** Parameter whose new value is reported. */
+	/** Parameter whose new value is reported to the caller. */
 	readonly changed?: string;
 };
 
-type Perform = (act: LocalCommand, context: LocalContext) => Either<Refusal, LocalResult>;
+type CommandHandler = (act: LocalCommand, context: LocalContext) => Either<Refusal, LocalResult>;
 
-const performers: Readonly<Record<LocalCommand['name'], Perform>> = {
+const commandHandlers: Readonly<Record<LocalCommand['name'], CommandHandler>> = {
 	set({subject = '', value}, {session}) {
 		const refusal = writeParameter(session, subject, value);
 		return refusal ? Left(refusal) : Right({tag: 'SET', changed: subject});
@@ -64,7 +64,7 @@
 
 const emptyQuery = makeFrame(backendCodes.emptyQueryResponse);
 
-/** Column of the row that an act will give; undefined for none. */
+/** Column of the row that a command returns; undefined if it returns none. */
 function columnOf(act: LocalCommand): string | undefined {
 	if (act.name === 'show') {
 		return act.subject;
@@ -74,7 +74,7 @@
 }
 
 function perform(act: LocalCommand, context: LocalContext, isDescribed: boolean): Either<Refusal, readonly Uint8Array[]> {
-	return performers[act.name](act, context).map(result => {
+	return commandHandlers[act.name](act, context).map(result => {
 		const reported = result.changed && reportedName(result.changed);
 		return [
 			...(result.row && isDescribed ? [textRowDescription(result.row.column)] : []),
@@ -85,7 +85,7 @@
 	});
 }
 
-/** Frames of an answer, and the refusal that ended it early. */
+/** Frames of an answer, and the refusal that ended it early; undefined if there was none. */
 export type LocalAnswer = {
 	readonly frames: readonly Uint8Array[];
 	readonly refusal: Refusal | undefined;
@@ -121,7 +121,7 @@
 	}],
 	[frontendCodes.bind, () => Right([makeFrame(backendCodes.bindComplete)])],
 	[frontendCodes.describe, ({statement, name}) => {
-		const act = actOf(statement?.statements[0]);
+		const act = commandOf(statement?.statements[0]);
 		const column = act && columnOf(act);
 		return Right([
 			...(name === undefined ? [] : [noParameters]),
@@ -129,7 +129,7 @@
 		]);
 	}],
 	[frontendCodes.execute, ({statement}, context) => {
-		const act = actOf(statement?.statements[0]);
+		const act = commandOf(statement?.statements[0]);
 		return act ? perform(act, context, false) : Right([commandComplete('ROLLBACK')]);
 	}],
 	[frontendCodes.close, ({name}, {prepared}) => {
@@ -141,13 +141,13 @@
 	}],
 ]);
 
-function actOf(statement: Statement | undefined): LocalCommand | undefined {
+function commandOf(statement: Statement | undefined): LocalCommand | undefined {
 	return statement?.kind === 'local' ? statement.act : undefined;
 }
 
 /**
- * Answers messages of the extended protocol that need no endpoint: those of local
- * statements, and those of a ROLLBACK whose transaction is gone already.
+ * Answers messages of the extended protocol that need no endpoint: those of local statements,
+ * and those of a statement that ends a transaction which has been rolled back already.
  */
 export function answerMessages(messages: readonly LocalMessage[], context: LocalContext): LocalAnswer {
 	const frames: Uint8Array[] = [];
