--- a/src/common/configuration/anti-entropy-peers.ts
+++ b/src/common/configuration/anti-entropy-peers.ts
@@ -16,13 +16,13 @@
 	randomPeer(isAnyZone: boolean): Host | undefined;
 };
 
-type Partner = {readonly name: string; readonly untilMs: number};
+type KeptPeer = {readonly name: string; readonly untilMs: number};
 
 /** One partner for each turn. */
 export class AntiEntropyPeers {
 	private readonly _services: AntiEntropyPeerServices;
 	private readonly _keptMs: number;
-	private readonly _partners = new Map<number, Partner>();
+	private readonly _peers = new Map<number, KeptPeer>();
 
 	constructor(services: AntiEntropyPeerServices, keptMs: number) {
 		this._services = services;
@@ -36,12 +36,12 @@
 
 	/** Forgets the peer of a turn, because it did not answer. */
 	drop(turn: number): void {
-		this._partners.delete(turn);
+		this._peers.delete(turn);
 	}
 
 	private _kept(turn: number): Host | undefined {
 		const {clock, hosts} = this._services;
-		const partner = this._partners.get(turn);
+		const partner = this._peers.get(turn);
 		return partner && partner.untilMs > clock.nowMs()
 			? hosts().find(host => host.name === partner.name)
 			: undefined;
@@ -53,7 +53,7 @@
 		if (chosen) {
 			// Nodes that started together do not all open links at the same time.
 			const keptMs = this._keptMs * (0.75 + (random.next() / 2));
-			this._partners.set(turn, {name: chosen.name, untilMs: clock.nowMs() + keptMs});
+			this._peers.set(turn, {name: chosen.name, untilMs: clock.nowMs() + keptMs});
 		}
 
 		return chosen;
--- a/src/common/configuration/change-history.ts
+++ b/src/common/configuration/change-history.ts
@@ -56,7 +56,7 @@
 			}
 		}
 
-		this._announce(before);
+		this._publish(before);
 		return result;
 	}
 
@@ -69,7 +69,7 @@
 			}
 
 			return fromDocument(document).map(model => {
-				this._moveTo(number, model);
+				this._advanceTo(number, model);
 				this._recent = [];
 				return number;
 			});
@@ -77,7 +77,7 @@
 		result.ifLeft(problems => {
 			this._log.event('configurationUnreadable', {what: 'snapshot', problems: problems.slice(0, 3)});
 		});
-		this._announce(before);
+		this._publish(before);
 		return result;
 	}
 
@@ -137,14 +137,14 @@
 		}
 
 		return applyOperations(this._model, change.operations, change.number).map(({model}) => {
-			this._moveTo(change.number, model);
+			this._advanceTo(change.number, model);
 			this._recent.push({change, text});
 			this._recent = this._recent.slice(-this._options.recentChanges);
 			return change.number;
 		});
 	}
 
-	private _moveTo(number: number, model: ConfigurationModel): void {
+	private _advanceTo(number: number, model: ConfigurationModel): void {
 		const isForward = this._invariants.check('configurationForward', number > this._version, () => `from ${this._version} to ${number}`);
 		if (isForward) {
 			this._version = number;
@@ -152,7 +152,7 @@
 		}
 	}
 
-	private _announce(before: number): void {
+	private _publish(before: number): void {
 		if (this._version > before) {
 			this._log.event('configurationInForce', {version: this._version, before});
 			this._onChange.fire(this._version);
--- a/src/common/configuration/change-puller.ts
+++ b/src/common/configuration/change-puller.ts
@@ -23,7 +23,7 @@
 	private readonly _services: ChangePullerServices;
 	private readonly _options: typeof syncDefaults;
 	/** Highest number that a peer announced. */
-	private _announced = 0;
+	private _announcedVersion = 0;
 	private _isPulling = false;
 	private _nextSource: Host | undefined;
 	private _isDisposed = false;
@@ -35,12 +35,12 @@
 
 	/** Highest number that a peer announced. */
 	get announcedVersion(): number {
-		return this._announced;
+		return this._announcedVersion;
 	}
 
 	/** Pulls an announced number from its announcer, and insists with others while it is missing. */
 	async pull(source: Host, version: number): Promise<void> {
-		this._announced = Math.max(this._announced, version);
+		this._announcedVersion = Math.max(this._announcedVersion, version);
 		this._nextSource = source;
 		if (this._isPulling) {
 			return;
@@ -70,7 +70,7 @@
 				return undefined;
 			}
 
-			this._takeIn(batch);
+			this._apply(batch);
 			if (history.version >= batch.version || history.version === before) {
 				return batch.version;
 			}
@@ -92,10 +92,10 @@
 	}
 
 	private _isBehind(): boolean {
-		return !this._isDisposed && this._announced > this._services.history.version;
+		return !this._isDisposed && this._announcedVersion > this._services.history.version;
 	}
 
-	private _takeIn(batch: ChangeBatch): void {
+	private _apply(batch: ChangeBatch): void {
 		const {history} = this._services;
 		if (batch.snapshot !== undefined) {
 			history.applySnapshot(batch.snapshot);
--- a/src/common/configuration/configuration-log.ts
+++ b/src/common/configuration/configuration-log.ts
@@ -136,7 +136,7 @@
 	}
 
 	private async _propose(proposal: Proposal): Promise<Either<ProposalRefusal, Change>> {
-		const repeated = this._repeated(proposal);
+		const repeated = this._findRepeated(proposal);
 		if (repeated) {
 			return Right(repeated);
 		}
@@ -146,22 +146,22 @@
 			return Left(this.unavailable('the table does not answer, so nothing can be accepted'));
 		}
 
-		const overtaken = await this._overtaken(proposal);
+		const overtaken = await this._checkConflicts(proposal);
 		if (overtaken) {
 			return overtaken;
 		}
 
-		const checked = this._check(proposal);
+		const checked = this._buildChange(proposal);
 		return checked.isLeft() ? checked : this._accept(checked.unsafeCoerce());
 	}
 
 	/** The same change, when this node knows that it took effect. */
-	private _repeated(proposal: Proposal): Change | undefined {
+	private _findRepeated(proposal: Proposal): Change | undefined {
 		return this._services.history.keptChangesAfter(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
 	}
 
 	/** What others changed since the proposal's basis; undefined when nothing, so that it may go on. */
-	private async _overtaken(proposal: Proposal): Promise<Either<ProposalRefusal, Change> | undefined> {
+	private async _checkConflicts(proposal: Proposal): Promise<Either<ProposalRefusal, Change> | undefined> {
 		const {version} = this._services.history;
 		if (proposal.basedOn === version) {
 			return undefined;
@@ -182,7 +182,7 @@
 	}
 
 	/** Makes the change that would be written; Left when it may not be. */
-	private _check(proposal: Proposal): Either<ProposalRefusal, Change> {
+	private _buildChange(proposal: Proposal): Either<ProposalRefusal, Change> {
 		const {history, clock, currentPrimary} = this._services;
 		const number = history.version + 1;
 		const preview = previewChange(history.version, history.model, proposal.operations, currentPrimary);
@@ -220,8 +220,8 @@
 
 		const outcome = await this._write(change, body);
 		const endings: Record<WriteOutcome, () => Either<ProposalRefusal, Change> | Promise<Either<ProposalRefusal, Change>>> = {
-			accepted: () => this._takeIn(change, body),
-			taken: async () => this._lost(change),
+			accepted: () => this._applyAccepted(change, body),
+			taken: async () => this._resolveTaken(change),
 			refused: () => Left(this.unavailable('the table does not accept writes at the moment')),
 			unknown: () => Left({kind: 'unknown', retryAfterMs: this._options.retryAfterMs, detail: 'the table did not say whether the change took effect; send it again with the same changeId'}),
 		};
@@ -256,7 +256,7 @@
 	}
 
 	/** The number went to another change: shows it. */
-	private async _lost(change: Change): Promise<Either<ProposalRefusal, Change>> {
+	private async _resolveTaken(change: Change): Promise<Either<ProposalRefusal, Change>> {
 		await this.catchUp();
 		const later = await this.changesAfter(change.basedOn);
 		const changes = later.orDefault([]);
@@ -264,7 +264,7 @@
 		return own ? Right(own) : Left({kind: 'conflict', version: this._services.history.version, changes});
 	}
 
-	private _takeIn(change: Change, body: string): Either<ProposalRefusal, Change> {
+	private _applyAccepted(change: Change, body: string): Either<ProposalRefusal, Change> {
 		this._services.history.applyChanges([body]);
 		this._onAccepted.fire(change.number);
 		if (change.number % this._options.snapshotInterval === 0) {
--- a/src/common/configuration/configuration-sync.ts
+++ b/src/common/configuration/configuration-sync.ts
@@ -57,9 +57,9 @@
 	readonly loaded: Promise<void>;
 	private readonly _services: ConfigurationSyncServices;
 	private readonly _options: typeof syncDefaults;
-	private readonly _store = new DisposableStore();
+	private readonly _disposables = new DisposableStore();
 	private readonly _puller: ChangePuller;
-	private readonly _partners: AntiEntropyPeers;
+	private readonly _antiEntropyPeers: AntiEntropyPeers;
 	private _isLoaded = false;
 	private readonly _loadedGate = new Gate();
 	private _comparisons = 0;
@@ -70,8 +70,8 @@
 		this._services = services;
 		this._options = {...syncDefaults, ...options};
 		this.loaded = this._loadedGate.opened;
-		this._puller = this._store.register(new ChangePuller(services, this._options));
-		this._partners = new AntiEntropyPeers({
+		this._puller = this._disposables.register(new ChangePuller(services, this._options));
+		this._antiEntropyPeers = new AntiEntropyPeers({
 			...services,
 			hosts: () => services.membership.hosts(),
 			randomPeer: isAnyZone => this._puller.randomPeer(isAnyZone),
@@ -85,10 +85,10 @@
 	/** Begins to load and then to follow. */
 	start(): void {
 		const {history, changeLog} = this._services;
-		this._store.register(history.onChange(version => {
-			this._spread(version);
+		this._disposables.register(history.onChange(version => {
+			this._propagate(version);
 		}));
-		this._store.register(changeLog.onAccepted(version => {
+		this._disposables.register(changeLog.onAccepted(version => {
 			this._announceToRoots(version, this._services.membership.hosts());
 		}));
 		void this._run();
@@ -111,7 +111,7 @@
 	}
 
 	dispose(): void {
-		this._store.dispose();
+		this._disposables.dispose();
 	}
 
 	private async _run(): Promise<void> {
@@ -121,7 +121,7 @@
 
 	/** Peers first, which costs the platform nothing when many nodes start at once. */
 	private async _load(): Promise<void> {
-		while (!this._store.isDisposed) {
+		while (!this._disposables.isDisposed) {
 			await this._askStartPeers();
 			const isKnown = this._services.history.version > 0 || await this._pollTable();
 
@@ -148,23 +148,23 @@
 	}
 
 	private async _pollRepeatedly(): Promise<void> {
-		while (!this._store.isDisposed) {
+		while (!this._disposables.isDisposed) {
 			await this._sleep(this._jittered(this._options.pollIntervalMs));
-			if (!this._store.isDisposed && this._isPoller()) {
+			if (!this._disposables.isDisposed && this._isPoller()) {
 				await this._pollTable();
 			}
 		}
 	}
 
 	private async _compareRepeatedly(): Promise<void> {
-		while (!this._store.isDisposed) {
+		while (!this._disposables.isDisposed) {
 			const isQuick = this._quickComparisons > 0;
 			await this._sleep(this._jittered(this._comparisonIntervalMs()));
 			this._comparisons++;
 			const turn = this._comparisons % this._options.antiEntropyAnyZoneEvery;
-			const host = isQuick ? this._puller.randomPeer(turn === 0) : this._partners.peerFor(turn);
-			if (!this._store.isDisposed && host && !await this._compareWith(host)) {
-				this._partners.drop(turn);
+			const host = isQuick ? this._puller.randomPeer(turn === 0) : this._antiEntropyPeers.peerFor(turn);
+			if (!this._disposables.isDisposed && host && !await this._compareWith(host)) {
+				this._antiEntropyPeers.drop(turn);
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 	/** The peer did not answer: another is asked at once, since this round would be lost otherwise. */
 	private async _askAnother(): Promise<number | undefined> {
 		const host = this._puller.randomPeer(false);
-		return this._store.isDisposed || host === undefined ? undefined : this._puller.fetchFrom(host);
+		return this._disposables.isDisposed || host === undefined ? undefined : this._puller.fetchFrom(host);
 	}
 
 	/** The first few of a zone's fixed order poll; a node that the list does not show polls too. */
@@ -213,11 +213,11 @@
 			this._sleep(this._options.tableTimeoutMs),
 		]);
 		const isAnswered = isRight(result);
-		this._noteTable(isAnswered);
+		this._updateTableStatus(isAnswered);
 		return isAnswered;
 	}
 
-	private _noteTable(isAnswered: boolean): void {
+	private _updateTableStatus(isAnswered: boolean): void {
 		if (this._isTableLost === isAnswered) {
 			this._isTableLost = !isAnswered;
 			this._services.log.event(isAnswered ? 'configurationTableFound' : 'configurationTableLost', {version: this._services.history.version});
@@ -225,7 +225,7 @@
 	}
 
 	/** Passes a new number on once, along both trees. */
-	private _spread(version: number): void {
+	private _propagate(version: number): void {
 		this._services.metrics.gauge('configurationVersion', version);
 		this._quickComparisons = this._options.quickComparisons;
 		const {self, hosts} = this._membership();
@@ -272,12 +272,12 @@
 	/** Resolves after a time, or at once when this ends. */
 	private async _sleep(delayMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
-			const wake = this._store.register(toDisposable(() => {
+			const wake = this._disposables.register(toDisposable(() => {
 				timer.dispose();
 				resolve();
 			}));
 			const timer = this._services.clock.setTimer(delayMs, () => {
-				this._store.release(wake);
+				this._disposables.release(wake);
 				resolve();
 			});
 		});
--- a/src/common/configuration/instance-changes.ts
+++ b/src/common/configuration/instance-changes.ts
@@ -11,7 +11,7 @@
 import type {ConfigurationModel} from './model.js';
 
 /** Instances of a group that one change may add, remove or move to another address. */
-const maximumStepsPerChange = 1;
+const maximumInstancesPerChange = 1;
 
 /** Groups whose instances a change alters too far at once. */
 export function checkInstanceChanges(before: ConfigurationModel, after: ConfigurationModel): readonly Problem[] {
@@ -24,7 +24,7 @@
 			const latter = addressesOf(latterEndpoints.get(name) ?? []);
 			// The first instances follow nothing, and without any there is no majority to cross.
 			const isBeginOrEnd = former.size === 0 || latter.size === 0;
-			return !isBeginOrEnd && countSteps(former, latter) > maximumStepsPerChange;
+			return !isBeginOrEnd && countDifferences(former, latter) > maximumInstancesPerChange;
 		})
 		.map(name => ({
 			path: formatPath(['groups', name]),
@@ -36,7 +36,7 @@
 	return new Set(endpoints.map(({name, host, port}) => `${name} ${host} ${port}`));
 }
 
-function countSteps(before: ReadonlySet<string>, after: ReadonlySet<string>): number {
+function countDifferences(before: ReadonlySet<string>, after: ReadonlySet<string>): number {
 	const added = [...after].filter(address => !before.has(address));
 	const removed = [...before].filter(address => !after.has(address));
 	return added.length + removed.length;
--- a/src/common/configuration/live-configuration.ts
+++ b/src/common/configuration/live-configuration.ts
@@ -86,7 +86,7 @@
 	}
 
 	callerPolicy(caller: CallerDescription, group: string): CallerPolicy {
-		const key = this._keyOf(caller, group);
+		const key = this._cacheKey(caller, group);
 		const cached = this._callerPolicies.get(key);
 		if (cached !== undefined) {
 			return cached;
@@ -108,7 +108,7 @@
 	}
 
 	/** Callers choose their application name freely, so it is in the key only where a rule asks for it. */
-	private _keyOf(caller: CallerDescription, group: string): string {
+	private _cacheKey(caller: CallerDescription, group: string): string {
 		const appName = this._resolution.rules.usesApplication ? caller.applicationName : '';
 		const key = `${caller.availabilityZone}\n${group}\n${appName}\n${caller.user}`;
 		const labels = Object.entries(caller.labels);
--- a/src/common/configuration/model.ts
+++ b/src/common/configuration/model.ts
@@ -114,17 +114,17 @@
 	return problems.length > 0 ? Left(problems) : Right(model);
 }
 
-function ifThere<T>(value: T | undefined, toOperation: (value: T) => Operation): Operation | undefined {
+function mapDefined<T>(value: T | undefined, toOperation: (value: T) => Operation): Operation | undefined {
 	return value === undefined ? undefined : toOperation(value);
 }
 
 /** The operation that writes a thing as it is in a model; undefined when it is not there. */
 const putOperations: Readonly<Record<EntryKind, (model: ConfigurationModel, name: string) => Operation | undefined>> = {
-	service: (model, name) => ifThere(model.service.get(name), value => ({op: 'put', kind: 'service', value})),
-	group: (model, name) => ifThere(model.group.get(name), value => ({op: 'put', kind: 'group', value})),
-	endpoint: (model, name) => ifThere(model.endpoint.get(name), value => ({op: 'put', kind: 'endpoint', value})),
-	caller: (model, name) => ifThere(model.caller.get(name), value => ({op: 'put', kind: 'caller', value})),
-	rule: (model, name) => ifThere(model.rule.get(name), value => ({op: 'put', kind: 'rule', value})),
+	service: (model, name) => mapDefined(model.service.get(name), value => ({op: 'put', kind: 'service', value})),
+	group: (model, name) => mapDefined(model.group.get(name), value => ({op: 'put', kind: 'group', value})),
+	endpoint: (model, name) => mapDefined(model.endpoint.get(name), value => ({op: 'put', kind: 'endpoint', value})),
+	caller: (model, name) => mapDefined(model.caller.get(name), value => ({op: 'put', kind: 'caller', value})),
+	rule: (model, name) => mapDefined(model.rule.get(name), value => ({op: 'put', kind: 'rule', value})),
 };
 
 /** The operation that makes a thing what it is in a model. */
@@ -168,7 +168,7 @@
 }
 
 /** Whether two things are the same but for the change that wrote them. */
-function isSameThing(a: EntryByKind[EntryKind], b: EntryByKind[EntryKind]): boolean {
+function isSameEntry(a: EntryByKind[EntryKind], b: EntryByKind[EntryKind]): boolean {
 	// What no operation touched is the same object, which spares the writing of everything.
 	return a === b || canonicalText(a) === canonicalText(b);
 }
@@ -191,7 +191,7 @@
 	for (const kind of entryKinds) {
 		for (const thing of byName<EntryByKind[EntryKind]>(after[kind].values())) {
 			const old = before[kind].get(nameOf(thing));
-			if (old === undefined || !isSameThing(old, thing)) {
+			if (old === undefined || !isSameEntry(old, thing)) {
 				puts.push(restoringOperation(after, kind, nameOf(thing)));
 			}
 		}
--- a/src/common/configuration/preview.ts
+++ b/src/common/configuration/preview.ts
@@ -26,13 +26,13 @@
 const maximumNames = 50;
 
 /** A model with its endpoints by group and their policies. */
-type Side = {
+type ResolvedModel = {
 	readonly model: ConfigurationModel;
 	readonly policies: ReadonlyMap<string, EndpointPolicy>;
 	readonly members: ReadonlyMap<string, readonly EndpointEntry[]>;
 };
 
-function sideOf(model: ConfigurationModel): Side {
+function resolveModel(model: ConfigurationModel): ResolvedModel {
 	return {
 		model,
 		policies: resolveEndpointPolicies(model, compileRules(model)),
@@ -64,7 +64,7 @@
 }
 
 /** Endpoints whose definition or policy changes. */
-function touchedEndpoints(before: Side, after: Side, differences: readonly Difference[]): readonly EndpointEntry[] {
+function touchedEndpoints(before: ResolvedModel, after: ResolvedModel, differences: readonly Difference[]): readonly EndpointEntry[] {
 	const changed = new Set(differences.filter(({kind}) => kind === 'endpoint').map(({name}) => name));
 	const all = new Map([...before.model.endpoint, ...after.model.endpoint]);
 	return [...all.values()].filter(({name}) => changed.has(name) || policyText(before.policies.get(name)) !== policyText(after.policies.get(name)));
@@ -108,22 +108,22 @@
 	return rule.selector.callers?.some(({label, operator}) => label === 'user' && operator !== 'notExists') ?? false;
 }
 
-function shorten(names: Iterable<string>): {readonly count: number; readonly names: readonly string[]} {
+function countAndTruncate(names: Iterable<string>): {readonly count: number; readonly names: readonly string[]} {
 	const sorted = [...new Set(names)].toSorted();
 	return {count: sorted.length, names: sorted.slice(0, maximumNames)};
 }
 
-function touchedBy(before: Side, after: Side, differences: readonly Difference[]): Touched {
+function touchedBy(before: ResolvedModel, after: ResolvedModel, differences: readonly Difference[]): Touched {
 	const endpoints = touchedEndpoints(before, after, differences);
 	const callers = touchedCallers(before.model, after.model, differences);
 	const groupNames = [
 		...endpoints.map(({group}) => group),
 		...differences.filter(({kind}) => kind === 'group').map(({name}) => name),
 	];
-	const endpointNames = shorten(endpoints.map(({name}) => name));
-	const groups = shorten(groupNames);
-	const zones = shorten(endpoints.map(({availabilityZone}) => availabilityZone));
-	const callerNames = shorten(callers.names);
+	const endpointNames = countAndTruncate(endpoints.map(({name}) => name));
+	const groups = countAndTruncate(groupNames);
+	const zones = countAndTruncate(endpoints.map(({availabilityZone}) => availabilityZone));
+	const callerNames = countAndTruncate(callers.names);
 	return {
 		endpointCount: endpointNames.count,
 		endpoints: endpointNames.names,
@@ -137,23 +137,23 @@
 	};
 }
 
-type Condition = {
+type LossCondition = {
 	readonly kind: WarningKind;
 	readonly message: string;
 	/** Whether the group has what it would be warned of losing. */
-	has(side: Side, group: string): boolean;
+	has(side: ResolvedModel, group: string): boolean;
 };
 
-function members(side: Side, group: string): readonly EndpointEntry[] {
+function members(side: ResolvedModel, group: string): readonly EndpointEntry[] {
 	return side.members.get(group) ?? [];
 }
 
-function policyOf(side: Side, endpoint: EndpointEntry): EndpointPolicy {
+function policyOf(side: ResolvedModel, endpoint: EndpointEntry): EndpointPolicy {
 	return side.policies.get(endpoint.name) ?? defaultEndpointPolicy;
 }
 
 /** What a group may lose, gravest first; a group is warned of the gravest only. */
-const conditions: readonly Condition[] = [
+const lossConditions: readonly LossCondition[] = [
 	{
 		kind: 'noEndpoint',
 		message: 'would have no endpoint left: nothing can be served',
@@ -177,13 +177,13 @@
 	};
 }
 
-function lossOf(before: Side, after: Side, group: string): Warning | undefined {
-	const lost = conditions.find(({has}) => has(before, group) && !has(after, group));
+function lossWarning(before: ResolvedModel, after: ResolvedModel, group: string): Warning | undefined {
+	const lost = lossConditions.find(({has}) => has(before, group) && !has(after, group));
 	return lost && warning(lost.kind, group, `${group} ${lost.message}`);
 }
 
 /** The primary would leave: writes of the group stop for the time of a promotion. */
-function primaryLoss(before: Side, after: Side, group: string, currentPrimary: PrimaryLookup): Warning | undefined {
+function primaryLossWarning(before: ResolvedModel, after: ResolvedModel, group: string, currentPrimary: PrimaryLookup): Warning | undefined {
 	const name = currentPrimary(group);
 	const endpoint = name === undefined ? undefined : before.model.endpoint.get(name);
 	if (endpoint === undefined || policyOf(before, endpoint).isDraining) {
@@ -197,10 +197,10 @@
 		: warning('primaryLeaves', group, `${group} would lose its current primary ${endpoint.name}: its writes wait until another is promoted`);
 }
 
-function warningsOf(before: Side, after: Side, currentPrimary: PrimaryLookup): readonly Warning[] {
+function warningsOf(before: ResolvedModel, after: ResolvedModel, currentPrimary: PrimaryLookup): readonly Warning[] {
 	const warnings: Warning[] = [];
 	for (const group of before.model.group.keys()) {
-		const found = lossOf(before, after, group) ?? primaryLoss(before, after, group, currentPrimary);
+		const found = lossWarning(before, after, group) ?? primaryLossWarning(before, after, group, currentPrimary);
 		if (found) {
 			warnings.push(found);
 		}
@@ -228,8 +228,8 @@
 			return Left([{path: '$.operations', expected: 'expected a change, but everything is so already'}]);
 		}
 
-		const before = sideOf(model);
-		const after = sideOf(applied.model);
+		const before = resolveModel(model);
+		const after = resolveModel(applied.model);
 		const differences = effective.map(operation => differenceOf(operation, model));
 		return Right({
 			basedOn: version,
--- a/src/common/configuration/undo.ts
+++ b/src/common/configuration/undo.ts
@@ -18,16 +18,16 @@
 /** What an operator says about an undo. */
 export type UndoProposal = Omit<Proposal, 'operations' | 'undoOf'>;
 
-function thingOf(operation: Operation): string {
+function entryLabel(operation: Operation): string {
 	const name = operation.op === 'put' ? nameOf(operation.value) : operation.name;
 	return `${operation.kind} ${name}`;
 }
 
 /** Later changes of the same things; undoing would take them back too. */
-function overwritten(change: Change, later: readonly Change[]): readonly Warning[] {
-	const things = new Set(change.inverse.map(operation => thingOf(operation)));
+function overwriteWarnings(change: Change, later: readonly Change[]): readonly Warning[] {
+	const things = new Set(change.inverse.map(operation => entryLabel(operation)));
 	return later
-		.filter(({operations}) => operations.some(operation => things.has(thingOf(operation))))
+		.filter(({operations}) => operations.some(operation => things.has(entryLabel(operation))))
 		.map(({number, author}) => ({
 			id: `overwritesLater:${number}`,
 			kind: 'overwritesLater',
@@ -101,6 +101,6 @@
 		const operations = change.inverse.filter(operation => operation.op === 'put' || model[operation.kind].has(operation.name));
 		return operations.length === 0
 			? Left({kind: 'invalid', problems: [{path: '$.number', expected: `expected a change with something left to undo; all that change ${change.number} did is gone already`}]})
-			: Right({operations, warnings: overwritten(change, later)});
+			: Right({operations, warnings: overwriteWarnings(change, later)});
 	}
 }
--- a/src/common/configuration/validate-model.ts
+++ b/src/common/configuration/validate-model.ts
@@ -14,7 +14,7 @@
 	return {path: `$.${kind}[${JSON.stringify(name)}].${rest}`, expected};
 }
 
-function checkContainers(model: ConfigurationModel): readonly Problem[] {
+function checkParents(model: ConfigurationModel): readonly Problem[] {
 	const problems: Problem[] = [];
 	for (const group of model.group.values()) {
 		if (!model.service.has(group.service)) {
@@ -108,7 +108,7 @@
 		.map(value => problem('rules', rule.name, `selector.${part}`, `expected an existing ${kind}, but there is no "${value}"`))));
 }
 
-const checks: readonly Check[] = [checkContainers, checkAddresses, checkLabels, checkRules];
+const checks: readonly Check[] = [checkParents, checkAddresses, checkLabels, checkRules];
 
 /** Everything that is wrong with a configuration as a whole; empty when nothing is. */
 export function validateModel(model: ConfigurationModel): readonly Problem[] {
--- a/src/common/settings/deployment-plan.ts
+++ b/src/common/settings/deployment-plan.ts
@@ -104,7 +104,7 @@
 			name: endpoint.name,
 			group: endpoint.group,
 			availabilityZone: endpoint.availabilityZone,
-			...placeOf(placement.endpoints, endpoint.name),
+			...addressOf(placement.endpoints, endpoint.name),
 			slots: offer.slots,
 			connections: offer.connections,
 			connectCostMs: offer.connectMs,
@@ -117,7 +117,7 @@
 			peers: group
 				.filter(({name}) => name !== endpoint.name)
 				.map(({name}) => {
-					const {host, port} = placeOf(placement.endpoints, name);
+					const {host, port} = addressOf(placement.endpoints, name);
 					return {name, host, port};
 				}),
 		};
@@ -125,7 +125,7 @@
 }
 
 function planNode(deployment: Deployment, placement: ListenAddresses, node: Deployment['nodes'][number]): SettingsInput {
-	const {host, callersPort, peersPort, operatorsPort} = placeOf(placement.nodes, node.name);
+	const {host, callersPort, peersPort, operatorsPort} = addressOf(placement.nodes, node.name);
 	const {platform} = placement;
 	const platformUrl = `http://${platform.host}:${platform.port}`;
 	return {
@@ -156,7 +156,7 @@
 			groups: service.groups.map(group => ({
 				...group,
 				endpoints: group.endpoints.map(endpoint => {
-					const {host, port} = placeOf(placement.endpoints, endpoint.name);
+					const {host, port} = addressOf(placement.endpoints, endpoint.name);
 					return {
 						...endpoint, host, port, slots, connections,
 					};
@@ -168,7 +168,7 @@
 	};
 }
 
-function placeOf<Place>(places: ReadonlyMap<string, Place>, name: string): Place {
+function addressOf<Place>(places: ReadonlyMap<string, Place>, name: string): Place {
 	const place = places.get(name);
 	if (!place) {
 		throw new Error(`no place for ${name}`);
--- a/src/common/settings/deployment-schema.ts
+++ b/src/common/settings/deployment-schema.ts
@@ -11,13 +11,13 @@
 
 const durationField = z.number().min(0).max(settingsBounds.maximumDurationMs);
 
-const placedSchema = z.strictObject({name: nameField, availabilityZone: nameField});
+const zonedNameSchema = z.strictObject({name: nameField, availabilityZone: nameField});
 
 const groupSchema = z.strictObject({
 	name: nameField,
 	labels: labelsField,
 	/** The first is primary at the first start. */
-	endpoints: z.array(placedSchema.extend({labels: labelsField})).min(1),
+	endpoints: z.array(zonedNameSchema.extend({labels: labelsField})).min(1),
 });
 
 const serviceSchema = z.strictObject({name: nameField, labels: labelsField, groups: z.array(groupSchema).min(1)});
@@ -44,7 +44,7 @@
 	lag: z.strictObject({p50Ms: durationField, p99Ms: durationField}),
 });
 
-type Placed = {readonly name: string; readonly availabilityZone: string};
+type ZonedName = {readonly name: string; readonly availabilityZone: string};
 
 /** A whole deployment. */
 export const deploymentSchema = z.strictObject({
@@ -52,7 +52,7 @@
 	region: nameField,
 	zones: z.array(nameField).min(1),
 	delays: delaysSchema,
-	nodes: z.array(placedSchema).min(1),
+	nodes: z.array(zonedNameSchema).min(1),
 	services: z.array(serviceSchema).min(1),
 	endpoint: endpointSchema,
 	callers: z.array(z.strictObject({...credentialsFields, labels: labelsField})).min(1),
@@ -62,9 +62,9 @@
 }).superRefine((deployment, context) => {
 	const groups = deployment.services.flatMap((service, serviceIndex) =>
 		service.groups.map((group, groupIndex) => ({group, path: ['services', serviceIndex, 'groups', groupIndex]})));
-	const places: Array<[readonly Placed[], Array<string | number>]> = [
+	const places: Array<[readonly ZonedName[], Array<string | number>]> = [
 		[deployment.nodes, ['nodes']],
-		...groups.map(({group, path}): [readonly Placed[], Array<string | number>] => [group.endpoints, [...path, 'endpoints']]),
+		...groups.map(({group, path}): [readonly ZonedName[], Array<string | number>] => [group.endpoints, [...path, 'endpoints']]),
 	];
 	for (const [placed, path] of places) {
 		for (const [index, {availabilityZone}] of placed.entries()) {
@@ -81,7 +81,7 @@
 export type Deployment = z.output<typeof deploymentSchema>;
 
 /** Endpoints of a deployment with the groups they belong to. */
-export function endpointsOf(deployment: Deployment): ReadonlyArray<Placed & {readonly group: string; readonly isFirst: boolean}> {
+export function endpointsOf(deployment: Deployment): ReadonlyArray<ZonedName & {readonly group: string; readonly isFirst: boolean}> {
 	return deployment.services.flatMap(service => service.groups.flatMap(group => group.endpoints.map((endpoint, index) => ({
 		name: endpoint.name,
 		availabilityZone: endpoint.availabilityZone,
--- a/src/node/settings/environment.ts
+++ b/src/node/settings/environment.ts
@@ -10,7 +10,7 @@
 	readonly name: string;
 };
 
-const reference = 'fromEnvironment';
+const referenceKey = 'fromEnvironment';
 
 /** Puts values of variables in the place of references; collects those that are not set. */
 export function substituteVariables(value: unknown, environment: Environment): {value: unknown; missing: MissingVariable[]} {
@@ -25,7 +25,7 @@
 		}
 
 		const entries = Object.entries(part);
-		const name = referredName(entries);
+		const name = referencedVariable(entries);
 		if (name === undefined) {
 			return Object.fromEntries(entries.map(([key, inner]) => [key, visit(inner, [...path, key])]));
 		}
@@ -40,7 +40,7 @@
 	return {value: visit(value, []), missing};
 }
 
-function referredName(entries: ReadonlyArray<[string, unknown]>): string | undefined {
+function referencedVariable(entries: ReadonlyArray<[string, unknown]>): string | undefined {
 	const [key, name] = entries[0] ?? [];
-	return entries.length === 1 && key === reference && typeof name === 'string' ? name : undefined;
+	return entries.length === 1 && key === referenceKey && typeof name === 'string' ? name : undefined;
 }
--- a/src/node/settings/settings-file.ts
+++ b/src/node/settings/settings-file.ts
@@ -68,7 +68,7 @@
 	const issueProblems = (result.error?.issues ?? [])
 		.flatMap(issue => problemsOf(issue, document, schema))
 		.filter(({path}) => !missingPaths.has(path));
-	return Left(new SettingsError(file, inOrder([...missingProblems, ...issueProblems])));
+	return Left(new SettingsError(file, sortByPosition([...missingProblems, ...issueProblems])));
 }
 
 /** One line: file, line and column, path, what was found and what was expected. */
@@ -91,6 +91,6 @@
 	return describeFound(document.valueAt(path), path);
 }
 
-function inOrder(problems: readonly SettingsProblem[]): SettingsProblem[] {
+function sortByPosition(problems: readonly SettingsProblem[]): SettingsProblem[] {
 	return problems.toSorted((a, b) => a.line - b.line || a.column - b.column);
 }
