--- a/src/common/configuration/anti-entropy-peers.ts
+++ b/src/common/configuration/anti-entropy-peers.ts
@@ -1,24 +1,24 @@
 /**
- * The peers that a node compares itself with in turn while nothing happens.
+ * Chooses the peers that a node compares its configuration version with while nothing changes.
  *
- * They are kept for a while: a random one each time would open a link for nearly every
- * comparison, which costs more than all other control together.
+ * A chosen peer is kept for a while: a random peer for each comparison would open a new link for
+ * nearly every one, which costs more than all other control traffic together.
  */
 import type {Clock, Host, Random} from '../services/services.js';
 
-/** What the choice rests on. */
+/** What the choice of peers needs from the rest of the node. */
 export type AntiEntropyPeerServices = {
 	readonly clock: Clock;
 	readonly random: Random;
-	/** Hosts as the node knows them. */
+	/** The hosts that this node knows at present. */
 	hosts(): readonly Host[];
-	/** Any peer; of any zone, or of the own one where there is one. */
+	/** A random peer from any zone, or from the own zone if that has one; undefined when there is no peer. */
 	randomPeer(isAnyZone: boolean): Host | undefined;
 };
 
 type KeptPeer = {readonly name: string; readonly untilMs: number};
 
-/** One partner for each turn. */
+/** Keeps one peer for each turn; turns are counted by the caller and repeat in a cycle. */
 export class AntiEntropyPeers {
 	private readonly _services: AntiEntropyPeerServices;
 	private readonly _keptMs: number;
@@ -29,21 +29,21 @@
 		this._keptMs = keptMs;
 	}
 
-	/** The peer of a turn; the turn zero is that of any zone. */
+	/** The peer of a turn, chosen anew when the kept one has expired or is gone; turn zero chooses from any zone. */
 	peerFor(turn: number): Host | undefined {
 		return this._kept(turn) ?? this._choose(turn);
 	}
 
-	/** Forgets the peer of a turn, because it did not answer. */
+	/** Drops the peer of a turn that did not answer, so that the next call chooses another one. */
 	drop(turn: number): void {
 		this._peers.delete(turn);
 	}
 
 	private _kept(turn: number): Host | undefined {
 		const {clock, hosts} = this._services;
-		const partner = this._peers.get(turn);
-		return partner && partner.untilMs > clock.nowMs()
-			? hosts().find(host => host.name === partner.name)
+		const peer = this._peers.get(turn);
+		return peer && peer.untilMs > clock.nowMs()
+			? hosts().find(host => host.name === peer.name)
 			: undefined;
 	}
 
@@ -51,7 +51,7 @@
 		const {clock, random, randomPeer} = this._services;
 		const chosen = randomPeer(turn === 0);
 		if (chosen) {
-			// Nodes that started together do not all open links at the same time.
+			// The jitter keeps nodes that started together from opening new links at the same time.
 			const keptMs = this._keptMs * (0.75 + (random.next() / 2));
 			this._peers.set(turn, {name: chosen.name, untilMs: clock.nowMs() + keptMs});
 		}
--- a/src/common/configuration/change-history.ts
+++ b/src/common/configuration/change-history.ts
@@ -1,6 +1,6 @@
 /**
- * The changes that this node knows, and the configuration that they add up to. The number
- * in force only goes up.
+ * The changes that this node knows, and the configuration that results from applying them.
+ * The number of the change in force never decreases.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Emitter, type Event} from '../lifecycle/emitter.js';
@@ -15,9 +15,9 @@
 
 type KnownChange = {readonly change: Change; readonly text: string};
 
-/** Keeps the newest changes for peers that lag, and a snapshot for those that lag further. */
+/** Keeps the newest changes for peers that lag behind, and a snapshot for those that lag further than these changes reach. */
 export class ChangeHistory implements Disposable {
-	/** Fires with the new number once per batch of changes. */
+	/** Fires once per applied batch of changes, with the new number in force. */
 	readonly onChange: Event<number>;
 	private readonly _onChange = new Emitter<number>();
 	private readonly _invariants: Invariants;
@@ -45,7 +45,7 @@
 		return this._model;
 	}
 
-	/** Takes in changes in order; what is known already is passed over. Left at the first that cannot be read. */
+	/** Applies changes in order, skips those that are known already, and stops with a Left at the first that cannot be applied; Right is the number in force. */
 	applyChanges(texts: readonly string[]): Either<readonly Problem[], number> {
 		const before = this._version;
 		let result: Either<readonly Problem[], number> = Right(before);
@@ -60,7 +60,7 @@
 		return result;
 	}
 
-	/** Takes in a snapshot if it is newer than what is in force. */
+	/** Applies a snapshot if it is newer than the configuration in force; returns the number in force afterwards, or Left if it cannot be read. */
 	applySnapshot(text: string): Either<readonly Problem[], number> {
 		const before = this._version;
 		const result = parseJsonWith(snapshotSchema, text).chain(({number, document}) => {
@@ -81,7 +81,7 @@
 		return result;
 	}
 
-	/** What a peer that knows changes up to a number lacks. */
+	/** The changes that a peer with changes up to a number lacks, or a snapshot if they are no longer kept. */
 	changesAfter(afterNumber: number): ChangeBatch {
 		if (afterNumber >= this._version) {
 			return {version: this._version, changes: []};
@@ -95,7 +95,7 @@
 		return {version: this._version, changes: this._batchOf(known)};
 	}
 
-	/** The changes after a number; undefined when they reach back further than is kept. */
+	/** The changes after a number; undefined when some of them are no longer kept. */
 	keptChangesAfter(afterNumber: number): readonly Change[] | undefined {
 		if (afterNumber >= this._version) {
 			return [];
@@ -105,7 +105,7 @@
 		return changes[0]?.number === afterNumber + 1 ? changes : undefined;
 	}
 
-	/** JSON of the whole configuration and its number. */
+	/** JSON of the whole configuration and the number of its last change; cached for each version. */
 	snapshotText(): string {
 		if (this._snapshot?.version !== this._version) {
 			const text = JSON.stringify({number: this._version, document: toDocument(this._model)});
@@ -159,7 +159,7 @@
 		}
 	}
 
-	/** A change of a newer program stops this node at the number before it; said once. */
+	/** A change that only a newer release can read stops this node at the number before it; logged once per number. */
 	private _reportUnreadable(problems: readonly Problem[]): void {
 		if (this._unreadableNumber === this._version + 1) {
 			return;
--- a/src/common/configuration/change-puller.ts
+++ b/src/common/configuration/change-puller.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches changes from peers.
+ * Fetches configuration changes from peers. At most one announced version is being pulled at a time.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {randomPeer} from '../membership/fan-out.js';
@@ -9,7 +9,7 @@
 import type {ChangeHistory} from './change-history.js';
 import type {syncDefaults} from './constants.js';
 
-/** What fetching needs from the rest of the node. */
+/** What the puller needs from the rest of the node. */
 export type ChangePullerServices = {
 	readonly history: ChangeHistory;
 	readonly membership: Pick<Membership, 'self' | 'hosts'>;
@@ -18,11 +18,10 @@
 	readonly metrics: Metrics;
 };
 
-/** Brings this node up to what peers know. */
+/** Fetches and applies the changes that peers have and this node lacks. */
 export class ChangePuller implements Disposable {
 	private readonly _services: ChangePullerServices;
 	private readonly _options: typeof syncDefaults;
-	/** Highest number that a peer announced. */
 	private _announcedVersion = 0;
 	private _isPulling = false;
 	private _nextSource: Host | undefined;
@@ -33,12 +32,12 @@
 		this._options = options;
 	}
 
-	/** Highest number that a peer announced. */
+	/** Highest version that a peer has announced; zero before the first. */
 	get announcedVersion(): number {
 		return this._announcedVersion;
 	}
 
-	/** Pulls an announced number from its announcer, and insists with others while it is missing. */
+	/** Pulls an announced version from the peer that announced it, and retries with random peers while it is missing. */
 	async pull(source: Host, version: number): Promise<void> {
 		this._announcedVersion = Math.max(this._announcedVersion, version);
 		this._nextSource = source;
@@ -58,7 +57,7 @@
 		this._isPulling = false;
 	}
 
-	/** Takes everything that a peer knows; the number that it has, undefined when it did not answer. */
+	/** Fetches every change that a peer has, batch by batch; returns the peer's version, or undefined when it did not answer. */
 	async fetchFrom(host: Host): Promise<number | undefined> {
 		const {history, peers, metrics} = this._services;
 		for (;;) {
@@ -77,7 +76,7 @@
 		}
 	}
 
-	/** A random peer of the own zone, or of any. */
+	/** A random peer of the own zone, or of any zone if asked for or if the own zone has no other node. */
 	randomPeer(isAnyZone: boolean): Host | undefined {
 		const {membership, random} = this._services;
 		const {self} = membership;
--- a/src/common/configuration/change-text.ts
+++ b/src/common/configuration/change-text.ts
@@ -1,14 +1,14 @@
 /**
- * Changes as text: read from the log, and named in the audit trail.
+ * Parses changes from the text of the log, and summarises their operations for the audit trail.
  */
 import {nameOf} from './model.js';
 import {parseJsonWith} from './problems.js';
 import {changeSchema, type Change, type Operation} from './schema.js';
 
-/** Operations that the audit trail names. */
+/** Number of operations that a summary names; the rest is only counted. */
 const operationsNamed = 3;
 
-/** Names what operations do. */
+/** Summarises operations in one line for the audit trail. */
 export function summariseOperations(operations: readonly Operation[]): string {
 	const named = operations.slice(0, operationsNamed).map(operation => {
 		const name = operation.op === 'put' ? nameOf(operation.value) : operation.name;
@@ -18,7 +18,7 @@
 	return [...named, ...(more > 0 ? [`and ${more} more`] : [])].join(', ');
 }
 
-/** Reads a change; undefined when this program cannot. */
+/** Parses a change; undefined when it is not valid for this release. */
 export function parseChange(body: string): Change | undefined {
 	const parsed = parseJsonWith(changeSchema, body);
 	return parsed.isRight() ? parsed.unsafeCoerce() : undefined;
--- a/src/common/configuration/compiled-rules.ts
+++ b/src/common/configuration/compiled-rules.ts
@@ -1,5 +1,5 @@
 /**
- * Rules in the one order by which overlaps are resolved: more conditions first, then the
+ * Sorts the rules into the one order that resolves overlaps: more conditions first, then the
  * higher `order`, then the later change, then the name.
  */
 import type {CallerDescription} from '../services/services.js';
@@ -9,7 +9,7 @@
 	effectSubjects, type EndpointEntry, type Labels, type Rule,
 } from './schema.js';
 
-/** Number of conditions that a rule's selector states. */
+/** Number of conditions in a rule's selector; a list of zones counts as one. */
 export function specificityOf(rule: Rule): number {
 	const {endpoints = [], callers = [], groups = [], zones} = rule.selector;
 	return endpoints.length + callers.length + groups.length + (zones === undefined ? 0 : 1);
@@ -17,7 +17,7 @@
 
 type Criterion = {
 	readonly name: 'moreSpecific' | 'higherOrder' | 'laterChange' | 'name';
-	/** Negative when the first rule goes first. */
+	/** Negative when the first rule takes precedence, zero when the criterion does not tell the two apart. */
 	compare(a: Rule, b: Rule): number;
 };
 
@@ -28,7 +28,7 @@
 	{name: 'name', compare: (a, b) => a.name < b.name ? -1 : 1},
 ];
 
-/** Why one rule goes before another. */
+/** Why one rule takes precedence over another. */
 export type Precedence = Criterion['name'];
 
 /** The first criterion that tells two rules apart. */
@@ -47,7 +47,7 @@
 	return 0;
 }
 
-/** Labels that selectors see on a group: its own over its service's. */
+/** Labels of a group for selectors: its own labels override those of its service. */
 export function groupLabels(model: ConfigurationModel, name: string): Labels {
 	const group = model.group.get(name);
 	if (group === undefined) {
@@ -62,7 +62,7 @@
 	};
 }
 
-/** Labels that selectors see on an endpoint: its own over its group's over its service's. */
+/** Labels of an endpoint for selectors: its own labels override those of its group, which override those of its service. */
 export function endpointLabels(model: ConfigurationModel, endpoint: EndpointEntry): Labels {
 	const {name: group, ...inherited} = groupLabels(model, endpoint.group);
 	return {
@@ -74,7 +74,7 @@
 	};
 }
 
-/** Labels that selectors see on a caller: the configuration's over what it brought itself. */
+/** Labels of a caller for selectors: those of the configuration override those that the caller brought itself. */
 export function callerLabels(model: ConfigurationModel, caller: CallerDescription): Labels {
 	return {
 		...caller.labels,
@@ -85,13 +85,13 @@
 	};
 }
 
-/** Who a rule about callers is matched against. */
+/** Labels that a rule about callers is matched against. */
 export type CallerSubject = {
 	readonly caller: Labels;
 	readonly group: Labels;
 };
 
-/** What a rule about endpoints is matched against. */
+/** Labels that a rule about endpoints is matched against. */
 export type EndpointSubject = {
 	readonly endpoint: Labels;
 	readonly group: Labels;
@@ -118,15 +118,15 @@
 		&& matchesLabels(groups, subject.group);
 }
 
-/** Rules by what they apply to, strongest first. */
+/** Rules by what they apply to, in order of precedence. */
 export type CompiledRules = {
 	readonly callers: readonly Rule[];
 	readonly endpoints: readonly Rule[];
-	/** Whether any rule asks for the caller's application name. */
+	/** Whether the selector of any rule has a condition on the caller's application name. */
 	readonly usesApplication: boolean;
 };
 
-/** Sorts the rules of a model once, so that the first match wins. */
+/** Sorts the rules of a model by precedence, so that the first rule that matches wins. */
 export function compileRules(model: ConfigurationModel): CompiledRules {
 	const sorted = [...model.rule.values()].toSorted(compareRules);
 	return {
--- a/src/common/configuration/configuration-log.test.ts
+++ b/src/common/configuration/configuration-log.test.ts
@@ -54,7 +54,7 @@
 }
 
 describe('ConfigurationLog', () => {
-	it('shows the other operator\'s change to the slower of two', async () => {
+	it('refuses the second of two concurrent proposals with the change that was accepted', async () => {
 		const {node, other} = await setUp();
 		const [one, two] = await Promise.all([
 			node.propose('from-ann-1', 1, [zoneDrain('zone-a')]),
@@ -67,7 +67,7 @@
 		expect(redone.unsafeCoerce().number).toEqual(3);
 	});
 
-	it('applies a double tap once, also on another node and after later changes', async () => {
+	it('applies a proposal that is sent repeatedly once, also on another node and after later changes', async () => {
 		const {node, other} = await setUp();
 		const [first, second] = await Promise.all([
 			node.propose('tapped-twice', 1, [zoneDrain('zone-a')]),
@@ -79,7 +79,7 @@
 		expect(node.history.version).toEqual(3);
 	});
 
-	it('finds the outcome of a lost answer by writing the same again', async () => {
+	it('finds the outcome of a write whose answer was lost by writing the same item again', async () => {
 		const {node} = await setUp();
 		node.faults.lostAnswers = 1;
 		const result = await node.propose('lost-answer', 1, [zoneDrain('zone-a')]);
@@ -92,7 +92,7 @@
 		expect(again.unsafeCoerce().number).toEqual(3);
 	});
 
-	it('refuses while the table is down, and says when to come back', async () => {
+	it('refuses proposals while the table is unavailable, and says when to retry', async () => {
 		const {node} = await setUp();
 		node.faults.outage = 'refused';
 		const refused = await node.propose('while-down', 1, [zoneDrain('zone-a')]);
@@ -121,7 +121,7 @@
 		],
 	];
 	for (const [title, operations, warnings] of losses) {
-		it(`asks to acknowledge the loss of ${title}: ${warnings.length}`, async () => {
+		it(`asks to acknowledge the loss of ${title} (${warnings.length} warnings)`, async () => {
 			const {node} = await setUp('stock-a');
 			const result = await node.propose('loss-change', 1, operations);
 			if (warnings.length > 0) {
@@ -135,7 +135,7 @@
 		});
 	}
 
-	it('undoes exactly, rank of rules included, and warns of later writes', async () => {
+	it('restores the exact configuration on undo, including the rank of rules, and warns of later changes to the same entries', async () => {
 		const {clock, node} = await setUp();
 		await node.propose('two-rules-1', 1, [zoneDrain('zone-a')]);
 		await node.propose('two-rules-2', 2, [zoneDrain('zone-b')]);
@@ -156,7 +156,7 @@
 		expect(refusal.kind === 'unacknowledged' && refusal.preview.warnings.map(({id}) => id)).toEqual(['overwritesLater:4', 'overwritesLater:5']);
 	});
 
-	it('starts from the snapshot and the changes after it', async () => {
+	it('loads the snapshot and the changes after it on a new node', async () => {
 		const {node, other, clock} = await setUp();
 		for (let number = 1; number < 6; number++) {
 			await node.propose(`numbered-${number}`, number, [{op: 'put', kind: 'service', value: {name: 'shop', labels: {edit: String(number)}}}]);
@@ -171,7 +171,7 @@
 });
 
 describe('ChangeHistory', () => {
-	it('goes forward only, whatever comes', () => {
+	it('never goes back, whatever changes and snapshots it is given', () => {
 		const history = new ChangeHistory(new InvariantChecks(silentLog, silentMetrics, {isFatal: true}), silentLog, {recentChanges: 2});
 		const versions: number[] = [];
 		history.onChange(version => {
--- a/src/common/configuration/configuration-log.ts
+++ b/src/common/configuration/configuration-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log of changes in the platform's table. A change is accepted by the conditional write
- * of the next number and by nothing else.
+ * The log of changes in the platform's table. A change is accepted by the conditional write of
+ * the item with the next number, and by nothing else.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -29,27 +29,27 @@
 	readonly clock: Clock;
 	readonly log: Log;
 	readonly metrics: Metrics;
-	/** The primary of a group as this node believes it, for warnings. */
+	/** The primary of a group in the view of this node; used for warnings only. */
 	readonly currentPrimary: PrimaryLookup;
 };
 
-/** How the write of a number ended. */
+/** How the conditional write of a number ended; `taken` means that another change has the number. */
 type WriteOutcome = 'accepted' | 'taken' | 'refused' | 'unknown';
 
 function sortKey(number: number): string {
 	return String(number).padStart(changeLogDefaults.sortDigits, '0');
 }
 
-/** Only an undo restores the rank of a rule; what operators send has none. */
+/** Removes the rank (`changedIn`) of a rule from an operator's operation; only an undo may restore it. */
 function withoutRank(operation: Operation): Operation {
 	return operation.op === 'put' && operation.kind === 'rule'
 		? {...operation, value: {...operation.value, changedIn: undefined}}
 		: operation;
 }
 
-/** Reads the log and proposes changes to it. */
+/** Reads the log of changes and proposes new ones. */
 export class ConfigurationLog implements Disposable {
-	/** Fires with the number of a change that this node saw accepted. */
+	/** Fires with the number of a change whose write by this node was accepted. */
 	readonly onAccepted: Event<number>;
 	private readonly _onAccepted = new Emitter<number>();
 	private readonly _services: ConfigurationLogServices;
@@ -61,14 +61,14 @@
 		this.onAccepted = this._onAccepted.event;
 	}
 
-	/** What a change would do to the configuration in force on this node. */
+	/** What a change would do to the configuration in force on this node; Left lists why it is invalid. */
 	preview(operations: readonly Operation[], origin: 'operator' | 'undo' = 'operator'): Either<readonly Problem[], Preview> {
 		const {history, currentPrimary} = this._services;
 		const effective = origin === 'undo' ? operations : operations.map(operation => withoutRank(operation));
 		return previewChange(history.version, history.model, effective, currentPrimary);
 	}
 
-	/** Takes in every change that the table has; the number in force afterwards. */
+	/** Reads and applies every change that the table has; returns the number in force afterwards. */
 	async catchUp(): Promise<Either<PlatformFault, number>> {
 		const {history} = this._services;
 		if (history.version === 0) {
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Proposes a change; sends of the same identity take effect once. */
+	/** Proposes a change; idempotent, since proposals with the same `changeId` take effect at most once. */
 	async propose(proposal: Proposal): Promise<Either<ProposalRefusal, Change>> {
 		const operations = proposal.undoOf === undefined
 			? proposal.operations.map(operation => withoutRank(operation))
@@ -100,7 +100,7 @@
 		return result;
 	}
 
-	/** One change of the log; undefined when there is none of that number. */
+	/** The change with a number; undefined when the log has none. */
 	async change(number: number): Promise<Either<PlatformFault, Change | undefined>> {
 		const known = this._services.history.keptChangesAfter(number - 1)?.[0];
 		if (known) {
@@ -111,7 +111,7 @@
 		return item.map(found => found && parseChange(found.body));
 	}
 
-	/** Changes after a number, oldest first, at most one page. */
+	/** The changes after a number, oldest first, at most one page of them. */
 	async changesAfter(number: number): Promise<Either<PlatformFault, readonly Change[]>> {
 		const known = this._services.history.keptChangesAfter(number);
 		if (known && known.length > 0) {
@@ -122,7 +122,7 @@
 		return items.map(list => list.map(({body}) => parseChange(body)).filter(change => change !== undefined));
 	}
 
-	/** The refusal while the table does not answer. */
+	/** The refusal of a proposal while the table is unavailable; `detail` says what could not be done. */
 	unavailable(detail: string): ProposalRefusal {
 		return {kind: 'unavailable', retryAfterMs: this._options.retryAfterMs, detail};
 	}
@@ -146,21 +146,21 @@
 			return Left(this.unavailable('the table does not answer, so nothing can be accepted'));
 		}
 
-		const overtaken = await this._checkConflicts(proposal);
-		if (overtaken) {
-			return overtaken;
+		const conflict = await this._checkConflicts(proposal);
+		if (conflict) {
+			return conflict;
 		}
 
 		const checked = this._buildChange(proposal);
 		return checked.isLeft() ? checked : this._accept(checked.unsafeCoerce());
 	}
 
-	/** The same change, when this node knows that it took effect. */
+	/** The accepted change with the identity of the proposal, if this node knows it; undefined otherwise. */
 	private _findRepeated(proposal: Proposal): Change | undefined {
 		return this._services.history.keptChangesAfter(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
 	}
 
-	/** What others changed since the proposal's basis; undefined when nothing, so that it may go on. */
+	/** Checks what was accepted since the basis of a proposal: Left if that rules it out, Right if it was the proposal itself, undefined when it may go on. */
 	private async _checkConflicts(proposal: Proposal): Promise<Either<ProposalRefusal, Change> | undefined> {
 		const {version} = this._services.history;
 		if (proposal.basedOn === version) {
@@ -181,7 +181,7 @@
 		return own ? Right(own) : Left({kind: 'conflict', version, changes});
 	}
 
-	/** Makes the change that would be written; Left when it may not be. */
+	/** Validates a proposal and builds the change to write; Left says why it may not be written. */
 	private _buildChange(proposal: Proposal): Either<ProposalRefusal, Change> {
 		const {history, clock, currentPrimary} = this._services;
 		const number = history.version + 1;
@@ -211,23 +211,24 @@
 			.mapLeft(problems => ({kind: 'invalid', problems}));
 	}
 
-	/** Writes the next number; finds the outcome of a lost answer by writing the same again. */
+	/** Writes the change with the next number and applies it if the write is accepted. */
 	private async _accept(change: Change): Promise<Either<ProposalRefusal, Change>> {
 		const body = JSON.stringify(change);
 		if (body.length > configurationLimits.changeSizeBytes) {
-			return Left({kind: 'invalid', problems: [{path: '$.operations', expected: `expected at most ${configurationLimits.changeSizeBytes} bytes with what undoes it; split the change`}]});
+			return Left({kind: 'invalid', problems: [{path: '$.operations', expected: `expected at most ${configurationLimits.changeSizeBytes} bytes with the inverse operations; split the change`}]});
 		}
 
 		const outcome = await this._write(change, body);
-		const endings: Record<WriteOutcome, () => Either<ProposalRefusal, Change> | Promise<Either<ProposalRefusal, Change>>> = {
+		const outcomeHandlers: Record<WriteOutcome, () => Either<ProposalRefusal, Change> | Promise<Either<ProposalRefusal, Change>>> = {
 			accepted: () => this._applyAccepted(change, body),
 			taken: async () => this._resolveTaken(change),
 			refused: () => Left(this.unavailable('the table does not accept writes at the moment')),
 			unknown: () => Left({kind: 'unknown', retryAfterMs: this._options.retryAfterMs, detail: 'the table did not say whether the change took effect; send it again with the same changeId'}),
 		};
-		return endings[outcome]();
+		return outcomeHandlers[outcome]();
 	}
 
+	/** Writes the item on the condition that its number is free; if an answer is lost, writing the same item again finds the outcome. */
 	private async _write(change: Change, body: string): Promise<WriteOutcome> {
 		const {table, clock} = this._services;
 		const item = {
@@ -255,7 +256,7 @@
 		return outcome;
 	}
 
-	/** The number went to another change: shows it. */
+	/** The number has been taken: returns the own change if an earlier write put it there, otherwise the conflict. */
 	private async _resolveTaken(change: Change): Promise<Either<ProposalRefusal, Change>> {
 		await this.catchUp();
 		const later = await this.changesAfter(change.basedOn);
@@ -268,11 +269,11 @@
 		this._services.history.applyChanges([body]);
 		this._onAccepted.fire(change.number);
 		if (change.number % this._options.snapshotInterval === 0) {
-			// A lost snapshot only means that a starting node reads more of the log.
+			// The result is ignored: without this snapshot a starting node only reads more of the log.
 			void this._services.objects.put(this._options.snapshotKey, this._services.history.snapshotText());
 		}
 
-		// As every reader sees it: through JSON.
+		// Returns the change as every reader sees it, after a round trip through JSON.
 		return Right(parseChange(body) ?? change);
 	}
 
--- a/src/common/configuration/configuration-sync.test.ts
+++ b/src/common/configuration/configuration-sync.test.ts
@@ -8,24 +8,24 @@
 
 const zones = ['a', 'b', 'c', 'd'];
 const nodeCount = 60;
-/** Every reachable node has the change within this time. */
+/** Maximum time until a change is in force on every reachable node. */
 const boundMs = 3000;
 
-type Scene = {
+type Scenario = {
 	readonly title: string;
-	/** What is wrong from before the change on. */
-	disturb(nodes: FakeNodes): void;
-	/** What goes wrong once the change is accepted. */
-	afterwards?(nodes: FakeNodes): void;
+	/** Injects faults before the change is proposed. */
+	injectFaults(nodes: FakeNodes): void;
+	/** Injects faults once the change has been accepted. */
+	injectFaultsAfterChange?(nodes: FakeNodes): void;
 	isReachable?(node: FakeNode): boolean;
 };
 
-function isZone(host: Host, zone: string): boolean {
+function isInZone(host: Host, zone: string): boolean {
 	return host.availabilityZone === zone;
 }
 
-function cutFromPlatform(nodes: FakeNodes, zone: string): void {
-	for (const node of nodes.nodes.filter(({host}) => isZone(host, zone))) {
+function isolateFromPlatform(nodes: FakeNodes, zone: string): void {
+	for (const node of nodes.nodes.filter(({host}) => isInZone(host, zone))) {
 		node.platform.faults.outage = 'silent';
 	}
 }
@@ -36,44 +36,44 @@
 	}
 }
 
-const scenes: readonly Scene[] = [
-	{title: 'in health', disturb: () => undefined},
+const scenarios: readonly Scenario[] = [
+	{title: 'without faults', injectFaults: () => undefined},
 	{
-		title: 'with a tenth of the messages lost and a tenth of the nodes dead unnoticed',
-		disturb(nodes) {
-			nodes.lossShare = 0.1;
+		title: 'with a tenth of the messages lost and a tenth of the nodes dead but still listed',
+		injectFaults(nodes) {
+			nodes.lossRate = 0.1;
 			killEveryTenth(nodes);
 		},
 	},
 	{
-		title: 'when the table goes down right after, with lost messages',
-		disturb(nodes) {
-			nodes.lossShare = 0.1;
+		title: 'when the table fails right after the change and messages are lost',
+		injectFaults(nodes) {
+			nodes.lossRate = 0.1;
 		},
-		afterwards(nodes) {
+		injectFaultsAfterChange(nodes) {
 			nodes.platform.faults.outage = 'silent';
 		},
 	},
 	{
-		title: 'in a zone that is cut off from the others but not from the platform',
-		disturb(nodes) {
-			nodes.cut((from, to) => isZone(from, 'd') !== isZone(to, 'd'));
+		title: 'in a zone that is partitioned from the others but not from the platform',
+		injectFaults(nodes) {
+			nodes.cut((from, to) => isInZone(from, 'd') !== isInZone(to, 'd'));
 		},
 	},
 	{
 		title: 'in a zone that reaches only one other zone and not the platform',
-		disturb(nodes) {
-			nodes.cut((from, to) => isZone(from, 'd') !== isZone(to, 'd') && !isZone(from, 'c') && !isZone(to, 'c'));
-			cutFromPlatform(nodes, 'd');
+		injectFaults(nodes) {
+			nodes.cut((from, to) => isInZone(from, 'd') !== isInZone(to, 'd') && !isInZone(from, 'c') && !isInZone(to, 'c'));
+			isolateFromPlatform(nodes, 'd');
 		},
 	},
 	{
-		title: 'everywhere but in a zone that reaches nobody',
-		disturb(nodes) {
-			nodes.cut((from, to) => isZone(from, 'd') !== isZone(to, 'd'));
-			cutFromPlatform(nodes, 'd');
+		title: 'on all nodes outside a zone that is isolated from the others and the platform',
+		injectFaults(nodes) {
+			nodes.cut((from, to) => isInZone(from, 'd') !== isInZone(to, 'd'));
+			isolateFromPlatform(nodes, 'd');
 		},
-		isReachable: ({host}) => !isZone(host, 'd'),
+		isReachable: ({host}) => !isInZone(host, 'd'),
 	},
 ];
 
@@ -101,18 +101,18 @@
 }
 
 describe('ConfigurationSync', () => {
-	for (const scene of scenes) {
-		it(`has a change in force within the bound ${scene.title}`, async () => {
+	for (const scenario of scenarios) {
+		it(`has a change in force within the time limit ${scenario.title}`, async () => {
 			for (const seed of [1, 2, 3]) {
 				const {clock, nodes} = await setUp(seed);
 				await changeFrom(clock, nodes.nodes[0], 1);
 				await clock.advance(boundMs);
-				scene.disturb(nodes);
+				scenario.injectFaults(nodes);
 				await changeFrom(clock, nodes.nodes[0], 2);
-				scene.afterwards?.(nodes);
+				scenario.injectFaultsAfterChange?.(nodes);
 				await clock.advance(boundMs);
 
-				const reachable = nodes.alive().filter(node => scene.isReachable?.(node) ?? true);
+				const reachable = nodes.alive().filter(node => scenario.isReachable?.(node) ?? true);
 				const lagging = reachable.filter(({history}) => history.version < 2).map(({host}) => host.name);
 				expect(lagging).toEqual([]);
 				nodes.dispose();
@@ -120,7 +120,7 @@
 		});
 	}
 
-	it('costs a bounded number of messages', async () => {
+	it('sends a bounded number of messages, idle and for a change', async () => {
 		const {clock, nodes} = await setUp(4);
 		await changeFrom(clock, nodes.nodes[0], 1);
 		await clock.advance(boundMs);
@@ -132,19 +132,19 @@
 		await clock.advance(100);
 		const announcements = nodes.messages.announcement - beforeChange.announcement;
 		expect(nodes.nodes.every(({history}) => history.version === 2)).toEqual(true);
-		// Two trees, and the roots that the accepting node tells.
+		// Announcements go along two trees, and from the node that accepted the change to the roots.
 		expect(announcements <= 2 * (nodeCount + zones.length)).toEqual(true);
 		expect(idle.announcement).toEqual(0);
-		// One comparison a node and second, with its answer.
+		// Each node makes one comparison a second, which is a request and an answer.
 		expect(idle.fetch <= nodeCount * 2 * (boundMs / 1000) * 1.15).toEqual(true);
 		nodes.dispose();
 		expect(clock.pendingTimers <= 2 * nodeCount).toEqual(true);
 	});
 
-	it('compares itself with few peers while nothing happens', async () => {
+	it('compares itself with few peers while nothing changes', async () => {
 		const {clock, nodes} = await setUp(6);
 		await changeFrom(clock, nodes.nodes[0], 1);
-		// The comparisons after a change go to many.
+		// Waits until the quick comparisons after the change, which go to random peers, are over.
 		await clock.advance(2 * boundMs);
 		nodes.asked.clear();
 		await clock.advance(30_000);
@@ -153,7 +153,7 @@
 		nodes.dispose();
 	});
 
-	it('lets a node start from its peers while the platform is down', async () => {
+	it('loads the configuration of a starting node from peers while the platform is unavailable', async () => {
 		const {clock, nodes} = await setUp(5);
 		await changeFrom(clock, nodes.nodes[0], 1);
 		await clock.advance(boundMs);
--- a/src/common/configuration/configuration-sync.ts
+++ b/src/common/configuration/configuration-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Spreads the configuration between nodes. A few nodes of each zone poll the table; a new
- * number is announced along trees within each zone; and every node compares itself with one
- * of a few peers each second, which mends what announcements missed.
+ * Propagates the configuration between nodes. A few nodes of each zone poll the table; a new
+ * version is announced along two trees within each zone; and every node compares its version
+ * with one of a few peers each second (anti-entropy), which repairs missed announcements.
  */
 import type {Either} from 'purify-ts';
 import {DisposableStore, toDisposable, type Disposable} from '../lifecycle/disposable.js';
@@ -29,10 +29,10 @@
 	readonly metrics: Metrics;
 };
 
-/** Key of the order in which a zone's nodes poll; no change has the number zero. */
+/** Key of the fan-out order that decides which nodes of a zone poll; no version's tree uses it, as changes count from one. */
 const pollOrderKey = 0;
 
-/** Each version has two trees; the keys of the second are negative. */
+/** Keys of the two trees of each version; the second tree has another order of nodes, so that a dead node does not cut the same others off in both. */
 const treeKeys: ReadonlyArray<(version: number) => number> = [version => version, version => -version];
 
 /** A promise that is resolved from outside. */
@@ -51,9 +51,9 @@
 	}
 }
 
-/** Keeps this node's configuration at the newest that can be reached. */
+/** Keeps this node's configuration at the newest version that the table or a peer can provide. */
 export class ConfigurationSync implements Disposable {
-	/** Resolves once the table or a peer has answered, so that the configuration means something. */
+	/** Resolves once the table has answered or a peer has provided changes, so that the configuration can be used. */
 	readonly loaded: Promise<void>;
 	private readonly _services: ConfigurationSyncServices;
 	private readonly _options: typeof syncDefaults;
@@ -82,7 +82,7 @@
 		return this._isLoaded;
 	}
 
-	/** Begins to load and then to follow. */
+	/** Starts to load the configuration and then to follow its changes. */
 	start(): void {
 		const {history, changeLog} = this._services;
 		this._disposables.register(history.onChange(version => {
@@ -94,12 +94,12 @@
 		void this._run();
 	}
 
-	/** Answers a peer that asks for changes. */
+	/** The changes after a number, as the answer to a peer that fetches them. */
 	changesAfter(afterNumber: number): ChangeBatch {
 		return this._services.history.changesAfter(afterNumber);
 	}
 
-	/** A peer says that changes up to a number exist. */
+	/** Handles the announcement by a peer that changes up to a version exist. */
 	onVersionAnnounced(from: string, version: number): void {
 		const {history, membership} = this._services;
 		const source = membership.hosts().find(host => host.name === from);
@@ -119,10 +119,10 @@
 		await Promise.all([this._pollRepeatedly(), this._compareRepeatedly()]);
 	}
 
-	/** Peers first, which costs the platform nothing when many nodes start at once. */
+	/** Loads from peers first, so that many nodes that start at once put no load on the platform. */
 	private async _load(): Promise<void> {
 		while (!this._disposables.isDisposed) {
-			await this._askStartPeers();
+			await this._fetchFromStartPeers();
 			const isKnown = this._services.history.version > 0 || await this._pollTable();
 
 			if (isKnown) {
@@ -135,7 +135,7 @@
 		}
 	}
 
-	private async _askStartPeers(): Promise<void> {
+	private async _fetchFromStartPeers(): Promise<void> {
 		const chosen = new Set<Host>();
 		for (let count = 0; count < this._options.startPeers; count++) {
 			const host = this._puller.randomPeer(count > 0);
@@ -179,10 +179,10 @@
 		return quickIntervalMs;
 	}
 
-	/** Learns what the peer has more, or tells it that this node has more; whether it answered. */
+	/** Fetches the changes that the peer has and this node lacks, or announces the own version if the peer lags behind; whether the peer answered. */
 	private async _compareWith(host: Host): Promise<boolean> {
 		const answered = await this._puller.fetchFrom(host);
-		const known = answered ?? await this._askAnother();
+		const known = answered ?? await this._fetchFromAnotherPeer();
 		const {version} = this._services.history;
 		if (known !== undefined && known < version) {
 			this._announce(host, version);
@@ -191,21 +191,21 @@
 		return answered !== undefined;
 	}
 
-	/** The peer did not answer: another is asked at once, since this round would be lost otherwise. */
-	private async _askAnother(): Promise<number | undefined> {
+	/** Fetches from another peer at once when the first did not answer, so that this round is not lost. */
+	private async _fetchFromAnotherPeer(): Promise<number | undefined> {
 		const host = this._puller.randomPeer(false);
 		return this._disposables.isDisposed || host === undefined ? undefined : this._puller.fetchFrom(host);
 	}
 
-	/** The first few of a zone's fixed order poll; a node that the list does not show polls too. */
+	/** Whether this node is among the first of its zone's fixed order, which poll the table; a node that its own host list does not contain polls too. */
 	private _isPoller(): boolean {
 		const {self, hosts} = this._membership();
 		const order = fanOutOrder(hosts, self.availabilityZone, pollOrderKey);
-		const place = order.findIndex(host => host.name === self.name);
-		return place < this._options.pollersPerZone;
+		const index = order.findIndex(host => host.name === self.name);
+		return index < this._options.pollersPerZone;
 	}
 
-	/** Whether the table answered in time. */
+	/** Reads new changes from the table; whether it answered within the timeout. */
 	private async _pollTable(): Promise<boolean> {
 		this._count('poll');
 		const result = await Promise.race([
@@ -224,7 +224,7 @@
 		}
 	}
 
-	/** Passes a new number on once, along both trees. */
+	/** Announces a new version once to the children of this node in both trees. */
 	private _propagate(version: number): void {
 		this._services.metrics.gauge('configurationVersion', version);
 		this._quickComparisons = this._options.quickComparisons;
@@ -235,7 +235,7 @@
 			}
 		}
 
-		// What nobody announced was found in the table or by comparing: the zone may not know it yet.
+		// A version that no peer announced was found in the table or by a comparison: the zone may not know it yet.
 		if (version > this._puller.announcedVersion) {
 			this._announceToRoots(version, hosts.filter(host => host.availabilityZone === self.availabilityZone));
 		}
@@ -269,7 +269,7 @@
 		this._services.metrics.count('configurationSyncMessagesTotal', {kind});
 	}
 
-	/** Resolves after a time, or at once when this ends. */
+	/** Resolves after a delay, or at once on disposal. */
 	private async _sleep(delayMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const wake = this._disposables.register(toDisposable(() => {
--- a/src/common/configuration/constants.ts
+++ b/src/common/configuration/constants.ts
@@ -1,9 +1,9 @@
 /**
- * Defaults and bounds of the configuration.
+ * Defaults and limits of the configuration, and options of its log and synchronisation.
  */
 import type {CallerPolicy, EndpointPolicy} from '../services/services.js';
 
-/** What holds for a caller where no rule says otherwise. */
+/** Policy of a caller for settings that no rule states. */
 export const defaultCallerPolicy: CallerPolicy = {
 	reads: 'replicas',
 	maximumAgeMs: undefined,
@@ -14,7 +14,7 @@
 	transactionIdleMs: 30_000,
 };
 
-/** What holds for an endpoint where no rule says otherwise. */
+/** Policy of an endpoint for settings that no rule states. */
 export const defaultEndpointPolicy: EndpointPolicy = {
 	isDraining: false,
 	acceptsReads: true,
@@ -22,16 +22,16 @@
 	isOrderedPrimary: false,
 };
 
-/** What an endpoint offers where its definition does not say. */
+/** Capacity of an endpoint whose definition does not state it. */
 export const defaultEndpoint = {
 	slots: 3,
 	connections: 20,
 } as const;
 
-/** Order of a rule that states none. */
+/** Value of `order` for a rule that states none. */
 export const defaultRuleOrder = 0;
 
-/** Bounds of what a change may hold. */
+/** Limits on the contents of a change and its entries. */
 export const configurationLimits = {
 	nameLength: 63,
 	ruleNameLength: 100,
@@ -39,7 +39,7 @@
 	requirementsPerSelector: 16,
 	valuesPerRequirement: 64,
 	operationsPerChange: 2000,
-	/** A change is one item of the table; twice this, with its inverse, stays below the table's bound. */
+	/** A change is stored as one item of the table; even twice this size, for a change with its inverse, stays below the table's item limit. */
 	changeSizeBytes: 160_000,
 	noteLength: 300,
 	durationMs: 86_400_000,
@@ -47,7 +47,7 @@
 	slots: 10_000,
 } as const;
 
-/** Labels that every endpoint, group and caller has without being given them. */
+/** Labels that every endpoint, group and caller has implicitly. */
 export const impliedLabels = {
 	endpoint: ['name', 'zone', 'group', 'service'],
 	group: ['name', 'service'],
@@ -57,32 +57,32 @@
 /** Options of the change log. */
 export const changeLogDefaults = {
 	partition: 'config',
-	/** Digits of the sort key; keys of one width sort as numbers. */
+	/** Digits of the sort key; keys that are padded to one width sort in numeric order. */
 	sortDigits: 12,
 	snapshotKey: 'config/snapshot.json',
 	/** A snapshot is written with every change whose number is a multiple of this. */
 	snapshotInterval: 100,
-	/** Changes read from the table at one time. */
+	/** Changes read from the table by one query. */
 	pageSize: 100,
-	/** Writes of one proposal while its outcome is not known. */
+	/** Maximum number of write attempts for one proposal; they end once the write is accepted or the number is taken. */
 	putAttempts: 4,
 	putPauseMs: 250,
-	/** When an operator should come back while the table is down. */
+	/** Time after which an operator should retry while the table is unavailable. */
 	retryAfterMs: 5000,
 };
 
-/** Options of what a node keeps of the log. */
+/** Options of the changes that a node keeps in memory. */
 export const historyDefaults = {
-	/** Changes kept for peers that lag behind. */
+	/** Newest changes that are kept for peers that lag behind. */
 	recentChanges: 300,
-	/** Changes answered to a peer at one time. */
+	/** Maximum number of changes in one answer to a peer. */
 	batchChanges: 100,
 	batchSizeBytes: 1_000_000,
 };
 
-/** Options of the resolution cache. */
+/** Options of the cache of resolved policies. */
 export const resolutionDefaults = {
-	/** Resolved pairs of caller and group; the oldest are dropped beyond it. */
+	/** Maximum number of cached policies, one for each pair of caller and group; the oldest is evicted beyond it. */
 	cachedPolicies: 20_000,
 };
 
@@ -91,20 +91,20 @@
 	/** Nodes of each zone that poll the table. */
 	pollersPerZone: 2,
 	pollIntervalMs: 500,
-	/** Pause between comparisons with one peer. */
+	/** Time between two comparisons with a peer. */
 	antiEntropyIntervalMs: 1000,
-	/** Time for which the peers of comparisons are kept; well above that after which an unused link closes. */
+	/** Time for which a peer is kept for comparisons; well above the time after which an unused link closes. */
 	partnerKeptMs: 120_000,
-	/** After a new number a node compares itself this often in quicker succession, with random peers: others may have missed it. */
+	/** Number of comparisons at the quick interval, with random peers, that follow a new version: other nodes may have missed its announcement. */
 	quickComparisons: 6,
 	quickIntervalMs: 300,
-	/** One comparison in this many goes to any zone instead of the own. */
+	/** One comparison in this many is with a peer of any zone instead of the own one. */
 	antiEntropyAnyZoneEvery: 4,
-	/** Peers asked, one after the other, for a number that was announced. */
+	/** Maximum number of peers that are asked, one after the other, for an announced version. */
 	pullAttempts: 10,
 	fetchTimeoutMs: 400,
-	/** A call of the platform that takes longer is treated as lost by the poll. */
+	/** Timeout after which a poll of the table counts as failed. */
 	tableTimeoutMs: 2000,
-	/** Peers that a starting node asks at one time. */
+	/** Number of peers that a starting node asks in parallel. */
 	startPeers: 3,
 };
--- a/src/common/configuration/explain.ts
+++ b/src/common/configuration/explain.ts
@@ -1,5 +1,5 @@
 /**
- * Explains what the rules say for one caller and one group: every rule that applies, the
+ * Explains how the rules resolve for one caller and one group: every rule that applies, the
  * one that wins, and why.
  */
 import {Left, Right, type Either} from 'purify-ts';
@@ -19,38 +19,38 @@
 	callerSettings, endpointSettings, type CallerSetting, type EndpointSetting,
 } from './rule-settings.js';
 
-/** What is asked. */
+/** The caller, the group and the kind of statement to explain. */
 export type ExplainRequest = {
 	readonly caller: CallerDescription;
 	readonly group: string;
 	readonly access: 'read' | 'write';
 };
 
-/** One rule that applies and states the setting. */
+/** A rule that applies to the subject and states the setting. */
 export type RuleCandidate = {
 	readonly rule: string;
 	readonly value: unknown;
-	/** The selector in words. */
+	/** The selector as readable text. */
 	readonly selector: string;
 	readonly conditions: number;
 	readonly order: number;
 	readonly changedIn: number;
-	/** What the winner has over it; undefined for the winner itself. */
+	/** The criterion by which it lost to the winner; undefined for the winner itself. */
 	readonly lostBy?: Precedence;
 };
 
-/** How one setting came about. */
+/** How the value of one setting was resolved. */
 export type SettingExplanation = {
 	readonly setting: string;
-	/** Undefined where nothing bounds it. */
+	/** The resolved value; undefined when the setting is unbounded. */
 	readonly value: unknown;
-	/** Name of the rule that wins; undefined where the default holds. */
+	/** Name of the rule that wins; undefined when the default applies. */
 	readonly winner?: string;
-	/** Strongest first. */
+	/** All rules that apply and state the setting, in order of precedence. */
 	readonly candidates: readonly RuleCandidate[];
 };
 
-/** Whether one endpoint may serve the statement, as far as the rules go. */
+/** Whether the rules allow an endpoint to serve the statement, and why. */
 export type EndpointExplanation = {
 	readonly endpoint: string;
 	readonly availabilityZone: string;
@@ -59,7 +59,7 @@
 	readonly settings: readonly SettingExplanation[];
 };
 
-/** The whole answer. */
+/** How the rules resolve for one request, at one version of the configuration. */
 export type Explanation = {
 	readonly version: number;
 	readonly request: ExplainRequest;
@@ -68,7 +68,7 @@
 	readonly endpoints: readonly EndpointExplanation[];
 };
 
-/** Writes a rule's selector in words. */
+/** Formats a rule's selector as readable text. */
 export function describeSelector(rule: Rule): string {
 	const {endpoints, callers, groups, zones} = rule.selector;
 	const parts = [
@@ -98,7 +98,7 @@
 	};
 }
 
-/** Settings that matter to each kind of statement. */
+/** Settings of a caller's policy that affect each kind of statement. */
 const settingsByAccess: Readonly<Record<ExplainRequest['access'], readonly CallerSetting[]>> = {
 	read: ['reads', 'maximumAgeMs', 'priority', 'maximumInProgress', 'deadlineMs', 'maximumRetries', 'transactionIdleMs'],
 	write: ['priority', 'maximumInProgress', 'deadlineMs', 'maximumRetries', 'transactionIdleMs'],
@@ -106,7 +106,7 @@
 
 const endpointSettingsShown: readonly EndpointSetting[] = ['isDraining', 'acceptsReads', 'primaryPreference', 'isOrderedPrimary'];
 
-/** Why an endpoint does not serve; the first matching lines are given. */
+/** Every reason why an endpoint may not serve a kind of statement; empty when it may. */
 function exclusions(policy: EndpointPolicy, access: ExplainRequest['access']): readonly string[] {
 	const reasons: string[] = [];
 	if (policy.isDraining) {
@@ -154,10 +154,10 @@
 	}
 
 	const age = policy.maximumAgeMs === undefined
-		? 'Their age is bounded by the session\'s own writes and reads only'
+		? 'Their age is bounded only by what the session itself wrote and read'
 		: `Their data may be at most ${policy.maximumAgeMs} ms old`;
 	return [
-		`Reads of ${group} go to any endpoint that may serve and has what the session wrote and read, ${winnerText(settings, 'reads')}.`,
+		`Reads of ${group} go to any endpoint that may serve them and has everything that the session wrote and read, ${winnerText(settings, 'reads')}.`,
 		`${age}, ${winnerText(settings, 'maximumAgeMs')}.`,
 	];
 }
@@ -170,7 +170,7 @@
 	];
 }
 
-/** Answers why a caller's statement goes where it goes. */
+/** Explains where a caller's statement goes and why; Left when the group does not exist. */
 export function explain(version: number, model: ConfigurationModel, request: ExplainRequest): Either<readonly Problem[], Explanation> {
 	const {caller, group, access} = request;
 	if (!model.group.has(group)) {
--- a/src/common/configuration/group-by.ts
+++ b/src/common/configuration/group-by.ts
@@ -1,8 +1,8 @@
 /**
- * Groups values by a key; Map.groupBy is not there yet in every supported version of Node.js.
+ * Groups values by a key; a substitute for Map.groupBy, which not every supported version of Node.js has.
  */
 
-/** Values by key, in their order. */
+/** Groups values by the key of each; both keys and the values of a key keep their order of appearance. */
 export function groupBy<Key, Value>(values: Iterable<Value>, keyOf: (value: Value) => Key): Map<Key, Value[]> {
 	const groups = new Map<Key, Value[]>();
 	for (const value of values) {
--- a/src/common/configuration/instance-changes.test.ts
+++ b/src/common/configuration/instance-changes.test.ts
@@ -17,7 +17,7 @@
 const group: Operation = {op: 'put', kind: 'group', value: {name: 'stock', service: 'shop', labels: {}}};
 const first = applyOperations(emptyModel, [group, endpoint('one'), endpoint('two'), endpoint('three')], 1).unsafeCoerce().model;
 
-describe('checkMembershipSteps', () => {
+describe('checkInstanceChanges', () => {
 	const remove: Operation = {op: 'remove', kind: 'endpoint', name: 'three'};
 	const cases: ReadonlyArray<readonly [string, readonly Operation[], number]> = [
 		['adding one instance', [endpoint('four')], 0],
@@ -34,7 +34,7 @@
 		});
 	}
 
-	it('accepts the first instances of a group, and its end', () => {
+	it('accepts the first instances of a group, and the removal of all', () => {
 		expect(checkInstanceChanges(emptyModel, first)).toEqual([]);
 		expect(checkInstanceChanges(first, emptyModel)).toEqual([]);
 	});
--- a/src/common/configuration/instance-changes.ts
+++ b/src/common/configuration/instance-changes.ts
@@ -1,19 +1,20 @@
 /**
- * Bounds how far one change may alter the instances of a group.
+ * Limits how many instances of a group one change may add or remove.
  *
- * A write is safe because the majority that confirmed it crosses every majority that a
- * promotion claims. Majorities of two configurations cross for certain only if they differ
- * by one instance, so an instance is replaced in two changes: add, then remove.
+ * A write is safe because the majority that confirmed it has an instance in common with every
+ * majority that a promotion obtains. Majorities of two successive configurations are certain to
+ * overlap only if the configurations differ by at most one instance, so an instance is replaced
+ * in two changes: the first adds the new one, the second removes the old one.
  */
 import {groupBy} from './group-by.js';
 import {formatPath, type Problem} from './problems.js';
 import type {EndpointEntry} from './schema.js';
 import type {ConfigurationModel} from './model.js';
 
-/** Instances of a group that one change may add, remove or move to another address. */
+/** Maximum number of instances that one change may add to or remove from a group; a move to another address is one of each. */
 const maximumInstancesPerChange = 1;
 
-/** Groups whose instances a change alters too far at once. */
+/** Problems of the groups of which a change adds or removes too many instances at once. */
 export function checkInstanceChanges(before: ConfigurationModel, after: ConfigurationModel): readonly Problem[] {
 	const formerEndpoints = groupBy(before.endpoint.values(), endpoint => endpoint.group);
 	const latterEndpoints = groupBy(after.endpoint.values(), endpoint => endpoint.group);
@@ -22,7 +23,7 @@
 		.filter(name => {
 			const former = addressesOf(formerEndpoints.get(name) ?? []);
 			const latter = addressesOf(latterEndpoints.get(name) ?? []);
-			// The first instances follow nothing, and without any there is no majority to cross.
+			// Nothing precedes the first instances, and a group without any has no majority that would have to overlap.
 			const isBeginOrEnd = former.size === 0 || latter.size === 0;
 			return !isBeginOrEnd && countDifferences(former, latter) > maximumInstancesPerChange;
 		})
--- a/src/common/configuration/label-selector.ts
+++ b/src/common/configuration/label-selector.ts
@@ -1,5 +1,5 @@
 /**
- * Label selectors: a list of requirements that must all hold, as typed JSON and as one
+ * Label selectors: a list of requirements that must all hold, either as typed JSON or as one
  * line of text such as `zone=bkk-1,tier in (a,b),!old`.
  */
 import {Left, Right, type Either} from 'purify-ts';
@@ -12,7 +12,7 @@
 	format(label: string, operands: readonly string[]): string;
 };
 
-/** Meaning and text of each operator. A label that is absent is in no list of values. */
+/** Evaluation and formatting of each operator. An absent label counts as in no list of values, so `notIn` matches it. */
 const operators: Readonly<Record<Operator, Handler>> = {
 	equals: {
 		matches: (value, [operand]) => value === operand,
@@ -44,7 +44,7 @@
 	return 'values' in requirement ? requirement.values : [];
 }
 
-/** Whether labels meet every requirement. */
+/** Whether the labels meet every requirement of a selector. */
 export function matchesLabels(selector: LabelSelector, labels: Labels): boolean {
 	return selector.every(requirement => {
 		const value = Object.hasOwn(labels, requirement.label) ? labels[requirement.label] : undefined;
@@ -52,12 +52,12 @@
 	});
 }
 
-/** Writes a selector as one line. */
+/** Formats a selector as one line of text that `parseLabelSelector` reads. */
 export function formatLabelSelector(selector: LabelSelector): string {
 	return selector.map(requirement => operators[requirement.operator].format(requirement.label, operandsOf(requirement))).join(',');
 }
 
-/** Values that a selector names for a label; what it names must exist. */
+/** Values that a selector requires a label to have; validation checks that what they name exists. */
 export function namedValues(selector: LabelSelector, label: string): readonly string[] {
 	return selector
 		.filter(requirement => requirement.label === label)
@@ -77,7 +77,7 @@
 	return operand.split(',').map(value => value.trim());
 }
 
-/** The forms that a requirement can take in text; the first that matches is taken. */
+/** The textual forms of a requirement; the first pattern that matches is used. */
 const forms: readonly Form[] = [
 	{
 		pattern: new RegExp(String.raw`^(${key})\s+in\s*\(\s*(${values})\s*\)$`, 'v'),
@@ -105,10 +105,10 @@
 	},
 ];
 
-/** Longest text that is read; bounds the work spent on hostile input. */
+/** Maximum length of a selector's text; bounds the work spent on hostile input. */
 const maximumTextLength = 4000;
 
-/** Splits at commas outside parentheses. */
+/** Splits a selector at the commas outside parentheses. */
 function splitRequirements(text: string): string[] {
 	return text.split(/,(?![^\(]*\))/v).map(part => part.trim());
 }
@@ -124,7 +124,7 @@
 	return Left(`expected label=value, label!=value, label in (a,b), label notin (a,b), label or !label, but found "${text}"`);
 }
 
-/** Reads a selector from one line; Left says what was expected where. */
+/** Parses a selector from one line of text; Left says what was expected and what was found. */
 export function parseLabelSelector(text: string): Either<string, LabelSelector> {
 	if (text.length > maximumTextLength) {
 		return Left(`expected at most ${maximumTextLength} characters`);
--- a/src/common/configuration/live-configuration.test.ts
+++ b/src/common/configuration/live-configuration.test.ts
@@ -15,7 +15,7 @@
 };
 
 describe('LiveConfiguration', () => {
-	it('resolves anew with each version, and keeps what it resolved within the bound', () => {
+	it('resolves policies again with each version, and caches them up to the limit', () => {
 		const changed = new Emitter<number>();
 		const source = {version: 0, model: modelWith([]), onChange: changed.event} satisfies ModelSource;
 		const live = new LiveConfiguration(source, 2);
--- a/src/common/configuration/live-configuration.ts
+++ b/src/common/configuration/live-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force on this node, with what the rules say kept resolved.
+ * The configuration in force on this node, with the policies that its rules resolve to.
  */
 import type {
 	CallerDescription,
@@ -16,14 +16,14 @@
 import type {ConfigurationModel} from './model.js';
 import {resolveCallerPolicy, resolveEndpointPolicies} from './resolve-policies.js';
 
-/** Where the configuration in force comes from. */
+/** The source of the configuration in force; `onChange` fires with each new version. */
 export type ModelSource = {
 	readonly version: number;
 	readonly model: ConfigurationModel;
 	readonly onChange: Event<number>;
 };
 
-/** Everything that follows from one version. */
+/** Everything that is derived from one version of the configuration. */
 type Resolution = {
 	readonly version: number;
 	readonly model: ConfigurationModel;
@@ -54,9 +54,9 @@
 	};
 }
 
-/** Resolves the configuration in force; callers' policies on demand, within a bound. */
+/** Resolves each version of the configuration; policies of callers are resolved on demand and cached up to a limit. */
 export class LiveConfiguration implements Configuration, Disposable {
-	/** Fires with the version, after everything that follows from it is in place. */
+	/** Fires with the new version once everything that is derived from it has been updated. */
 	readonly onChange: Event<number>;
 	private _resolution: Resolution;
 	private readonly _callerPolicies = new Map<string, CallerPolicy>();
@@ -93,7 +93,7 @@
 		}
 
 		const policy = resolveCallerPolicy(this._resolution.model, this._resolution.rules, caller, group);
-		this._remember(key, policy);
+		this._cache(key, policy);
 		return policy;
 	}
 
@@ -107,7 +107,7 @@
 		this._callerPolicies.clear();
 	}
 
-	/** Callers choose their application name freely, so it is in the key only where a rule asks for it. */
+	/** Key of the cache. Callers choose their application name freely, so it is part of the key only if a rule has a condition on it. */
 	private _cacheKey(caller: CallerDescription, group: string): string {
 		const appName = this._resolution.rules.usesApplication ? caller.applicationName : '';
 		const key = `${caller.availabilityZone}\n${group}\n${appName}\n${caller.user}`;
@@ -115,7 +115,7 @@
 		return labels.length === 0 ? key : `${key}\n${JSON.stringify(labels)}`;
 	}
 
-	private _remember(key: string, policy: CallerPolicy): void {
+	private _cache(key: string, policy: CallerPolicy): void {
 		if (this._callerPolicies.size >= this._cachedPolicies) {
 			const [oldest = ''] = this._callerPolicies.keys();
 			this._callerPolicies.delete(oldest);
--- a/src/common/configuration/model.ts
+++ b/src/common/configuration/model.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration as a node keeps it: one map for each kind of thing. The nested document
- * is only its form for reading and writing.
+ * The configuration as a node keeps it in memory: one map for each kind of entry. The nested
+ * document is only the form in which it is read and written.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {groupBy} from './group-by.js';
@@ -16,7 +16,7 @@
 	EntryKind,
 } from './schema.js';
 
-/** Value of each kind of thing. */
+/** Type of the entries of each kind. */
 export type EntryByKind = {
 	readonly service: ServiceEntry;
 	readonly group: GroupEntry;
@@ -25,15 +25,15 @@
 	readonly rule: Rule;
 };
 
-/** The things of each kind by name. Never changed once built. */
+/** The entries of each kind by name; immutable once built. */
 export type ConfigurationModel = {readonly [Kind in EntryKind]: ReadonlyMap<string, EntryByKind[Kind]>};
 
 type MutableModel = {readonly [Kind in EntryKind]: Map<string, EntryByKind[Kind]>};
 
-/** The kinds in the order in which things depend on each other. */
+/** The kinds of entries, each after those that its entries refer to. */
 export const entryKinds = ['service', 'group', 'endpoint', 'caller', 'rule'] as const satisfies readonly EntryKind[];
 
-/** A configuration that holds nothing. */
+/** A configuration without entries. */
 export const emptyModel: ConfigurationModel = {
 	service: new Map(),
 	group: new Map(),
@@ -42,9 +42,9 @@
 	rule: new Map(),
 };
 
-/** Name of a thing. */
-export function nameOf(thing: EntryByKind[EntryKind]): string {
-	return 'user' in thing ? thing.user : thing.name;
+/** Name of an entry; that of a caller is its user. */
+export function nameOf(entry: EntryByKind[EntryKind]): string {
+	return 'user' in entry ? entry.user : entry.name;
 }
 
 function copyModel(model: ConfigurationModel): MutableModel {
@@ -57,11 +57,11 @@
 	};
 }
 
-function byName<T extends EntryByKind[EntryKind]>(things: Iterable<T>): T[] {
-	return [...things].toSorted((a, b) => nameOf(a) < nameOf(b) ? -1 : 1);
+function byName<T extends EntryByKind[EntryKind]>(entries: Iterable<T>): T[] {
+	return [...entries].toSorted((a, b) => nameOf(a) < nameOf(b) ? -1 : 1);
 }
 
-/** The nested document of a model, sorted by name. */
+/** Converts a model to the nested document, sorted by name. */
 export function toDocument(model: ConfigurationModel): ConfigurationDocument {
 	const endpointsOf = groupBy(byName(model.endpoint.values()), endpoint => endpoint.group);
 	const groupsOf = groupBy(byName(model.group.values()), group => group.service);
@@ -78,17 +78,17 @@
 	};
 }
 
-/** The model of a document; Left names what is there twice. */
+/** Converts a document to a model; Left lists the names that occur more than once. */
 export function fromDocument(document: ConfigurationDocument): Either<readonly Problem[], ConfigurationModel> {
 	const model = copyModel(emptyModel);
 	const problems: Problem[] = [];
-	const add = <Kind extends EntryKind>(kind: Kind, thing: EntryByKind[Kind], path: readonly PropertyKey[]) => {
-		const things: Map<string, EntryByKind[Kind]> = model[kind];
-		if (things.has(nameOf(thing))) {
-			problems.push({path: formatPath(path), expected: `expected a name that no other ${kind} has, but "${nameOf(thing)}" is there twice`});
+	const add = <Kind extends EntryKind>(kind: Kind, entry: EntryByKind[Kind], path: readonly PropertyKey[]) => {
+		const entries: Map<string, EntryByKind[Kind]> = model[kind];
+		if (entries.has(nameOf(entry))) {
+			problems.push({path: formatPath(path), expected: `expected a unique ${kind} name, but "${nameOf(entry)}" occurs more than once`});
 		}
 
-		things.set(nameOf(thing), thing);
+		entries.set(nameOf(entry), entry);
 	};
 
 	for (const [serviceIndex, {groups, ...service}] of document.services.entries()) {
@@ -118,7 +118,7 @@
 	return value === undefined ? undefined : toOperation(value);
 }
 
-/** The operation that writes a thing as it is in a model; undefined when it is not there. */
+/** For each kind, the operation that writes an entry as it is in a model; undefined when the model does not have it. */
 const putOperations: Readonly<Record<EntryKind, (model: ConfigurationModel, name: string) => Operation | undefined>> = {
 	service: (model, name) => mapDefined(model.service.get(name), value => ({op: 'put', kind: 'service', value})),
 	group: (model, name) => mapDefined(model.group.get(name), value => ({op: 'put', kind: 'group', value})),
@@ -127,20 +127,21 @@
 	rule: (model, name) => mapDefined(model.rule.get(name), value => ({op: 'put', kind: 'rule', value})),
 };
 
-/** The operation that makes a thing what it is in a model. */
+/** The operation that restores an entry to its state in a model: a put, or a removal when the model does not have it. */
 function restoringOperation(model: ConfigurationModel, kind: EntryKind, name: string): Operation {
 	return putOperations[kind](model, name) ?? {op: 'remove', kind, name};
 }
 
-/** A model after operations, and the operations that take them back. */
+/** The model after some operations, and the inverse operations that undo them. */
 export type AppliedOperations = {
 	readonly model: ConfigurationModel;
 	readonly inverse: readonly Operation[];
 };
 
 /**
- * Applies the operations of one change. A rule that is put gets the number of the change,
- * unless it states an earlier one, as an undo does to restore the rule's rank.
+ * Applies the operations of one change; Left when one removes an entry that does not exist.
+ * A rule that is put gets the number of the change as `changedIn`, unless it states an earlier
+ * number, as an undo does to restore the rule's rank.
  */
 export function applyOperations(before: ConfigurationModel, operations: readonly Operation[], number: number): Either<readonly Problem[], AppliedOperations> {
 	const model = copyModel(before);
@@ -160,21 +161,21 @@
 		const value = operation.kind === 'rule'
 			? {...operation.value, changedIn: Math.min(operation.value.changedIn ?? number, number)}
 			: operation.value;
-		const things: Map<string, unknown> = model[operation.kind];
-		things.set(name, value);
+		const entries: Map<string, unknown> = model[operation.kind];
+		entries.set(name, value);
 	}
 
 	return Right({model, inverse});
 }
 
-/** Whether two things are the same but for the change that wrote them. */
+/** Whether two entries are equal, apart from the number of the change that wrote them. */
 function isSameEntry(a: EntryByKind[EntryKind], b: EntryByKind[EntryKind]): boolean {
-	// What no operation touched is the same object, which spares the writing of everything.
+	// An entry that no operation touched is still the same object, which saves serialising it.
 	return a === b || canonicalText(a) === canonicalText(b);
 }
 
-function canonicalText(thing: EntryByKind[EntryKind]): string {
-	return JSON.stringify(thing, (key, value: unknown) => {
+function canonicalText(entry: EntryByKind[EntryKind]): string {
+	return JSON.stringify(entry, (key, value: unknown) => {
 		if (key === 'changedIn') {
 			return undefined;
 		}
@@ -184,15 +185,15 @@
 	});
 }
 
-/** Operations that turn one model into another. */
+/** The operations that turn one model into another: puts in order of dependency, then removals in reverse order. */
 export function diffModels(before: ConfigurationModel, after: ConfigurationModel): readonly Operation[] {
 	const puts: Operation[] = [];
 	const removals: Operation[] = [];
 	for (const kind of entryKinds) {
-		for (const thing of byName<EntryByKind[EntryKind]>(after[kind].values())) {
-			const old = before[kind].get(nameOf(thing));
-			if (old === undefined || !isSameEntry(old, thing)) {
-				puts.push(restoringOperation(after, kind, nameOf(thing)));
+		for (const entry of byName<EntryByKind[EntryKind]>(after[kind].values())) {
+			const old = before[kind].get(nameOf(entry));
+			if (old === undefined || !isSameEntry(old, entry)) {
+				puts.push(restoringOperation(after, kind, nameOf(entry)));
 			}
 		}
 
--- a/src/common/configuration/preview.ts
+++ b/src/common/configuration/preview.ts
@@ -1,6 +1,6 @@
 /**
- * What a change would do, before it is confirmed: differences, what it touches, and what
- * has to be acknowledged.
+ * Previews a change before it is confirmed: the differences, what they affect, and the warnings
+ * that the author has to acknowledge.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {EndpointPolicy} from '../services/services.js';
@@ -22,10 +22,10 @@
 import {checkInstanceChanges} from './instance-changes.js';
 import {validateModel} from './validate-model.js';
 
-/** Names listed at most; the counts are whole. */
+/** Maximum number of names in a list; the counts include those left out. */
 const maximumNames = 50;
 
-/** A model with its endpoints by group and their policies. */
+/** A model with the policies of its endpoints and its endpoints by group. */
 type ResolvedModel = {
 	readonly model: ConfigurationModel;
 	readonly policies: ReadonlyMap<string, EndpointPolicy>;
@@ -63,7 +63,7 @@
 	return JSON.stringify(policy ?? defaultEndpointPolicy);
 }
 
-/** Endpoints whose definition or policy changes. */
+/** The endpoints whose definition or resolved policy changes. */
 function touchedEndpoints(before: ResolvedModel, after: ResolvedModel, differences: readonly Difference[]): readonly EndpointEntry[] {
 	const changed = new Set(differences.filter(({kind}) => kind === 'endpoint').map(({name}) => name));
 	const all = new Map([...before.model.endpoint, ...after.model.endpoint]);
@@ -82,13 +82,13 @@
 	const labels = callerLabels(model, {
 		user, applicationName: '', availabilityZone: '', labels: {},
 	});
-	// Zone and application differ from connection to connection, so they exclude nobody here.
+	// Zone and application may differ for each connection of a user, so conditions on them exclude no user here.
 	const {callers = []} = rule.selector;
 	const requirements = callers.filter(({label}) => label !== 'zone' && label !== 'application');
 	return matchesLabels(requirements, labels);
 }
 
-/** No user name has this; it stands for callers that the configuration does not list. */
+/** Stands for the callers that the configuration does not list; no listed user has an empty name. */
 const unlistedUser = '';
 
 function touchedCallers(before: ConfigurationModel, after: ConfigurationModel, differences: readonly Difference[]) {
@@ -103,7 +103,7 @@
 	return {names: [...names], touchesUnlisted: rules.some(rule => selectsUser(after, rule, unlistedUser) || namesUser(rule))};
 }
 
-/** A rule may name a user that has no entry. */
+/** Whether a rule has a condition on the user, who may be one that the configuration does not list. */
 function namesUser(rule: Rule): boolean {
 	return rule.selector.callers?.some(({label, operator}) => label === 'user' && operator !== 'notExists') ?? false;
 }
@@ -140,34 +140,34 @@
 type LossCondition = {
 	readonly kind: WarningKind;
 	readonly message: string;
-	/** Whether the group has what it would be warned of losing. */
-	has(side: ResolvedModel, group: string): boolean;
+	/** Whether the group has the capability whose loss is warned of. */
+	has(resolved: ResolvedModel, group: string): boolean;
 };
 
-function members(side: ResolvedModel, group: string): readonly EndpointEntry[] {
-	return side.members.get(group) ?? [];
+function members(resolved: ResolvedModel, group: string): readonly EndpointEntry[] {
+	return resolved.members.get(group) ?? [];
 }
 
-function policyOf(side: ResolvedModel, endpoint: EndpointEntry): EndpointPolicy {
-	return side.policies.get(endpoint.name) ?? defaultEndpointPolicy;
+function policyOf(resolved: ResolvedModel, endpoint: EndpointEntry): EndpointPolicy {
+	return resolved.policies.get(endpoint.name) ?? defaultEndpointPolicy;
 }
 
-/** What a group may lose, gravest first; a group is warned of the gravest only. */
-const lossConditions: readonly LossCondition[] = [
+/** What a group may lose, in order of severity; only the most severe loss of a group gives a warning. */
+const conditions: readonly LossCondition[] = [
 	{
 		kind: 'noEndpoint',
 		message: 'would have no endpoint left: nothing can be served',
-		has: (side, group) => members(side, group).length > 0,
+		has: (resolved, group) => members(resolved, group).length > 0,
 	},
 	{
 		kind: 'noPrimaryCandidate',
 		message: 'would have only draining endpoints left: no write can be served',
-		has: (side, group) => members(side, group).some(endpoint => !policyOf(side, endpoint).isDraining),
+		has: (resolved, group) => members(resolved, group).some(endpoint => !policyOf(resolved, endpoint).isDraining),
 	},
 	{
 		kind: 'noReader',
 		message: 'would have no endpoint left that accepts reads',
-		has: (side, group) => members(side, group).some(endpoint => !policyOf(side, endpoint).isDraining && policyOf(side, endpoint).acceptsReads),
+		has: (resolved, group) => members(resolved, group).some(endpoint => !policyOf(resolved, endpoint).isDraining && policyOf(resolved, endpoint).acceptsReads),
 	},
 ];
 
@@ -178,11 +178,11 @@
 }
 
 function lossWarning(before: ResolvedModel, after: ResolvedModel, group: string): Warning | undefined {
-	const lost = lossConditions.find(({has}) => has(before, group) && !has(after, group));
+	const lost = conditions.find(({has}) => has(before, group) && !has(after, group));
 	return lost && warning(lost.kind, group, `${group} ${lost.message}`);
 }
 
-/** The primary would leave: writes of the group stop for the time of a promotion. */
+/** The warning that a change removes or drains the current primary, so that writes of the group wait for a promotion. */
 function primaryLossWarning(before: ResolvedModel, after: ResolvedModel, group: string, currentPrimary: PrimaryLookup): Warning | undefined {
 	const name = currentPrimary(group);
 	const endpoint = name === undefined ? undefined : before.model.endpoint.get(name);
@@ -209,7 +209,7 @@
 	return warnings;
 }
 
-/** Whether the operations lead to a configuration that holds together, and what they do. */
+/** Previews operations against a model; Left lists the problems if the resulting configuration is invalid or unchanged. */
 export function previewChange(
 	version: number,
 	model: ConfigurationModel,
@@ -222,10 +222,10 @@
 			return Left(problems);
 		}
 
-		// The difference between the models is what counts, not the way there.
+		// The differences come from the two models, not from the operations, since these may cancel each other out or change nothing.
 		const effective = diffModels(model, applied.model);
 		if (effective.length === 0) {
-			return Left([{path: '$.operations', expected: 'expected a change, but everything is so already'}]);
+			return Left([{path: '$.operations', expected: 'expected a change, but the configuration already has these values'}]);
 		}
 
 		const before = resolveModel(model);
--- a/src/common/configuration/problems.ts
+++ b/src/common/configuration/problems.ts
@@ -1,31 +1,31 @@
 /**
- * Problems of a configuration: each names a JSON path and what was expected there.
+ * Problems of a configuration or of other input: each names a JSON path and what was expected there.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {z} from 'zod';
 
-/** What is wrong where. */
+/** One problem of an input, at one JSON path. */
 export type Problem = {
 	/** JSON path such as `$.services[0].groups[1].name`. */
 	readonly path: string;
 	readonly expected: string;
 };
 
-/** Problems reported at one time. */
+/** Maximum number of problems in one report. */
 const maximumProblems = 20;
 
-/** Writes a path from its steps. */
+/** Formats the steps of a path as a JSON path. */
 export function formatPath(steps: readonly PropertyKey[]): string {
 	const parts = steps.map(step => typeof step === 'number' ? `[${step}]` : `.${String(step)}`);
 	return `$${parts.join('')}`;
 }
 
-/** What a union says that has no message of its own. */
+/** The message of the schema library for a union that has none of its own. */
 const generalMessage = 'Invalid input';
 
 type Issue = z.core.$ZodIssue;
 
-/** The deepest issues of a union say more than that no member matched. */
+/** Converts an issue to problems; that of a union only says that no member matched, so the problems of the member with the fewest stand for it. */
 function flattenIssue(issue: Issue, prefix: readonly PropertyKey[]): Problem[] {
 	const path = [...prefix, ...issue.path];
 	if (issue.code === 'invalid_key') {
@@ -43,18 +43,18 @@
 	return members[0] ?? [{path: formatPath(path), expected: issue.message}];
 }
 
-/** Problems of a failed parse. */
+/** Converts the issues of a failed parse to problems, up to a limit. */
 export function problemsOf(error: z.ZodError): Problem[] {
 	return error.issues.flatMap(issue => flattenIssue(issue, [])).slice(0, maximumProblems);
 }
 
-/** Parses input from outside; Left lists what was expected where. */
+/** Parses untrusted input by a schema; Left lists the problems. */
 export function parseWith<Schema extends z.ZodType>(schema: Schema, input: unknown): Either<readonly Problem[], z.output<Schema>> {
 	const result = schema.safeParse(input);
 	return result.success ? Right(result.data) : Left(problemsOf(result.error));
 }
 
-/** Parses JSON text from outside. */
+/** Parses untrusted JSON text by a schema; Left lists the problems. */
 export function parseJsonWith<Schema extends z.ZodType>(schema: Schema, text: string): Either<readonly Problem[], z.output<Schema>> {
 	try {
 		return parseWith(schema, JSON.parse(text));
--- a/src/common/configuration/resolve-policies.test.ts
+++ b/src/common/configuration/resolve-policies.test.ts
@@ -60,7 +60,7 @@
 		['name last', [limit('b', 2, {changedIn: 1}), limit('a', 1, {changedIn: 1})], 1],
 		['zone of the caller', [limit('a', 1, {selector: {zones: ['zone-b']}}), limit('b', 2)], 2],
 		['labels that a group inherits', [limit('a', 1, {selector: {groups: 'team=sales,name=stock'}}), limit('b', 2)], 1],
-		['a rule that does not state the setting leaves it', [{name: 'a', selector: {callers: 'user=web'}, effect: {kind: 'callerLimit', priority: 1}}, limit('b', 2)], 2],
+		['a rule that does not state the setting is skipped', [{name: 'a', selector: {callers: 'user=web'}, effect: {kind: 'callerLimit', priority: 1}}, limit('b', 2)], 2],
 	];
 	for (const [title, rules, expected] of cases) {
 		it(title, () => {
@@ -69,7 +69,7 @@
 		});
 	}
 
-	it('lets a more specific rule lift the bound on age', () => {
+	it('lets a more specific rule remove the limit on the age of reads', () => {
 		const model = modelWith([
 			{name: 'all', effect: {kind: 'readRouting', maximumAgeMs: 100}},
 			{name: 'web', selector: {callers: 'user=web'}, effect: {kind: 'readRouting', maximumAgeMs: 'unbounded'}},
@@ -77,7 +77,7 @@
 		expect(resolveCallerPolicy(model, compileRules(model), web, 'stock').maximumAgeMs).toEqual(undefined);
 	});
 
-	it('orders at most one endpoint of a group, by preference', () => {
+	it('orders at most one endpoint of a group to be primary, by preference', () => {
 		const model = modelWith([
 			{name: 'zone-a', selector: {zones: ['zone-a']}, effect: {kind: 'orderPrimary'}},
 			{name: 'fast', selector: {endpoints: 'disk=fast,group=stock'}, effect: {kind: 'orderPrimary'}},
@@ -94,7 +94,7 @@
 });
 
 describe('explain', () => {
-	it('names every rule that applies, the winner and what the winner has over the others', () => {
+	it('lists every rule that applies, the winner, and the criterion by which the others lost', () => {
 		const model = modelWith([
 			{name: 'all', effect: {kind: 'readRouting', reads: 'replicas'}, changedIn: 1},
 			{name: 'till', selector: {callers: 'kind=counter'}, effect: {kind: 'readRouting', reads: 'primary'}},
@@ -130,14 +130,14 @@
 		[withRule({efect: 1, effect: {kind: 'drain'}}), '$.rules[0]', /efect/v],
 	];
 	for (const [input, path, expected] of cases) {
-		it(`names ${path}`, () => {
+		it(`reports a problem at ${path}`, () => {
 			const [problem] = parseWith(documentSchema, input).swap().unsafeCoerce();
 			expect(problem?.path).toEqual(path);
 			expect(problem?.expected ?? '').toMatchRegex(expected);
 		});
 	}
 
-	it('refuses references to what does not exist, and reserved labels', () => {
+	it('refuses references to entries that do not exist, duplicate addresses and reserved labels', () => {
 		const model = modelWith([
 			{name: 'r', selector: {endpoints: 'name=stock-x', zones: ['zone-x'], groups: 'service in (shop,cellar)'}, effect: {kind: 'drain'}},
 		]);
@@ -156,7 +156,7 @@
 		]);
 	});
 
-	it('keeps a document through its model', () => {
+	it('converts a document to a model and back without loss', () => {
 		const document = toDocument(modelOf(sampleDocument()));
 		expect(toDocument(modelOf(documentSchema.parse(structuredClone(document))))).toEqual(document);
 	});
--- a/src/common/configuration/resolve-policies.ts
+++ b/src/common/configuration/resolve-policies.ts
@@ -1,5 +1,5 @@
 /**
- * Resolves what the rules say for a caller and for every endpoint.
+ * Resolves the rules to the policy of a caller and the policies of all endpoints.
  */
 import type {CallerDescription, CallerPolicy, EndpointPolicy} from '../services/services.js';
 import {defaultCallerPolicy, defaultEndpointPolicy} from './constants.js';
@@ -18,17 +18,17 @@
 import type {EndpointEntry, Rule} from './schema.js';
 import {callerSettings, endpointSettings, type EndpointSetting} from './rule-settings.js';
 
-/** What the rules see of a caller that asks for a group. */
+/** The labels by which rules select a caller that uses a group. */
 export function callerSubject(model: ConfigurationModel, caller: CallerDescription, group: string): CallerSubject {
 	return {caller: callerLabels(model, caller), group: groupLabels(model, group)};
 }
 
-/** What the rules see of an endpoint. */
+/** The labels by which rules select an endpoint. */
 export function endpointSubject(model: ConfigurationModel, endpoint: EndpointEntry): EndpointSubject {
 	return {endpoint: endpointLabels(model, endpoint), group: groupLabels(model, endpoint.group)};
 }
 
-/** The first stated value wins: rules come strongest first. */
+/** The value of the first rule that states one; the rules are in order of precedence. */
 function firstStated<T>(rules: readonly Rule[], read: (effect: Rule['effect']) => T | undefined): T | undefined {
 	for (const rule of rules) {
 		const value = read(rule.effect);
@@ -40,7 +40,7 @@
 	return undefined;
 }
 
-/** What holds for one caller and one group. */
+/** The policy of a caller for the statements that it sends to a group. */
 export function resolveCallerPolicy(model: ConfigurationModel, rules: CompiledRules, caller: CallerDescription, group: string): CallerPolicy {
 	const subject = callerSubject(model, caller, group);
 	const applying = rules.callers.filter(rule => appliesToCaller(rule, subject));
@@ -72,7 +72,7 @@
 	readonly policy: EndpointPolicy;
 };
 
-/** The strongest order of a group, and the one endpoint that it chooses. */
+/** The endpoint that the first `orderPrimary` rule of a group chooses: of those that it applies to, the one with the highest preference, then by name. */
 function orderedPrimary(resolved: readonly Resolved[], rules: readonly Rule[]): string | undefined {
 	const order = rules.find(rule => rule.effect.kind === 'orderPrimary' && resolved.some(({applying}) => applying.includes(rule)));
 	if (order === undefined) {
@@ -85,7 +85,7 @@
 	return chosen?.endpoint.name;
 }
 
-/** What holds for every endpoint. At most one endpoint of a group is ordered to be primary. */
+/** The policies of all endpoints by name; at most one endpoint of each group is ordered to be primary. */
 export function resolveEndpointPolicies(model: ConfigurationModel, rules: CompiledRules): ReadonlyMap<string, EndpointPolicy> {
 	const resolved = [...model.endpoint.values()].map(endpoint => {
 		const subject = endpointSubject(model, endpoint);
@@ -103,7 +103,7 @@
 	return policies;
 }
 
-/** One rule that applies to an endpoint and states a setting, strongest first. */
+/** The rules that apply to an endpoint and state a setting, in order of precedence. */
 export function applicableEndpointRules(model: ConfigurationModel, rules: CompiledRules, endpoint: EndpointEntry, setting: EndpointSetting): readonly Rule[] {
 	const subject = endpointSubject(model, endpoint);
 	return rules.endpoints.filter(rule => endpointSettings[setting](rule.effect) !== undefined && appliesToEndpoint(rule, subject));
--- a/src/common/configuration/rule-settings.ts
+++ b/src/common/configuration/rule-settings.ts
@@ -1,6 +1,6 @@
 /**
- * What each setting of a policy takes from a rule's effect. Each setting is resolved on its
- * own: the strongest rule that applies and states it wins.
+ * How each setting of a policy is read from the effect of a rule. Each setting is resolved on
+ * its own: the first rule in order of precedence that applies and states it wins.
  */
 import type {CallerPolicy, EndpointPolicy} from '../services/services.js';
 import type {RuleEffect} from './schema.js';
@@ -8,7 +8,7 @@
 /** Reads one setting from an effect; undefined when the effect does not state it. */
 type Reader = (effect: RuleEffect) => unknown;
 
-/** Settings of a caller's policy. A maximum age may be stated to be unbounded. */
+/** Readers for the settings of a caller's policy; `maximumAgeMs` may also read as 'unbounded'. */
 export const callerSettings = {
 	reads: effect => effect.kind === 'readRouting' ? effect.reads : undefined,
 	maximumAgeMs: effect => effect.kind === 'readRouting' ? effect.maximumAgeMs : undefined,
@@ -19,7 +19,7 @@
 	transactionIdleMs: effect => effect.kind === 'transactionIdle' ? effect.transactionIdleMs : undefined,
 } as const satisfies Record<keyof CallerPolicy, Reader>;
 
-/** Settings of an endpoint's policy. */
+/** Readers for the settings of an endpoint's policy. */
 export const endpointSettings = {
 	isDraining: effect => effect.kind === 'drain' ? effect.isDraining : undefined,
 	acceptsReads: effect => effect.kind === 'readAcceptance' ? effect.acceptsReads : undefined,
--- a/src/common/configuration/schema.ts
+++ b/src/common/configuration/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The one schema of the configuration: the document that operators read and write, and
- * the operations of a change. Types are inferred from it.
+ * The schema of the configuration: the document that operators read and write, and the
+ * operations of a change. The types are inferred from it.
  */
 import {z} from 'zod';
 import {configurationLimits, defaultEndpoint, defaultRuleOrder} from './constants.js';
@@ -9,7 +9,7 @@
 const nameSchema = z.string()
 	.max(configurationLimits.nameLength)
 	.regex(/^[A-Za-z0-9][\w.\-]*$/v, 'expected letters, digits, dots, hyphens and underscores, beginning with a letter or digit');
-/** Longer than other names: rules are named after what they apply to. */
+/** Rule names may be longer than others, since rules are often named after what they apply to. */
 const ruleNameSchema = z.string()
 	.max(configurationLimits.ruleNameLength)
 	.regex(/^[A-Za-z0-9][\w.\-]*$/v, 'expected letters, digits, dots, hyphens and underscores, beginning with a letter or digit');
@@ -24,7 +24,7 @@
 	.refine(labels => Object.keys(labels).length <= configurationLimits.labelsPerThing, `expected at most ${configurationLimits.labelsPerThing} labels`)
 	.default({});
 
-/** Labels of a thing. */
+/** Labels of an entry: values by key. */
 export type Labels = Readonly<Record<string, string>>;
 
 const valuesSchema = z.array(labelValueSchema).min(1).max(configurationLimits.valuesPerRequirement);
@@ -42,7 +42,7 @@
 
 const requirementsSchema = z.array(requirementSchema).min(1).max(configurationLimits.requirementsPerSelector);
 
-/** A list of requirements, or their one-line text. */
+/** A list of requirements, or the same as one line of text. */
 const labelSelectorSchema = z.preprocess((input, context) => {
 	if (typeof input !== 'string') {
 		return input;
@@ -60,17 +60,17 @@
 export type LabelSelector = readonly LabelRequirement[];
 
 const selectorSchema = z.strictObject({
-	/** Conditions on endpoints; for rules about endpoints. */
+	/** Conditions on endpoints; only for rules about endpoints. */
 	endpoints: labelSelectorSchema.optional(),
-	/** Conditions on callers; for rules about callers. */
+	/** Conditions on callers; only for rules about callers. */
 	callers: labelSelectorSchema.optional(),
-	/** Conditions on the database group. */
+	/** Conditions on the group. */
 	groups: labelSelectorSchema.optional(),
-	/** Zones of the endpoint, or of the caller. */
+	/** Availability zones of the endpoint, or of the caller for rules about callers. */
 	zones: z.array(nameSchema).min(1).max(configurationLimits.valuesPerRequirement).optional(),
 });
 
-/** What a rule applies to; a part that is absent matches everything. */
+/** What a rule applies to; a member that is absent matches everything. */
 export type RuleSelector = z.output<typeof selectorSchema>;
 
 const countSchema = z.int().min(0).max(configurationLimits.count);
@@ -102,7 +102,7 @@
 /** Name of an effect. */
 export type EffectKind = RuleEffect['kind'];
 
-/** Which half of the selector each effect reads besides groups and zones. */
+/** Which member of the selector each effect uses besides `groups` and `zones`. */
 export const effectSubjects: Readonly<Record<EffectKind, 'callers' | 'endpoints'>> = {
 	readRouting: 'callers',
 	callerLimit: 'callers',
@@ -156,13 +156,13 @@
 	labels: labelsSchema,
 });
 
-/** A service as one thing of the configuration. */
+/** A service as an entry of the configuration. */
 export type ServiceEntry = z.output<typeof serviceSchema>;
-/** A database group as one thing of the configuration. */
+/** A group as an entry of the configuration. */
 export type GroupEntry = z.output<typeof groupSchema>;
-/** An endpoint as one thing of the configuration. */
+/** An endpoint as an entry of the configuration. */
 export type EndpointEntry = z.output<typeof endpointSchema>;
-/** A caller as one thing of the configuration. */
+/** A caller as an entry of the configuration. */
 export type CallerEntry = z.output<typeof callerSchema>;
 
 /** The whole configuration as operators read and write it. */
@@ -192,36 +192,36 @@
 	z.strictObject({op: z.literal('remove'), kind: z.enum(['service', 'group', 'endpoint', 'caller', 'rule']), name: removedNameSchema}),
 ]);
 
-/** Writes or removes one thing. */
+/** Writes or removes one entry of the configuration. */
 export type Operation = z.output<typeof operationSchema>;
 
-/** What kind of thing an operation writes. */
+/** The kind of entry that an operation writes or removes. */
 export type EntryKind = Operation['kind'];
 
-/** Operations of one change, in order. */
+/** The operations of one change, in the order in which they are applied. */
 export const operationsSchema = z.array(operationSchema).min(1).max(configurationLimits.operationsPerChange);
 
 /** An accepted change: one item of the log. */
 export const changeSchema = z.strictObject({
 	number: z.int().min(1),
-	/** Given by whoever proposes; the same identity takes effect at most once. */
+	/** Identity that the author chooses for the proposal; proposals with the same one take effect at most once. */
 	changeId: z.string().regex(/^[\w\-]{8,64}$/v, 'expected 8 to 64 letters, digits, hyphens and underscores'),
 	author: z.string().min(1).max(200),
-	/** Number of the last change that the author had seen. */
+	/** Number of the last change that the author had seen when proposing this one. */
 	basedOn: z.int().min(0),
-	/** When it was proposed, for people. */
+	/** When it was proposed; shown to people, never used to order changes. */
 	at: z.iso.datetime(),
 	note: z.string().max(configurationLimits.noteLength).optional(),
 	operations: operationsSchema,
-	/** Operations that take it back. */
+	/** Operations that undo the change. */
 	inverse: operationsSchema,
 	undoOf: z.int().min(1).optional(),
-	/** Warnings that the author acknowledged. */
+	/** Identities of the warnings that the author acknowledged. */
 	acknowledged: z.array(z.string().max(200)).max(1000).default([]),
 });
 
 /** An accepted change: one item of the log. */
 export type Change = z.output<typeof changeSchema>;
 
-/** The whole configuration after a change. */
+/** The whole configuration after the change with a number. */
 export const snapshotSchema = z.strictObject({number: z.int().min(0), document: documentSchema});
--- a/src/common/configuration/testing/fake-nodes.ts
+++ b/src/common/configuration/testing/fake-nodes.ts
@@ -1,5 +1,6 @@
 /**
- * Many nodes' configuration in one process, over a network that loses messages and is cut.
+ * Runs the configuration of many nodes in one process, over a simulated network that can lose
+ * messages and be partitioned.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {MemoryPlatform, type PlatformClient} from '../../../../standins/platform/memory-platform.js';
@@ -13,7 +14,7 @@
 import {ConfigurationSync} from '../configuration-sync.js';
 import {RecordedAudit, silentLog, silentMetrics} from './fixtures.js';
 
-/** One node with the parts that a test looks at. */
+/** One node with the components that a test inspects. */
 export type FakeNode = {
 	readonly host: Host;
 	readonly history: ChangeHistory;
@@ -24,19 +25,19 @@
 
 const networkDelayMs = 1;
 
-/** The nodes and what lies between them. */
+/** The nodes and the simulated network between them. */
 export class FakeNodes {
 	readonly nodes: FakeNode[] = [];
 	readonly platform: MemoryPlatform;
-	/** Messages by kind; a fetch counts with its answer as two. */
+	/** Messages sent, by kind; a fetch counts as two, request and answer. */
 	readonly messages = {announcement: 0, fetch: 0};
-	/** Names of the peers that each node fetched from. */
+	/** Names of the peers that each node has fetched from, by name of the node. */
 	readonly asked = new Map<string, Set<string>>();
-	lossShare = 0;
+	lossRate = 0;
 	private readonly _clock: VirtualClock;
 	private readonly _random: SeededRandom;
 	private readonly _dead = new Set<string>();
-	private _isCut: ((from: Host, to: Host) => boolean) | undefined;
+	private _isPartitioned: ((from: Host, to: Host) => boolean) | undefined;
 
 	constructor(clock: VirtualClock, random: SeededRandom) {
 		this._clock = clock;
@@ -44,7 +45,7 @@
 		this.platform = new MemoryPlatform(clock, random);
 	}
 
-	/** Adds a node; it is not started. Every node's list shows every node, dead ones too. */
+	/** Adds a node without starting it; the host list of every node shows all nodes, including dead ones. */
 	add(name: string, availabilityZone: string): FakeNode {
 		const host: Host = {
 			name, availabilityZone, region: 'r', peerHost: '127.0.0.1', peerPort: 1, operatorPort: 2, isLeaving: false, incarnation: '1',
@@ -71,18 +72,18 @@
 		return node;
 	}
 
-	/** Cuts hosts off from each other. */
-	cut(isCut: (from: Host, to: Host) => boolean): void {
-		this._isCut = isCut;
+	/** Partitions the network: messages between two hosts are lost where the function returns true. */
+	cut(isPartitioned: (from: Host, to: Host) => boolean): void {
+		this._isPartitioned = isPartitioned;
 	}
 
-	/** The node stops answering; nobody is told. */
+	/** Stops a node, which stays in the host lists of the others. */
 	kill(node: FakeNode): void {
 		this._dead.add(node.host.name);
 		node.sync.dispose();
 	}
 
-	/** Nodes that are alive. */
+	/** The nodes that have not been killed. */
 	alive(): readonly FakeNode[] {
 		return this.nodes.filter(({host}) => !this._dead.has(host.name));
 	}
@@ -95,7 +96,7 @@
 
 	private async _announce(from: Host, to: Host, version: number): Promise<void> {
 		this.messages.announcement++;
-		if (await this._travel(from, to)) {
+		if (await this._deliver(from, to)) {
 			this._nodeOf(to)?.sync.onVersionAnnounced(from.name, version);
 		}
 	}
@@ -103,9 +104,9 @@
 	private async _fetch(from: Host, to: Host, afterNumber: number, timeoutMs: number): Promise<Either<Refusal, ChangeBatch>> {
 		this.messages.fetch += 2;
 		this.asked.set(from.name, (this.asked.get(from.name) ?? new Set<string>()).add(to.name));
-		if (await this._travel(from, to)) {
+		if (await this._deliver(from, to)) {
 			const batch = this._nodeOf(to)?.sync.changesAfter(afterNumber);
-			if (batch && await this._travel(to, from)) {
+			if (batch && await this._deliver(to, from)) {
 				return Right(batch);
 			}
 		}
@@ -114,11 +115,11 @@
 		return Left(new Refusal('peerUnavailable'));
 	}
 
-	/** Whether the message arrived. */
-	private async _travel(from: Host, to: Host): Promise<boolean> {
+	/** Simulates the delivery of a message; whether it arrived. */
+	private async _deliver(from: Host, to: Host): Promise<boolean> {
 		await this._wait(networkDelayMs);
-		const isLost = this._random.next() < this.lossShare;
-		return !isLost && !this._dead.has(to.name) && !this._dead.has(from.name) && !this._isCut?.(from, to);
+		const isLost = this._random.next() < this.lossRate;
+		return !isLost && !this._dead.has(to.name) && !this._dead.has(from.name) && !this._isPartitioned?.(from, to);
 	}
 
 	private _nodeOf(host: Host): FakeNode | undefined {
--- a/src/common/configuration/testing/fixtures.ts
+++ b/src/common/configuration/testing/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * A small configuration and the parts around it, for tests.
+ * A small sample configuration, and stubs of the services around it, for tests.
  */
 import {
 	documentSchema, type Change, type ConfigurationDocument, type Operation,
@@ -26,17 +26,17 @@
 	});
 }
 
-/** The model of a document that is known to be right. */
+/** The model of a valid document; throws if it is invalid. */
 export function modelOf(document: ConfigurationDocument): ConfigurationModel {
 	return fromDocument(document).unsafeCoerce();
 }
 
-/** Operations that make the sample out of nothing. */
+/** Operations that create the sample configuration from an empty one. */
 export function sampleOperations(): readonly Operation[] {
 	return diffModels(emptyModel, modelOf(sampleDocument()));
 }
 
-/** JSON of an accepted change that writes one label; numbered changes for history and sync. */
+/** JSON of the accepted change with a number, which writes one label. */
 export function labelChange(number: number): string {
 	const change: Change = {
 		number,
@@ -59,7 +59,7 @@
 /** Discards measurements. */
 export const silentMetrics: Metrics = {count: nothing, gauge: nothing, observe: nothing};
 
-/** Keeps entries for the test. */
+/** Records audit entries for assertions. */
 export class RecordedAudit implements Audit {
 	readonly entries: AuditEntry[] = [];
 
--- a/src/common/configuration/types.ts
+++ b/src/common/configuration/types.ts
@@ -1,12 +1,12 @@
 /**
- * What operators send and get when they change the configuration.
+ * Types of proposals to change the configuration, and of the answers to them.
  */
 import type {Problem} from './problems.js';
 import type {Change, Operation, EntryKind} from './schema.js';
 
-/** A change that somebody wants. */
+/** A proposed change. */
 export type Proposal = {
-	/** The same identity takes effect at most once. */
+	/** Identity of the change; proposals with the same one take effect at most once. */
 	readonly changeId: string;
 	readonly author: string;
 	/** Number of the last change that the author had seen. */
@@ -15,22 +15,23 @@
 	readonly note?: string;
 	/** Identities of the warnings that the author acknowledged. */
 	readonly acknowledged?: readonly string[];
+	/** Number of the change that this one undoes. */
 	readonly undoOf?: number;
 };
 
 /** Why a proposal was not accepted. */
 export type ProposalRefusal
 	= | {readonly kind: 'invalid'; readonly problems: readonly Problem[]}
-	/** Others were faster; their changes, oldest first. Certainly not applied. */
+	/** Other changes were accepted since `basedOn`; they are listed oldest first. The proposal has not been applied. */
 		| {readonly kind: 'conflict'; readonly version: number; readonly changes: readonly Change[]}
-	/** Warnings are left to acknowledge. Certainly not applied. */
+	/** The preview has warnings that the author has not acknowledged. The proposal has not been applied. */
 		| {readonly kind: 'unacknowledged'; readonly preview: Preview}
-	/** The table does not answer. Certainly not applied. */
+	/** The table is unavailable. The proposal has not been applied. */
 		| {readonly kind: 'unavailable'; readonly retryAfterMs: number; readonly detail: string}
-	/** The table's answer was lost: send the same change identity again to find out. */
+	/** The table's answer was lost, so the proposal may have been applied; sending it again with the same `changeId` finds out. */
 		| {readonly kind: 'unknown'; readonly retryAfterMs: number; readonly detail: string};
 
-/** One thing that a change adds, changes or removes. */
+/** An entry that a change adds, changes or removes. */
 export type Difference = {
 	readonly kind: EntryKind;
 	readonly name: string;
@@ -39,9 +40,9 @@
 	readonly after?: unknown;
 };
 
-/** Something an operator has to acknowledge before a change. */
+/** A consequence of a change that its author has to acknowledge before it is accepted. */
 export type Warning = {
-	/** Sent back to acknowledge it. */
+	/** Identity that the author sends back to acknowledge the warning. */
 	readonly id: string;
 	readonly kind: WarningKind;
 	readonly subject: string;
@@ -51,7 +52,7 @@
 /** Kinds of warnings. */
 export type WarningKind = 'noEndpoint' | 'noReader' | 'noPrimaryCandidate' | 'primaryLeaves' | 'overwritesLater';
 
-/** What a change touches. Names are cut at a bound; counts are whole. */
+/** What a change affects; lists of names are truncated, the counts are not. */
 export type Touched = {
 	readonly endpointCount: number;
 	readonly endpoints: readonly string[];
@@ -61,11 +62,11 @@
 	readonly zones: readonly string[];
 	readonly callerCount: number;
 	readonly callers: readonly string[];
-	/** Whether callers that the configuration does not list may be touched too. */
+	/** Whether callers that the configuration does not list may be affected too. */
 	readonly touchesUnlistedCallers: boolean;
 };
 
-/** What a change would do. */
+/** What a change would do to the configuration at `basedOn`. */
 export type Preview = {
 	readonly basedOn: number;
 	readonly operations: readonly Operation[];
@@ -74,5 +75,5 @@
 	readonly warnings: readonly Warning[];
 };
 
-/** What the preview asks of the running system. */
+/** Looks up the current primary of a group; undefined when it is not known. */
 export type PrimaryLookup = (group: string) => string | undefined;
--- a/src/common/configuration/undo.ts
+++ b/src/common/configuration/undo.ts
@@ -1,5 +1,5 @@
 /**
- * Undoing a change: a new change with the inverse operations of an earlier one.
+ * Undoes a change by proposing a new one with the inverse operations of the earlier one.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {ChangeHistory} from './change-history.js';
@@ -15,7 +15,7 @@
 	readonly warnings: readonly Warning[];
 };
 
-/** What an operator says about an undo. */
+/** What an operator sends to undo a change; the operations follow from the change. */
 export type UndoProposal = Omit<Proposal, 'operations' | 'undoOf'>;
 
 function entryLabel(operation: Operation): string {
@@ -23,20 +23,20 @@
 	return `${operation.kind} ${name}`;
 }
 
-/** Later changes of the same things; undoing would take them back too. */
+/** Warnings of later changes to the same entries, which the undo would overwrite. */
 function overwriteWarnings(change: Change, later: readonly Change[]): readonly Warning[] {
-	const things = new Set(change.inverse.map(operation => entryLabel(operation)));
+	const entries = new Set(change.inverse.map(operation => entryLabel(operation)));
 	return later
-		.filter(({operations}) => operations.some(operation => things.has(entryLabel(operation))))
+		.filter(({operations}) => operations.some(operation => entries.has(entryLabel(operation))))
 		.map(({number, author}) => ({
 			id: `overwritesLater:${number}`,
 			kind: 'overwritesLater',
 			subject: `change ${number}`,
-			message: `change ${number} by ${author} wrote the same things later and would be taken back too`,
+			message: `change ${number} by ${author} wrote the same entries later and would be undone too`,
 		}));
 }
 
-/** Plans and proposes undos. */
+/** Previews and proposes the undo of changes. */
 export class Undo {
 	private readonly _changeLog: ConfigurationLog;
 	private readonly _history: ChangeHistory;
@@ -46,7 +46,7 @@
 		this._history = history;
 	}
 
-	/** What undoing a change would do. */
+	/** What undoing a change would do; Left says why it cannot be undone. */
 	async preview(number: number): Promise<Either<ProposalRefusal, Preview>> {
 		const plan = await this._plan(number, number);
 		return plan.chain(({operations, warnings}) => this._changeLog.preview(operations, 'undo')
@@ -54,7 +54,7 @@
 			.mapLeft((problems): ProposalRefusal => ({kind: 'invalid', problems})));
 	}
 
-	/** Undoes a change by a new one. */
+	/** Proposes the undo of a change; returns the new change, or why it was refused. */
 	async propose(number: number, proposal: UndoProposal): Promise<Either<ProposalRefusal, Change>> {
 		const repeated = this._history.keptChangesAfter(proposal.basedOn)?.find(({changeId}) => changeId === proposal.changeId);
 		if (repeated) {
@@ -75,7 +75,7 @@
 		return this._changeLog.propose({...proposal, operations, undoOf: number});
 	}
 
-	/** Plans against the configuration that the author had seen, never against an older one. */
+	/** Plans the undo against a configuration at least as new as the one that the author had seen. */
 	private async _plan(number: number, basedOn: number): Promise<Either<ProposalRefusal, Plan>> {
 		if (Math.max(number, basedOn) > this._history.version) {
 			await this._changeLog.catchUp();
@@ -97,10 +97,10 @@
 
 	private _planOf(change: Change, later: readonly Change[]): Either<ProposalRefusal, Plan> {
 		const {model} = this._history;
-		// What is gone already needs no removal.
+		// An entry that no longer exists need not be removed, and its removal would be refused.
 		const operations = change.inverse.filter(operation => operation.op === 'put' || model[operation.kind].has(operation.name));
 		return operations.length === 0
-			? Left({kind: 'invalid', problems: [{path: '$.number', expected: `expected a change with something left to undo; all that change ${change.number} did is gone already`}]})
+			? Left({kind: 'invalid', problems: [{path: '$.number', expected: `expected a change with something left to undo, but all entries that change ${change.number} added are removed already`}]})
 			: Right({operations, warnings: overwriteWarnings(change, later)});
 	}
 }
--- a/src/common/configuration/validate-model.ts
+++ b/src/common/configuration/validate-model.ts
@@ -1,6 +1,6 @@
 /**
- * Checks that hold over the whole configuration: every referenced thing exists, nothing
- * is there twice, and no label takes a reserved name.
+ * Validates the configuration as a whole: every referenced entry exists, no two endpoints share
+ * an address, and no label has a reserved name.
  */
 import {impliedLabels} from './constants.js';
 import {namedValues} from './label-selector.js';
@@ -50,7 +50,7 @@
 function reservedLabels(kind: string, name: string, labels: Labels, reserved: readonly string[]): readonly Problem[] {
 	return reserved
 		.filter(label => Object.hasOwn(labels, label))
-		.map(label => problem(kind, name, `labels.${label}`, `expected no label "${label}": every such thing has it already`));
+		.map(label => problem(kind, name, `labels.${label}`, `expected no label "${label}": the name is reserved for a label that is set implicitly`));
 }
 
 function checkLabels(model: ConfigurationModel): readonly Problem[] {
@@ -91,7 +91,7 @@
 			part: 'groups', values: namedValues(groups, 'service'), kind: 'service', has: value => model.service.has(value),
 		},
 	];
-	// A zone may have callers and no endpoint, so only rules about endpoints are held to it.
+	// A zone may have callers but no endpoint, so only rules about endpoints must name zones that have endpoints.
 	if (effectSubjects[rule.effect.kind] === 'endpoints') {
 		references.push({
 			part: 'zones', values: ownZones, kind: 'availability zone', has: value => zones.has(value),
@@ -110,7 +110,7 @@
 
 const checks: readonly Check[] = [checkParents, checkAddresses, checkLabels, checkRules];
 
-/** Everything that is wrong with a configuration as a whole; empty when nothing is. */
+/** Lists all problems of a configuration as a whole; empty when it is valid. */
 export function validateModel(model: ConfigurationModel): readonly Problem[] {
 	return checks.flatMap(check => check(model));
 }
