--- a/src/common/settings/constants.ts
+++ b/src/common/settings/constants.ts
@@ -1,8 +1,8 @@
 /**
- * Defaults and bounds of a node's settings, in one table.
+ * Defaults and limits of a node's settings.
  */
 
-/** Value of every setting that may be left out; times in milliseconds, sizes in bytes. */
+/** Default of every optional setting; times are in milliseconds, sizes in bytes. */
 export const settingsDefaults = {
 	node: {region: 'local'},
 	callers: {
@@ -10,13 +10,13 @@
 		maximumConnections: 2000,
 		isTlsRequired: false,
 		maximumMessageBytes: 16 * 1024 * 1024,
-		/** Bytes of requests that all callers together may have under way. */
+		/** Maximum size of the in-flight requests of all callers together. */
 		maximumBufferedBytes: 256 * 1024 * 1024,
-		/** A caller without a token is always answered by the primary. */
+		/** Reads of a caller without a session token always go to the primary. */
 		tokenlessReads: 'primary',
-		/** Time for start-up, TLS and authentication of a caller together. */
+		/** Timeout for start-up, TLS handshake and authentication of a caller together. */
 		startUpTimeoutMs: 10_000,
-		/** Longest time that a caller may leave an answer untaken. */
+		/** Maximum time for which a caller may leave an answer unread. */
 		answerStallMs: 30_000,
 	},
 	peers: {port: 7400},
@@ -36,23 +36,23 @@
 	logs: {level: 'info', format: 'json'},
 	invariants: {isFatal: false},
 	limits: {
-		/** Longest single message that is taken from an endpoint. */
+		/** Maximum size of a single message from an endpoint. */
 		maximumBackendMessageBytes: 64 * 1024 * 1024,
 	},
 	timings: {
-		/** Longest wait for running work on a graceful shutdown. */
+		/** Maximum wait for running work on a graceful shutdown. */
 		drainMs: 20_000,
-		/** Time after the shutdown's announcement in which new callers are still served. */
+		/** Time after a shutdown has been announced for which new callers are still served. */
 		drainNoticeMs: 500,
 	},
 } as const;
 
-/** Bounds of settings. */
+/** Limits on the values of settings. */
 export const settingsBounds = {
 	nameLength: 63,
-	/** Shorter keys of session tokens could be guessed. */
+	/** Minimum length of a key for session tokens; shorter keys could be guessed. */
 	tokenKeyLength: 16,
-	/** Each is tried on every token of another key. */
+	/** Maximum number of previous keys; each is tried on every token that is not signed with the current key. */
 	previousTokenKeys: 4,
 	maximumPort: 65_535,
 	maximumDurationMs: 86_400_000,
--- a/src/common/settings/deployment-plan.ts
+++ b/src/common/settings/deployment-plan.ts
@@ -1,6 +1,6 @@
 /**
- * Expands a deployment into the settings of every process of it and the configuration
- * that is in force at its start.
+ * Expands a deployment into the settings of each of its processes and the configuration that
+ * is proposed at its start.
  */
 import {
 	diffModels, emptyModel, fromDocument,
@@ -10,14 +10,14 @@
 import {endpointsOf, type Deployment} from './deployment-schema.js';
 import type {SettingsInput} from './settings-schema.js';
 
-/** Where the processes of a deployment listen. */
+/** Listen addresses of the processes of a deployment; nodes and endpoints by name. */
 export type ListenAddresses = {
 	readonly platform: {readonly host: string; readonly port: number};
 	readonly nodes: ReadonlyMap<string, NodeAddresses>;
 	readonly endpoints: ReadonlyMap<string, EndpointAddresses>;
 };
 
-/** Where one node listens. */
+/** Listen addresses of one node. */
 export type NodeAddresses = {
 	readonly host: string;
 	readonly callersPort: number;
@@ -25,7 +25,7 @@
 	readonly operatorsPort: number;
 };
 
-/** Where one endpoint stand-in listens; the control port takes orders to fail. */
+/** Listen addresses of one endpoint stand-in; its control port accepts fault commands. */
 export type EndpointAddresses = {
 	readonly host: string;
 	readonly port: number;
@@ -64,30 +64,30 @@
 	readonly platform: PlatformStandInSettings;
 	readonly endpoints: readonly EndpointStandInSettings[];
 	readonly nodes: readonly SettingsInput[];
-	/** The configuration that is proposed first. */
+	/** The configuration that the first change creates. */
 	readonly document: ConfigurationDocument;
 };
 
-/** Options of a plan. */
+/** Options for expanding a deployment. */
 export type PlanOptions = {
-	/** Seed of the stand-ins' randomness. */
+	/** Seed for the random numbers of the stand-ins; 1 if absent. */
 	readonly seed?: number;
-	/** Changes to the settings of every node. */
+	/** Settings that replace those of every node, by section. */
 	readonly node?: Partial<SettingsInput>;
 };
 
-/** Expands a deployment. */
-export function planDeployment(deployment: Deployment, placement: ListenAddresses, options: PlanOptions = {}): DeploymentPlan {
+/** Expands a deployment; throws if a node or an endpoint has no listen address. */
+export function planDeployment(deployment: Deployment, addresses: ListenAddresses, options: PlanOptions = {}): DeploymentPlan {
 	const seed = options.seed ?? 1;
 	return {
-		platform: {...placement.platform, seed},
-		endpoints: planEndpoints(deployment, placement, seed),
-		nodes: deployment.nodes.map(node => ({...planNode(deployment, placement, node), ...options.node})),
-		document: planDocument(deployment, placement),
+		platform: {...addresses.platform, seed},
+		endpoints: planEndpoints(deployment, addresses, seed),
+		nodes: deployment.nodes.map(node => ({...planNode(deployment, addresses, node), ...options.node})),
+		document: planDocument(deployment, addresses),
 	};
 }
 
-/** Operations of the first change of a configuration. */
+/** The operations that create a configuration from an empty one; throws if the document is invalid. */
 export function operationsOf(document: ConfigurationDocument): readonly Operation[] {
 	return fromDocument(document)
 		.map(model => diffModels(emptyModel, model))
@@ -95,8 +95,8 @@
 		.unsafeCoerce();
 }
 
-function planEndpoints(deployment: Deployment, placement: ListenAddresses, seed: number): EndpointStandInSettings[] {
-	const {endpoint: offer} = deployment;
+function planEndpoints(deployment: Deployment, addresses: ListenAddresses, seed: number): EndpointStandInSettings[] {
+	const {endpoint: template} = deployment;
 	const endpoints = endpointsOf(deployment);
 	return endpoints.map((endpoint, index) => {
 		const group = endpoints.filter(other => other.group === endpoint.group);
@@ -104,29 +104,29 @@
 			name: endpoint.name,
 			group: endpoint.group,
 			availabilityZone: endpoint.availabilityZone,
-			...addressOf(placement.endpoints, endpoint.name),
-			slots: offer.slots,
-			connections: offer.connections,
-			connectCostMs: offer.connectMs,
-			serviceTimeMs: offer.serviceMs,
-			lag: offer.lag,
+			...addressOf(addresses.endpoints, endpoint.name),
+			slots: template.slots,
+			connections: template.connections,
+			connectCostMs: template.connectMs,
+			serviceTimeMs: template.serviceMs,
+			lag: template.lag,
 			seed: seed + index,
-			user: offer.user,
-			password: offer.password,
-			initialPrimary: group.find(({isFirst}) => isFirst)?.name ?? endpoint.name,
+			user: template.user,
+			password: template.password,
+			initialPrimary: group.find(({isInitialPrimary}) => isInitialPrimary)?.name ?? endpoint.name,
 			peers: group
 				.filter(({name}) => name !== endpoint.name)
 				.map(({name}) => {
-					const {host, port} = addressOf(placement.endpoints, name);
+					const {host, port} = addressOf(addresses.endpoints, name);
 					return {name, host, port};
 				}),
 		};
 	});
 }
 
-function planNode(deployment: Deployment, placement: ListenAddresses, node: Deployment['nodes'][number]): SettingsInput {
-	const {host, callersPort, peersPort, operatorsPort} = addressOf(placement.nodes, node.name);
-	const {platform} = placement;
+function planNode(deployment: Deployment, addresses: ListenAddresses, node: Deployment['nodes'][number]): SettingsInput {
+	const {host, callersPort, peersPort, operatorsPort} = addressOf(addresses.nodes, node.name);
+	const {platform} = addresses;
 	const platformUrl = `http://${platform.host}:${platform.port}`;
 	return {
 		node: {...node, region: deployment.region},
@@ -148,7 +148,7 @@
 	};
 }
 
-function planDocument(deployment: Deployment, placement: ListenAddresses): ConfigurationDocument {
+function planDocument(deployment: Deployment, addresses: ListenAddresses): ConfigurationDocument {
 	const {slots, connections} = deployment.endpoint;
 	return {
 		services: deployment.services.map(service => ({
@@ -156,7 +156,7 @@
 			groups: service.groups.map(group => ({
 				...group,
 				endpoints: group.endpoints.map(endpoint => {
-					const {host, port} = addressOf(placement.endpoints, endpoint.name);
+					const {host, port} = addressOf(addresses.endpoints, endpoint.name);
 					return {
 						...endpoint, host, port, slots, connections,
 					};
@@ -168,13 +168,13 @@
 	};
 }
 
-function addressOf<Place>(places: ReadonlyMap<string, Place>, name: string): Place {
-	const place = places.get(name);
-	if (!place) {
-		throw new Error(`no place for ${name}`);
+function addressOf<Address>(addresses: ReadonlyMap<string, Address>, name: string): Address {
+	const address = addresses.get(name);
+	if (!address) {
+		throw new Error(`expected a listen address for ${name}, but there is none`);
 	}
 
-	return place;
+	return address;
 }
 
 function describeProblems(problems: readonly Problem[]): string {
--- a/src/common/settings/deployment-schema.ts
+++ b/src/common/settings/deployment-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of a deployment: zones, nodes, groups and endpoints of a whole system, as the
- * demo, the benchmarks and the soak runs start it on one machine.
+ * The schema of a deployment: zones, nodes, groups and endpoints of a whole system, which the
+ * demo, the benchmarks and the soak runs start on one machine.
  */
 import {z} from 'zod';
 import {documentSchema} from '../configuration/schema.js';
@@ -16,37 +16,37 @@
 const groupSchema = z.strictObject({
 	name: nameField,
 	labels: labelsField,
-	/** The first is primary at the first start. */
+	/** The first one is primary when the deployment starts for the first time. */
 	endpoints: z.array(zonedNameSchema.extend({labels: labelsField})).min(1),
 });
 
 const serviceSchema = z.strictObject({name: nameField, labels: labelsField, groups: z.array(groupSchema).min(1)});
 
 const delaysSchema = z.strictObject({
-	/** One way, between two zones. */
+	/** One-way delay between two zones. */
 	betweenZonesMs: durationField,
-	/** One way, between callers and nodes. */
+	/** One-way delay between callers and nodes. */
 	callersMs: durationField,
 });
 
-/** What every endpoint of the deployment is like. */
+/** Properties that all endpoints of the deployment have in common. */
 const endpointSchema = z.strictObject({
 	...credentialsFields,
-	/** Statements that run at one time. */
+	/** Maximum number of statements that run concurrently. */
 	slots: countField,
-	/** Connections that are accepted, control connections included. */
+	/** Maximum number of connections, including control connections. */
 	connections: countField,
-	/** Time that a new connection takes. */
+	/** Time that it takes to open a connection. */
 	connectMs: durationField,
-	/** Time that a statement takes beside its own work. */
+	/** Time that each statement takes in addition to its own work. */
 	serviceMs: durationField,
-	/** Delay of a replica behind the primary. */
+	/** Replication lag: percentiles of the delay of a replica behind the primary. */
 	lag: z.strictObject({p50Ms: durationField, p99Ms: durationField}),
 });
 
 type ZonedName = {readonly name: string; readonly availabilityZone: string};
 
-/** A whole deployment. */
+/** Schema of a deployment; every zone that a node or an endpoint names must be listed in `zones`. */
 export const deploymentSchema = z.strictObject({
 	name: nameField,
 	region: nameField,
@@ -62,12 +62,12 @@
 }).superRefine((deployment, context) => {
 	const groups = deployment.services.flatMap((service, serviceIndex) =>
 		service.groups.map((group, groupIndex) => ({group, path: ['services', serviceIndex, 'groups', groupIndex]})));
-	const places: Array<[readonly ZonedName[], Array<string | number>]> = [
+	const zonedLists: Array<[readonly ZonedName[], Array<string | number>]> = [
 		[deployment.nodes, ['nodes']],
 		...groups.map(({group, path}): [readonly ZonedName[], Array<string | number>] => [group.endpoints, [...path, 'endpoints']]),
 	];
-	for (const [placed, path] of places) {
-		for (const [index, {availabilityZone}] of placed.entries()) {
+	for (const [zonedNames, path] of zonedLists) {
+		for (const [index, {availabilityZone}] of zonedNames.entries()) {
 			if (!deployment.zones.includes(availabilityZone)) {
 				context.addIssue({
 					code: 'custom', path: [...path, index, 'availabilityZone'], message: 'one of the zones of the deployment', input: availabilityZone,
@@ -77,15 +77,15 @@
 	}
 });
 
-/** A whole deployment. */
+/** A deployment, defaults filled in. */
 export type Deployment = z.output<typeof deploymentSchema>;
 
-/** Endpoints of a deployment with the groups they belong to. */
-export function endpointsOf(deployment: Deployment): ReadonlyArray<ZonedName & {readonly group: string; readonly isFirst: boolean}> {
+/** Endpoints of a deployment with their groups; the first endpoint of each group is its initial primary. */
+export function endpointsOf(deployment: Deployment): ReadonlyArray<ZonedName & {readonly group: string; readonly isInitialPrimary: boolean}> {
 	return deployment.services.flatMap(service => service.groups.flatMap(group => group.endpoints.map((endpoint, index) => ({
 		name: endpoint.name,
 		availabilityZone: endpoint.availabilityZone,
 		group: group.name,
-		isFirst: index === 0,
+		isInitialPrimary: index === 0,
 	}))));
 }
--- a/src/common/settings/direct-settings-schema.ts
+++ b/src/common/settings/direct-settings-schema.ts
@@ -1,6 +1,6 @@
 /**
  * The schema of the project's own settings for nodes that reach every endpoint themselves.
- * Where such a node stands, and what it reaches, comes from the platform.
+ * The platform provides such a node's location and the endpoints that it can reach.
  */
 import {z} from 'zod';
 import {catalogDefaults} from '../catalog/constants.js';
@@ -13,10 +13,10 @@
 import {restoreDefaults} from '../store/constants.js';
 import {countField, portField, tuningField} from './fields.js';
 
-/** Log lines that a process may write in a second, besides those of start, stop and lost dependencies. */
+/** Rate limit of a process's log lines per second; lines about start, stop and lost dependencies are exempt. */
 const defaultLinesPerS = 100;
 
-/** Port of the metrics where none is set. */
+/** Default port of the metrics endpoint. */
 const defaultMetricsPort = 9464;
 
 const logsSchema = z.strictObject({
@@ -25,11 +25,11 @@
 }).prefault({});
 
 const metricsSchema = z.strictObject({
-	/** Port on which counters and histograms are served; zero serves none. */
+	/** Port on which counters and histograms are served; zero turns this off. */
 	port: portField.default(defaultMetricsPort),
 }).prefault({});
 
-/** Options of the parts; each part's constants.ts says what they mean. */
+/** Options of the modules; the constants.ts of each module describes them. */
 const tuningSchema = z.strictObject({
 	catalog: tuningField(catalogDefaults),
 	pools: tuningField(poolDefaults),
@@ -41,12 +41,12 @@
 	restores: tuningField(restoreDefaults),
 }).prefault({});
 
-/** Settings of one node of this kind. */
+/** Schema of the settings of a node that reaches every endpoint itself. */
 export const directSettingsSchema = z.strictObject({
 	logs: logsSchema,
 	metrics: metricsSchema,
 	tuning: tuningSchema,
 });
 
-/** Settings of one node of this kind, defaults filled in. */
+/** Settings of a node that reaches every endpoint itself, defaults filled in. */
 export type DirectSettings = z.output<typeof directSettingsSchema>;
--- a/src/common/settings/settings-schema.test.ts
+++ b/src/common/settings/settings-schema.test.ts
@@ -12,13 +12,13 @@
 
 const rows = tableRows(readFileSync('docs/SETTINGS.md', 'utf8'));
 
-/** What an array holds, or the node itself. */
+/** The schema of the items of an array, or the schema itself for anything else. */
 function itemOf(node: z.core.JSONSchema.JSONSchema): z.core.JSONSchema.JSONSchema {
 	const {items} = node;
 	return typeof items === 'object' && !Array.isArray(items) ? items : node;
 }
 
-/** Every single setting, with its default as the page writes it. */
+/** Every setting without members of its own, with its default in the notation of docs/SETTINGS.md. */
 function settingsIn(node: Node, path: string, isRequired: boolean): string[] {
 	if (typeof node === 'boolean') {
 		return [];
--- a/src/common/settings/settings-schema.ts
+++ b/src/common/settings/settings-schema.ts
@@ -1,5 +1,5 @@
 /**
- * The schema of a node's settings. Types are inferred from it; defaults are in constants.ts.
+ * The schema of a node's settings. The types are inferred from it; the defaults are in constants.ts.
  */
 import {z} from 'zod';
 import {groupDefaults} from '../groups/constants.js';
@@ -13,7 +13,7 @@
 } from './fields.js';
 
 const nodeSchema = z.strictObject({
-	/** Unique among all nodes; also names it in logs, metrics and the audit trail. */
+	/** Unique among all nodes; also identifies the node in logs, metrics and the audit trail. */
 	name: nameField,
 	availabilityZone: nameField,
 	region: nameField.default(settingsDefaults.node.region),
@@ -22,7 +22,7 @@
 const callerUserSchema = z.strictObject({
 	...credentialsFields,
 	password: z.string().default(''),
-	/** Labels that the rules of the configuration select callers by. */
+	/** Labels by which the rules of the configuration select callers. */
 	labels: labelsField,
 });
 
@@ -61,16 +61,16 @@
 	port: portField.default(callerDefaults.port),
 	authentication: authenticationSchema,
 	tls: tlsField.optional(),
-	/** Whether callers that do not ask for TLS are refused. */
+	/** Whether callers that do not request TLS are refused. */
 	isTlsRequired: z.boolean().default(callerDefaults.isTlsRequired),
 	maximumConnections: countField.default(callerDefaults.maximumConnections),
 	maximumMessageBytes: sizeBytesField.default(callerDefaults.maximumMessageBytes),
 	maximumBufferedBytes: sizeBytesField.default(callerDefaults.maximumBufferedBytes),
-	/** Key that session tokens are signed with; the same on every node. */
+	/** Key with which session tokens are signed; must be the same on all nodes. */
 	tokenKey: tokenKeyField,
-	/** Keys whose tokens are still taken, while the key is being replaced. */
+	/** Keys whose tokens are still accepted while the key is being replaced. */
 	previousTokenKeys: z.array(tokenKeyField).max(settingsBounds.previousTokenKeys).default([]),
-	/** Where the reads of callers that brought no token go (docs/SESSIONS.md). */
+	/** Routing of reads of callers that sent no session token (docs/SESSIONS.md). */
 	tokenlessReads: z.enum(['primary', 'sessionOnly']).default(callerDefaults.tokenlessReads),
 	startUpTimeoutMs: durationMsField.default(callerDefaults.startUpTimeoutMs),
 	answerStallMs: durationMsField.default(callerDefaults.answerStallMs),
@@ -85,7 +85,7 @@
 const peersSchema = z.strictObject({
 	host: ipField,
 	port: portField.default(settingsDefaults.peers.port),
-	/** Address that other nodes reach this one by, where it differs from `host`. */
+	/** Address at which other nodes reach this one, if it differs from `host`. */
 	advertisedHost: ipField.optional(),
 	tls: tlsField.optional(),
 });
@@ -100,12 +100,12 @@
 const {platform: platformDefaults} = settingsDefaults;
 
 const platformSchema = z.strictObject({
-	/** URL of the table service; the region's own when left out. */
+	/** URL of the table service; that of the region if absent. */
 	tableEndpointUrl: z.url().optional(),
-	/** URL of the object store; the region's own when left out. */
+	/** URL of the object store; that of the region if absent. */
 	objectEndpointUrl: z.url().optional(),
 	region: z.string().min(1).default(platformDefaults.region),
-	/** Left out where the platform hands them to the process. */
+	/** Absent, like `secretAccessKey`, if the platform provides the process with credentials. */
 	accessKeyId: z.string().min(1).optional(),
 	secretAccessKey: z.string().min(1).optional(),
 	tableName: z.string().min(1).default(platformDefaults.tableName),
@@ -123,13 +123,13 @@
 
 const endpointsSchema = z.strictObject({
 	...credentialsFields,
-	/** Time for connecting, start-up and authentication together. */
+	/** Timeout for connecting, start-up and authentication together. */
 	connectTimeoutMs: durationMsField.default(settingsDefaults.endpoints.connectTimeoutMs),
-	/** Time for one control order. */
+	/** Timeout for one control command. */
 	controlTimeoutMs: durationMsField.default(settingsDefaults.endpoints.controlTimeoutMs),
 });
 
-/** `commit` loses acknowledged writes in a failover; it exists to measure what safety costs. */
+/** With `commit` a failover loses acknowledged writes; the value exists only to measure what waiting for the confirmation costs. */
 const homesSchema = z.strictObject({
 	acknowledgement: z.enum(['confirmed', 'commit']).default(settingsDefaults.homes.acknowledgement),
 }).prefault({});
@@ -140,7 +140,7 @@
 }).prefault({});
 
 const invariantsSchema = z.strictObject({
-	/** Whether a broken invariant ends what ran into it; for tests and soak runs. */
+	/** Whether a violated invariant throws where it is checked; for tests and soak runs. */
 	isFatal: z.boolean().default(settingsDefaults.invariants.isFatal),
 }).prefault({});
 
@@ -153,7 +153,7 @@
 	drainNoticeMs: durationMsField.default(settingsDefaults.timings.drainNoticeMs),
 }).prefault({});
 
-/** Options of the parts; each part's constants.ts says what they mean. */
+/** Options of the modules; the constants.ts of each module describes them. */
 const tuningSchema = z.strictObject({
 	homes: tuningField(defaultHomeOptions),
 	groups: tuningField(groupDefaults),
@@ -161,7 +161,7 @@
 	membership: tuningField(membershipDefaults),
 }).prefault({});
 
-/** Settings of one node. */
+/** Schema of the settings of one node. */
 export const settingsSchema = z.strictObject({
 	node: nodeSchema,
 	callers: callersSchema,
@@ -180,5 +180,5 @@
 /** Settings of one node, defaults filled in. */
 export type Settings = z.output<typeof settingsSchema>;
 
-/** Settings of one node as they are written. */
+/** Settings of one node as they are written, optional ones absent. */
 export type SettingsInput = z.input<typeof settingsSchema>;
