--- a/src/node/settings/deployments.test.ts
+++ b/src/node/settings/deployments.test.ts
@@ -14,7 +14,7 @@
 	return loaded.unsafeCoerce();
 }
 
-function place(deployment: Deployment): ListenAddresses {
+function listenAddresses(deployment: Deployment): ListenAddresses {
 	const host = '127.0.0.1';
 	return {
 		platform: {host, port: 9000},
@@ -36,7 +36,7 @@
 
 describe('deployments', () => {
 	for (const [name, size] of sizes) {
-		it(`${name} has the stated size, and its plan fits every process`, async () => {
+		it(`${name} has the expected size, and its plan matches the settings schema of every process`, async () => {
 			const deployment = await load(name);
 			const {slots, connections} = deployment.endpoint;
 			expect<Record<string, number>>({
@@ -47,7 +47,7 @@
 				slots,
 				connections,
 			}).toEqual(size);
-			const plan = planDeployment(deployment, place(deployment));
+			const plan = planDeployment(deployment, listenAddresses(deployment));
 			for (const node of plan.nodes) {
 				settingsSchema.parse(node);
 			}
@@ -61,7 +61,7 @@
 			expect(operationsOf(plan.document).filter(({kind}) => kind === 'endpoint').length).toEqual(9);
 		});
 
-		it(`${name} keeps the instances of a group in different zones`, async () => {
+		it(`${name} places the instances of each group in different zones`, async () => {
 			const deployment = await load(name);
 			for (const {endpoints} of deployment.services.flatMap(({groups}) => groups)) {
 				expect(new Set(endpoints.map(({availabilityZone}) => availabilityZone)).size).toEqual(3);
--- a/src/node/settings/describe-issue.ts
+++ b/src/node/settings/describe-issue.ts
@@ -1,12 +1,13 @@
 /**
- * Says what the schema expected where a value did not fit.
+ * Describes the issues of a schema: what was expected and what was found. Values of secrets are
+ * never shown.
  */
 import {z} from 'zod';
 import type {PathStep} from './types.js';
 
 type Issue = z.core.$ZodIssue;
 
-/** Describers by code; each looks at the code again, as that narrows the type. */
+/** Describers by code of the issue; each compares the code again, since only this narrows the type. */
 const describers = new Map<string, (issue: Issue) => string | undefined>([
 	['invalid_type', issue => issue.code === 'invalid_type' ? typeName(issue.expected) : undefined],
 	['invalid_value', issue => issue.code === 'invalid_value' ? `one of ${listOf(issue.values)}` : undefined],
@@ -14,18 +15,18 @@
 	['too_big', issue => issue.code === 'too_big' ? `at most ${issue.maximum}${unitOf(issue.origin)}` : undefined],
 ]);
 
-/** Longest value that is shown in full. */
+/** Maximum number of characters of a value that are shown. */
 const maximumShownChars = 60;
 
-/** Properties whose values are not shown. */
+/** Names of properties whose values are secret. */
 const secretPattern = /password|key|secret|credential/iv;
 
-/** What was expected where the issue is. */
+/** Describes what the schema expected at the path of an issue. */
 export function describeExpected(issue: Issue): string {
 	return describers.get(issue.code)?.(issue) ?? issue.message.replace(/^Invalid (?:input: expected|discriminator value\. Expected) /v, '');
 }
 
-/** What stands there, without secrets. */
+/** Describes a value that was found at a path, without showing secrets. */
 export function describeFound(value: unknown, path: readonly PathStep[]): string {
 	if (value === undefined) {
 		return 'nothing';
@@ -35,7 +36,7 @@
 		return Array.isArray(value) ? `a list of ${value.length}` : 'an object';
 	}
 
-	// An element of a list is as secret as the list's name says.
+	// The name of the closest property decides, so elements of a list are as secret as the list.
 	if (secretPattern.test(String(path.findLast(step => typeof step === 'string')))) {
 		return `a ${typeof value} that is not shown`;
 	}
@@ -44,7 +45,7 @@
 	return text.length > maximumShownChars ? `${text.slice(0, maximumShownChars)}…` : text;
 }
 
-/** Names of the properties that an object of the schema may have at a path. */
+/** Names of the properties that the schema allows at a path; empty if it has no object there. */
 export function knownProperties(schema: z.core.$ZodType, path: readonly PropertyKey[]): string[] {
 	const [step, ...rest] = path;
 	const current = unwrap(schema);
@@ -64,7 +65,7 @@
 	return schema instanceof z.ZodArray ? schema.element : undefined;
 }
 
-/** Narrows without the any that `instanceof` gives to a generic class. */
+/** Narrows to a type without `any`, which plain `instanceof` yields for a generic class. */
 function isObject(schema: z.core.$ZodType): schema is z.ZodObject<Record<string, z.core.$ZodType>> {
 	return schema instanceof z.ZodObject;
 }
--- a/src/node/settings/environment.ts
+++ b/src/node/settings/environment.ts
@@ -1,10 +1,10 @@
 /**
- * Substitution of `{"fromEnvironment": "NAME"}` by the value of an environment variable, so
- * that secrets need not stand in files.
+ * Replaces `{"fromEnvironment": "NAME"}` by the value of an environment variable, so that secrets
+ * need not be written to files.
  */
 import type {Environment, PathStep} from './types.js';
 
-/** A variable that is asked for and is not set. */
+/** A variable that is referenced but not set. */
 export type MissingVariable = {
 	readonly path: readonly PathStep[];
 	readonly name: string;
@@ -12,7 +12,7 @@
 
 const referenceKey = 'fromEnvironment';
 
-/** Puts values of variables in the place of references; collects those that are not set. */
+/** Replaces references by the values of the variables; returns the new value and the variables that are not set. */
 export function substituteVariables(value: unknown, environment: Environment): {value: unknown; missing: MissingVariable[]} {
 	const missing: MissingVariable[] = [];
 	const visit = (part: unknown, path: readonly PathStep[]): unknown => {
--- a/src/node/settings/json-document.ts
+++ b/src/node/settings/json-document.ts
@@ -1,5 +1,5 @@
 /**
- * JSON with comments whose values remember where they stand.
+ * JSON with comments that keeps the position of each value in the text, for error messages.
  */
 import {
 	findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode, type Node, type ParseError,
@@ -7,11 +7,11 @@
 import {formatPath, lineAndColumnOf} from './text-positions.js';
 import type {PathStep, SettingsProblem} from './types.js';
 
-/** A parsed document. */
+/** A parsed document with its problems. */
 export class JsonDocument {
-	/** The value as written; undefined when nothing could be read. */
+	/** The parsed value; undefined when the text has none. */
 	readonly value: unknown;
-	/** Syntax errors and properties that are written twice. */
+	/** Syntax errors and duplicate properties. */
 	readonly problems: readonly SettingsProblem[];
 	private readonly _text: string;
 	private readonly _root: Node | undefined;
@@ -27,7 +27,7 @@
 		];
 	}
 
-	/** A problem with the value at a path, or with its closest container that exists. */
+	/** A problem at a path; its position is that of the value, or of the closest enclosing value that exists. */
 	problemAt(path: readonly PathStep[], found: string, expected: string): SettingsProblem {
 		return {
 			...lineAndColumnOf(this._text, this._offsetOf(path)), path: formatPath(path), found, expected,
@@ -51,7 +51,7 @@
 		return this._root?.offset ?? 0;
 	}
 
-	/** Where a property starts with its name, so that the name is what people are led to. */
+	/** Offset of a value, or of the name if it belongs to a property, so that messages point to the name. */
 	private _startOf(node: Node): number {
 		return node.parent?.type === 'property' ? node.parent.offset : node.offset;
 	}
--- a/src/node/settings/schema-mode.ts
+++ b/src/node/settings/schema-mode.ts
@@ -1,7 +1,7 @@
 /**
- * Makes schemas check values without compiling code for it. It is imported before any schema
- * is made. Settings are read once a start, and compiling for that took 20 ms of processor time
- * at each (profiles of `--check`).
+ * Makes schemas check values without compiling code for it; must be imported before any schema
+ * is created. Settings are read once per start, so compiling is not worth its cost of
+ * 20 ms of processor time at each start.
  */
 import {z} from 'zod';
 
--- a/src/node/settings/settings-file.test.ts
+++ b/src/node/settings/settings-file.test.ts
@@ -32,7 +32,7 @@
 		expect(settings.tuning.groups).toEqual({});
 	});
 
-	it('reports everything at once, with places', () => {
+	it('reports all problems at once, each with line and column', () => {
 		const text = [
 			'{',
 			'\t"node": {"name": "n 1", "availabilityZone": 3, "colour": "red"},',
@@ -63,7 +63,7 @@
 		]);
 	});
 
-	it('names the properties that it knows', () => {
+	it('lists the known properties when it finds an unknown one', () => {
 		const message = messageWith({node: {...complete.node, zone: 'a'}});
 		expect(message).toEqual('n.jsonc:5:3: node.zone: found an unknown property, expected one of name, availabilityZone, region');
 	});
@@ -79,12 +79,12 @@
 		});
 	}
 
-	it('reports that TLS is required and not set up', () => {
+	it('reports that TLS is required but has no certificate and key', () => {
 		const message = messageWith({callers: {...complete.callers, isTlsRequired: true}});
 		expect(message.endsWith('callers.tls: found nothing, expected a certificate and key, as isTlsRequired is set')).toEqual(true);
 	});
 
-	it('shows no key of a list of keys', () => {
+	it('does not show secrets in a list', () => {
 		const message = messageWith({callers: {...complete.callers, previousTokenKeys: ['too short']}});
 		expect(message.endsWith('previousTokenKeys[0]: found a string that is not shown, expected at least 16 characters')).toEqual(true);
 	});
@@ -93,7 +93,7 @@
 		['syntax errors', '{"node": }', 'n.jsonc:1:10: found "}", expected JSON with comments (ValueExpected)'],
 		['an empty file', '', 'n.jsonc:1:1: found the end of the file, expected JSON with comments (ValueExpected)'],
 		['a property written twice', '{"a": {"b": 1,\n "b": 2}}', 'n.jsonc:2:2: a.b: found the property a second time, expected it once'],
-		['another kind of document', '[]', 'n.jsonc:1:1: found a list of 0, expected object'],
+		['a document that is not an object', '[]', 'n.jsonc:1:1: found a list of 0, expected object'],
 	];
 	for (const [name, text, message] of broken) {
 		it(`reports ${name}`, () => {
--- a/src/node/settings/settings-file.ts
+++ b/src/node/settings/settings-file.ts
@@ -1,6 +1,6 @@
 /**
- * Reads files in JSON with comments against a schema and reports everything that is wrong
- * with them at once, each with its place.
+ * Reads files in JSON with comments, checks them by a schema and reports all problems at once,
+ * each with line and column.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -12,7 +12,7 @@
 import {JsonDocument} from './json-document.js';
 import type {Environment, PathStep, SettingsProblem} from './types.js';
 
-/** Settings that can't be used; the message has one line for each problem. */
+/** Error for a file with problems; its message has one line for each problem. */
 export class SettingsError extends Error {
 	override readonly name = 'SettingsError';
 	readonly problems: readonly SettingsProblem[];
@@ -23,12 +23,12 @@
 	}
 }
 
-/** Reads a node's settings. */
+/** Reads the settings file of a node; Left lists all problems. */
 export async function loadSettings(file: string, environment: Environment = process.env): Promise<Either<SettingsError, Settings>> {
 	return loadFile(file, settingsSchema, environment);
 }
 
-/** Reads a file of any schema. */
+/** Reads a file and checks it by a schema; Left lists all problems, or says why the file cannot be read. */
 export async function loadFile<Schema extends z.ZodType>(
 	file: string,
 	schema: Schema,
@@ -44,7 +44,7 @@
 	}
 }
 
-/** Reads text of any schema; `file` names it in messages. */
+/** Parses text and checks it by a schema; `file` is its name in messages. */
 export function parseSettings<Schema extends z.ZodType>(
 	text: string,
 	file: string,
@@ -71,7 +71,7 @@
 	return Left(new SettingsError(file, sortByPosition([...missingProblems, ...issueProblems])));
 }
 
-/** One line: file, line and column, path, what was found and what was expected. */
+/** Formats a problem as one line: file, line and column, path, what was found and what was expected. */
 export function formatProblem(file: string, problem: SettingsProblem): string {
 	const {line, column, path, found, expected} = problem;
 	return `${file}:${line}:${column}: ${path === '' ? '' : `${path}: `}found ${found}, expected ${expected}`;
--- a/src/node/settings/types.ts
+++ b/src/node/settings/types.ts
@@ -2,20 +2,20 @@
  * Types of the settings loader.
  */
 
-/** One thing that is wrong with a file. */
+/** One problem of a file. */
 export type SettingsProblem = {
 	/** Counted from one. */
 	readonly line: number;
 	/** Counted from one. */
 	readonly column: number;
-	/** Place within the document, such as `callers.users[0].user`; empty for the whole. */
+	/** Path within the document, such as `callers.users[0].user`; empty for the whole document. */
 	readonly path: string;
 	readonly found: string;
 	readonly expected: string;
 };
 
-/** A step of a path: a property's name or an index. */
+/** A step of a path: the name of a property or an index. */
 export type PathStep = string | number;
 
-/** Reads an environment variable. */
+/** Values of the environment variables by name. */
 export type Environment = Readonly<Record<string, string | undefined>>;
