--- a/src/common/configuration/change-puller.ts
+++ b/src/common/configuration/change-puller.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches changes from peers.
+ * Fetches configuration changes from peers. At most one announced version is being pulled at a time.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {randomPeer} from '../membership/fan-out.js';
@@ -9,7 +9,7 @@
 import type {ChangeHistory} from './change-history.js';
 import type {syncDefaults} from './constants.js';
 
-/** What fetching needs from the rest of the node. */
+/** What the puller needs from the rest of the node. */
 export type ChangePullerServices = {
 	readonly history: ChangeHistory;
 	readonly membership: Pick<Membership, 'self' | 'hosts'>;
@@ -18,12 +18,11 @@
 	readonly metrics: Metrics;
 };
 
-/** Brings this node up to what peers know. */
+/** Fetches and applies the changes that peers have and this node lacks. */
 export class ChangePuller implements Disposable {
 	private readonly _services: ChangePullerServices;
 	private readonly _options: typeof syncDefaults;
-	/** Highest number that a peer announced. */
-	private _announced = 0;
+	private _announcedVersion = 0;
 	private _isPulling = false;
 	private _nextSource: Host | undefined;
 	private _isDisposed = false;
@@ -33,14 +32,14 @@
 		this._options = options;
 	}
 
-	/** Highest number that a peer announced. */
+	/** Highest version that a peer has announced; zero before the first. */
 	get announcedVersion(): number {
-		return this._announced;
+		return this._announcedVersion;
 	}
 
-	/** Pulls an announced number from its announcer, and insists with others while it is missing. */
+	/** Pulls an announced version from the peer that announced it, and retries with random peers while it is missing. */
 	async pull(source: Host, version: number): Promise<void> {
-		this._announced = Math.max(this._announced, version);
+		this._announcedVersion = Math.max(this._announcedVersion, version);
 		this._nextSource = source;
 		if (this._isPulling) {
 			return;
@@ -58,7 +57,7 @@
 		this._isPulling = false;
 	}
 
-	/** Takes everything that a peer knows; the number that it has, undefined when it did not answer. */
+	/** Fetches every change that a peer has, batch by batch; returns the peer's version, or undefined when it did not answer. */
 	async fetchFrom(host: Host): Promise<number | undefined> {
 		const {history, peers, metrics} = this._services;
 		for (;;) {
@@ -70,14 +69,14 @@
 				return undefined;
 			}
 
-			this._takeIn(batch);
+			this._apply(batch);
 			if (history.version >= batch.version || history.version === before) {
 				return batch.version;
 			}
 		}
 	}
 
-	/** A random peer of the own zone, or of any. */
+	/** A random peer of the own zone, or of any zone if asked for or if the own zone has no other node. */
 	randomPeer(isAnyZone: boolean): Host | undefined {
 		const {membership, random} = this._services;
 		const {self} = membership;
@@ -92,10 +91,10 @@
 	}
 
 	private _isBehind(): boolean {
-		return !this._isDisposed && this._announced > this._services.history.version;
+		return !this._isDisposed && this._announcedVersion > this._services.history.version;
 	}
 
-	private _takeIn(batch: ChangeBatch): void {
+	private _apply(batch: ChangeBatch): void {
 		const {history} = this._services;
 		if (batch.snapshot !== undefined) {
 			history.applySnapshot(batch.snapshot);
--- a/src/common/configuration/preview.ts
+++ b/src/common/configuration/preview.ts
@@ -1,6 +1,6 @@
 /**
- * What a change would do, before it is confirmed: differences, what it touches, and what
- * has to be acknowledged.
+ * Previews a change before it is confirmed: the differences, what they affect, and the warnings
+ * that the author has to acknowledge.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {EndpointPolicy} from '../services/services.js';
@@ -22,17 +22,17 @@
 import {checkInstanceChanges} from './instance-changes.js';
 import {validateModel} from './validate-model.js';
 
-/** Names listed at most; the counts are whole. */
+/** Maximum number of names in a list; the counts include those left out. */
 const maximumNames = 50;
 
-/** A model with its endpoints by group and their policies. */
-type Side = {
+/** A model with the policies of its endpoints and its endpoints by group. */
+type ResolvedModel = {
 	readonly model: ConfigurationModel;
 	readonly policies: ReadonlyMap<string, EndpointPolicy>;
 	readonly members: ReadonlyMap<string, readonly EndpointEntry[]>;
 };
 
-function sideOf(model: ConfigurationModel): Side {
+function resolveModel(model: ConfigurationModel): ResolvedModel {
 	return {
 		model,
 		policies: resolveEndpointPolicies(model, compileRules(model)),
@@ -63,8 +63,8 @@
 	return JSON.stringify(policy ?? defaultEndpointPolicy);
 }
 
-/** Endpoints whose definition or policy changes. */
-function touchedEndpoints(before: Side, after: Side, differences: readonly Difference[]): readonly EndpointEntry[] {
+/** The endpoints whose definition or resolved policy changes. */
+function touchedEndpoints(before: ResolvedModel, after: ResolvedModel, differences: readonly Difference[]): readonly EndpointEntry[] {
 	const changed = new Set(differences.filter(({kind}) => kind === 'endpoint').map(({name}) => name));
 	const all = new Map([...before.model.endpoint, ...after.model.endpoint]);
 	return [...all.values()].filter(({name}) => changed.has(name) || policyText(before.policies.get(name)) !== policyText(after.policies.get(name)));
@@ -82,13 +82,13 @@
 	const labels = callerLabels(model, {
 		user, applicationName: '', availabilityZone: '', labels: {},
 	});
-	// Zone and application differ from connection to connection, so they exclude nobody here.
+	// Zone and application may differ for each connection of a user, so conditions on them exclude no user here.
 	const {callers = []} = rule.selector;
 	const requirements = callers.filter(({label}) => label !== 'zone' && label !== 'application');
 	return matchesLabels(requirements, labels);
 }
 
-/** No user name has this; it stands for callers that the configuration does not list. */
+/** Stands for the callers that the configuration does not list; no listed user has an empty name. */
 const unlistedUser = '';
 
 function touchedCallers(before: ConfigurationModel, after: ConfigurationModel, differences: readonly Difference[]) {
@@ -103,27 +103,27 @@
 	return {names: [...names], touchesUnlisted: rules.some(rule => selectsUser(after, rule, unlistedUser) || namesUser(rule))};
 }
 
-/** A rule may name a user that has no entry. */
+/** Whether a rule has a condition on the user, who may be one that the configuration does not list. */
 function namesUser(rule: Rule): boolean {
 	return rule.selector.callers?.some(({label, operator}) => label === 'user' && operator !== 'notExists') ?? false;
 }
 
-function shorten(names: Iterable<string>): {readonly count: number; readonly names: readonly string[]} {
+function countAndTruncate(names: Iterable<string>): {readonly count: number; readonly names: readonly string[]} {
 	const sorted = [...new Set(names)].toSorted();
 	return {count: sorted.length, names: sorted.slice(0, maximumNames)};
 }
 
-function touchedBy(before: Side, after: Side, differences: readonly Difference[]): Touched {
+function touchedBy(before: ResolvedModel, after: ResolvedModel, differences: readonly Difference[]): Touched {
 	const endpoints = touchedEndpoints(before, after, differences);
 	const callers = touchedCallers(before.model, after.model, differences);
 	const groupNames = [
 		...endpoints.map(({group}) => group),
 		...differences.filter(({kind}) => kind === 'group').map(({name}) => name),
 	];
-	const endpointNames = shorten(endpoints.map(({name}) => name));
-	const groups = shorten(groupNames);
-	const zones = shorten(endpoints.map(({availabilityZone}) => availabilityZone));
-	const callerNames = shorten(callers.names);
+	const endpointNames = countAndTruncate(endpoints.map(({name}) => name));
+	const groups = countAndTruncate(groupNames);
+	const zones = countAndTruncate(endpoints.map(({availabilityZone}) => availabilityZone));
+	const callerNames = countAndTruncate(callers.names);
 	return {
 		endpointCount: endpointNames.count,
 		endpoints: endpointNames.names,
@@ -137,37 +137,37 @@
 	};
 }
 
-type Condition = {
+type LossCondition = {
 	readonly kind: WarningKind;
 	readonly message: string;
-	/** Whether the group has what it would be warned of losing. */
-	has(side: Side, group: string): boolean;
+	/** Whether the group has the capability whose loss is warned of. */
+	has(resolved: ResolvedModel, group: string): boolean;
 };
 
-function members(side: Side, group: string): readonly EndpointEntry[] {
-	return side.members.get(group) ?? [];
+function members(resolved: ResolvedModel, group: string): readonly EndpointEntry[] {
+	return resolved.members.get(group) ?? [];
 }
 
-function policyOf(side: Side, endpoint: EndpointEntry): EndpointPolicy {
-	return side.policies.get(endpoint.name) ?? defaultEndpointPolicy;
+function policyOf(resolved: ResolvedModel, endpoint: EndpointEntry): EndpointPolicy {
+	return resolved.policies.get(endpoint.name) ?? defaultEndpointPolicy;
 }
 
-/** What a group may lose, gravest first; a group is warned of the gravest only. */
-const conditions: readonly Condition[] = [
+/** What a group may lose, in order of severity; only the most severe loss of a group gives a warning. */
+const conditions: readonly LossCondition[] = [
 	{
 		kind: 'noEndpoint',
 		message: 'would have no endpoint left: nothing can be served',
-		has: (side, group) => members(side, group).length > 0,
+		has: (resolved, group) => members(resolved, group).length > 0,
 	},
 	{
 		kind: 'noPrimaryCandidate',
 		message: 'would have only draining endpoints left: no write can be served',
-		has: (side, group) => members(side, group).some(endpoint => !policyOf(side, endpoint).isDraining),
+		has: (resolved, group) => members(resolved, group).some(endpoint => !policyOf(resolved, endpoint).isDraining),
 	},
 	{
 		kind: 'noReader',
 		message: 'would have no endpoint left that accepts reads',
-		has: (side, group) => members(side, group).some(endpoint => !policyOf(side, endpoint).isDraining && policyOf(side, endpoint).acceptsReads),
+		has: (resolved, group) => members(resolved, group).some(endpoint => !policyOf(resolved, endpoint).isDraining && policyOf(resolved, endpoint).acceptsReads),
 	},
 ];
 
@@ -177,13 +177,13 @@
 	};
 }
 
-function lossOf(before: Side, after: Side, group: string): Warning | undefined {
+function lossWarning(before: ResolvedModel, after: ResolvedModel, group: string): Warning | undefined {
 	const lost = conditions.find(({has}) => has(before, group) && !has(after, group));
 	return lost && warning(lost.kind, group, `${group} ${lost.message}`);
 }
 
-/** The primary would leave: writes of the group stop for the time of a promotion. */
-function primaryLoss(before: Side, after: Side, group: string, currentPrimary: PrimaryLookup): Warning | undefined {
+/** The warning that a change removes or drains the current primary, so that writes of the group wait for a promotion. */
+function primaryLossWarning(before: ResolvedModel, after: ResolvedModel, group: string, currentPrimary: PrimaryLookup): Warning | undefined {
 	const name = currentPrimary(group);
 	const endpoint = name === undefined ? undefined : before.model.endpoint.get(name);
 	if (endpoint === undefined || policyOf(before, endpoint).isDraining) {
@@ -197,10 +197,10 @@
 		: warning('primaryLeaves', group, `${group} would lose its current primary ${endpoint.name}: its writes wait until another is promoted`);
 }
 
-function warningsOf(before: Side, after: Side, currentPrimary: PrimaryLookup): readonly Warning[] {
+function warningsOf(before: ResolvedModel, after: ResolvedModel, currentPrimary: PrimaryLookup): readonly Warning[] {
 	const warnings: Warning[] = [];
 	for (const group of before.model.group.keys()) {
-		const found = lossOf(before, after, group) ?? primaryLoss(before, after, group, currentPrimary);
+		const found = lossWarning(before, after, group) ?? primaryLossWarning(before, after, group, currentPrimary);
 		if (found) {
 			warnings.push(found);
 		}
@@ -209,7 +209,7 @@
 	return warnings;
 }
 
-/** Whether the operations lead to a configuration that holds together, and what they do. */
+/** Previews operations against a model; Left lists the problems if the resulting configuration is invalid or unchanged. */
 export function previewChange(
 	version: number,
 	model: ConfigurationModel,
@@ -222,14 +222,14 @@
 			return Left(problems);
 		}
 
-		// The difference between the models is what counts, not the way there.
+		// The differences come from the two models, not from the operations, since these may cancel each other out or change nothing.
 		const effective = diffModels(model, applied.model);
 		if (effective.length === 0) {
-			return Left([{path: '$.operations', expected: 'expected a change, but everything is so already'}]);
+			return Left([{path: '$.operations', expected: 'expected a change, but the configuration already has these values'}]);
 		}
 
-		const before = sideOf(model);
-		const after = sideOf(applied.model);
+		const before = resolveModel(model);
+		const after = resolveModel(applied.model);
 		const differences = effective.map(operation => differenceOf(operation, model));
 		return Right({
 			basedOn: version,
--- a/src/node/settings/environment.ts
+++ b/src/node/settings/environment.ts
@@ -1,18 +1,18 @@
 /**
- * Substitution of `{"fromEnvironment": "NAME"}` by the value of an environment variable, so
- * that secrets need not stand in files.
+ * Replaces `{"fromEnvironment": "NAME"}` by the value of an environment variable, so that secrets
+ * need not be written to files.
  */
 import type {Environment, PathStep} from './types.js';
 
-/** A variable that is asked for and is not set. */
+/** A variable that is referenced but not set. */
 export type MissingVariable = {
 	readonly path: readonly PathStep[];
 	readonly name: string;
 };
 
-const reference = 'fromEnvironment';
+const referenceKey = 'fromEnvironment';
 
-/** Puts values of variables in the place of references; collects those that are not set. */
+/** Replaces references by the values of the variables; returns the new value and the variables that are not set. */
 export function substituteVariables(value: unknown, environment: Environment): {value: unknown; missing: MissingVariable[]} {
 	const missing: MissingVariable[] = [];
 	const visit = (part: unknown, path: readonly PathStep[]): unknown => {
@@ -25,7 +25,7 @@
 		}
 
 		const entries = Object.entries(part);
-		const name = referredName(entries);
+		const name = referencedVariable(entries);
 		if (name === undefined) {
 			return Object.fromEntries(entries.map(([key, inner]) => [key, visit(inner, [...path, key])]));
 		}
@@ -40,7 +40,7 @@
 	return {value: visit(value, []), missing};
 }
 
-function referredName(entries: ReadonlyArray<[string, unknown]>): string | undefined {
+function referencedVariable(entries: ReadonlyArray<[string, unknown]>): string | undefined {
 	const [key, name] = entries[0] ?? [];
-	return entries.length === 1 && key === reference && typeof name === 'string' ? name : undefined;
+	return entries.length === 1 && key === referenceKey && typeof name === 'string' ? name : undefined;
 }
