--- a/soak/processes/process-faults.ts
+++ b/soak/processes/process-faults.ts
@@ -105,7 +105,7 @@
 	},
 	/** Replicas only: writes that none had confirmed are lost with a primary's memory, as docs/PROOFS.md says. */
 	async restartReplica(system, dice) {
-		const whole = system.group.instances.filter(({isUp, isIsolated: isCutOff, isReplicationBlocked: isDeaf}) => isUp && !isCutOff && !isDeaf);
+		const whole = system.group.instances.filter(({isUp, isIsolated, isReplicationBlocked}) => isUp && !isIsolated && !isReplicationBlocked);
 		if (whole.length === system.group.instances.length) {
 			system.restartEmpty(dice.pick(whole.filter(({isPrimary}) => !isPrimary)).id);
 		}
--- a/standins/endpoint/attachment.ts
+++ b/standins/endpoint/attachment.ts
@@ -15,7 +15,7 @@
 	/** A home is no longer attached: its work connections must be closed. */
 	readonly onRevoked: Event<string>;
 	private _holder = '';
-	private _binding: unknown;
+	private _controlConnection: unknown;
 	private readonly _onRevoked = new Emitter<string>();
 
 	constructor() {
@@ -28,14 +28,14 @@
 	}
 
 	/** Binds a home to a control connection. The same home may move to a new one. */
-	attach(homeId: string, isForced: boolean, binding: unknown): AttachAnswer {
+	attach(homeId: string, isForced: boolean, controlConnection: unknown): AttachAnswer {
 		if (homeId === '' || (this._holder !== '' && this._holder !== homeId && !isForced)) {
 			return {isAccepted: false, holder: this._holder};
 		}
 
 		const former = this._holder;
 		this._holder = homeId;
-		this._binding = binding;
+		this._controlConnection = controlConnection;
 		if (former !== '' && former !== homeId) {
 			this._onRevoked.fire(former);
 		}
@@ -54,8 +54,8 @@
 	}
 
 	/** A control connection ended. */
-	unbind(binding: unknown): void {
-		if (this._holder !== '' && this._binding === binding) {
+	unbind(controlConnection: unknown): void {
+		if (this._holder !== '' && this._controlConnection === controlConnection) {
 			this._release();
 		}
 	}
@@ -63,7 +63,7 @@
 	private _release(): void {
 		const former = this._holder;
 		this._holder = '';
-		this._binding = undefined;
+		this._controlConnection = undefined;
 		this._onRevoked.fire(former);
 	}
 }
--- a/standins/endpoint/control-port.ts
+++ b/standins/endpoint/control-port.ts
@@ -13,7 +13,7 @@
 	applyFaultCommand(order: FaultCommand): void;
 };
 
-type Answer = {
+type ControlResponse = {
 	readonly code: number;
 	readonly body: unknown;
 };
@@ -27,7 +27,7 @@
 	constructor(endpoint: ControlledEndpoint) {
 		this._endpoint = endpoint;
 		this._server = createServer((request, response) => {
-			void this._answer(request, response);
+			void this._handleRequest(request, response);
 		});
 	}
 
@@ -49,22 +49,22 @@
 		this._server.closeAllConnections();
 	}
 
-	private async _answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async _handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const {code, body} = await this._route(request);
 		response.writeHead(code, {'content-type': 'application/json'});
 		response.end(JSON.stringify(body));
 	}
 
-	private async _route(request: IncomingMessage): Promise<Answer> {
+	private async _route(request: IncomingMessage): Promise<ControlResponse> {
 		const route = `${request.method} ${request.url}`;
 		if (route === 'GET /status') {
 			return {code: 200, body: this._endpoint.status};
 		}
 
-		return route === 'POST /faults' ? this._takeFault(request) : {code: 404, body: {error: 'there are GET /status and POST /faults'}};
+		return route === 'POST /faults' ? this._handleFaultCommand(request) : {code: 404, body: {error: 'there are GET /status and POST /faults'}};
 	}
 
-	private async _takeFault(request: IncomingMessage): Promise<Answer> {
+	private async _handleFaultCommand(request: IncomingMessage): Promise<ControlResponse> {
 		try {
 			const order = faultSchema.parse(JSON.parse(await readText(request)));
 			this._endpoint.applyFaultCommand(order);
--- a/standins/endpoint/endpoint.test.ts
+++ b/standins/endpoint/endpoint.test.ts
@@ -16,7 +16,7 @@
 } from './testing/endpoint-harness.js';
 
 const limit = {timeout: 20_000};
-let bench: EndpointHarness;
+let harness: EndpointHarness;
 
 async function order(client: pg.Client, call: string): Promise<unknown> {
 	const {rows} = await client.query<Record<string, unknown>>(`SELECT quetzalstream_${call}`);
@@ -30,13 +30,13 @@
 
 describe('Endpoint', limit, () => {
 	beforeEach(() => {
-		bench = new EndpointHarness();
+		harness = new EndpointHarness();
 	});
-	afterEach(async () => bench.dispose());
+	afterEach(async () => harness.dispose());
 
 	it('reports positions, and gives a write to its replicas', async () => {
-		const [a, b] = await bench.group(['b']);
-		const client = await bench.client(a);
+		const [a, b] = await harness.group(['b']);
+		const client = await harness.client(a);
 		const positions = positionsOf(client);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY, name text)');
 		await client.query('SELECT 1');
@@ -45,7 +45,7 @@
 		await client.query('COMMIT');
 		expect(positions).toEqual(['1/2', '1/3']);
 		await waitUntil(() => b.instance.applied.offset === 3);
-		const replica = await bench.client(b);
+		const replica = await harness.client(b);
 		const {rows} = await replica.query('SELECT * FROM items');
 		expect(rows).toEqual([{id: 1, name: 'x'}]);
 		expect(await errorCodeOf(replica.query('DELETE FROM items'))).toEqual('25006');
@@ -55,8 +55,8 @@
 	});
 
 	it('speaks the extended protocol with row limits, and recovers after errors', async () => {
-		const [a] = await bench.group([]);
-		const client = await bench.client(a);
+		const [a] = await harness.group([]);
+		const client = await harness.client(a);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY); INSERT INTO items SELECT g FROM generate_series(1, 5) g');
 		const limited = {text: 'SELECT id FROM items WHERE id > $1 ORDER BY id', values: [1], rows: 2};
 		const {rows} = await client.query<{id: number}>(limited);
@@ -73,8 +73,8 @@
 	});
 
 	it('runs no more statements than it has slots, and ends one that is cancelled', async () => {
-		const [a] = await bench.group([], {slots: 2});
-		const clients = await Promise.all([1, 2, 3, 4, 5].map(async () => bench.client(a)));
+		const [a] = await harness.group([], {slots: 2});
+		const clients = await Promise.all([1, 2, 3, 4, 5].map(async () => harness.client(a)));
 		await Promise.all(clients.map(async client => client.query('SELECT pg_sleep(0.02)')));
 		const {slots} = a.status;
 		expect([slots.peak, slots.waitedCount, slots.running]).toEqual([2, 3, 0]);
@@ -92,28 +92,28 @@
 	});
 
 	it('refuses connections beyond its limit, of other homes and with a wrong password', async () => {
-		const [a] = await bench.group([], {connections: 4});
-		const control = await bench.client(a, 'quetzalstream-control:n1');
-		expect(await errorCodeOf(bench.client(a, 'quetzalstream-work:one'))).toEqual('55006');
+		const [a] = await harness.group([], {connections: 4});
+		const control = await harness.client(a, 'quetzalstream-control:n1');
+		expect(await errorCodeOf(harness.client(a, 'quetzalstream-work:one'))).toEqual('55006');
 		expect(await order(control, 'attach(\'one\', false)')).toEqual(['t', 'one']);
-		const work = await bench.client(a, 'quetzalstream-work:one');
-		const other = await bench.client(a, 'quetzalstream-control:n2');
+		const work = await harness.client(a, 'quetzalstream-work:one');
+		const other = await harness.client(a, 'quetzalstream-control:n2');
 		expect(await order(other, 'attach(\'two\', false)')).toEqual(['f', 'one']);
 		expect(await order(other, 'attach(\'two\', true)')).toEqual(['t', 'two']);
 		expect(await errorCodeOf(work.query('SELECT 1'))).not.toEqual('done');
-		await bench.client(a, 'quetzalstream-work:two');
-		expect(await errorCodeOf(bench.client(a, 'test', 'wrong'))).toEqual('28P01');
+		await harness.client(a, 'quetzalstream-work:two');
+		expect(await errorCodeOf(harness.client(a, 'test', 'wrong'))).toEqual('28P01');
 		await waitUntil(() => a.status.connections.open === 3);
-		await bench.client(a);
-		expect(await errorCodeOf(bench.client(a))).toEqual('53300');
+		await harness.client(a);
+		expect(await errorCodeOf(harness.client(a))).toEqual('53300');
 		await other.end();
 		await waitUntil(() => a.instance.attachment.holder === '');
 		await waitUntil(() => a.status.connections.byPurpose.work === 0);
 	});
 
 	it('answers nothing while frozen, and everything afterwards', async () => {
-		const [a] = await bench.group([]);
-		const client = await bench.client(a);
+		const [a] = await harness.group([]);
+		const client = await harness.client(a);
 		await fault(a, {fault: 'freeze'});
 		let answered = 0;
 		const count = async (promise: Promise<unknown>): Promise<void> => {
@@ -121,7 +121,7 @@
 			answered += 1;
 		};
 
-		const waiting = [count(client.query('SELECT 1')), count(bench.client(a))];
+		const waiting = [count(client.query('SELECT 1')), count(harness.client(a))];
 		await fetch(`http://127.0.0.1:${a.controlPort}/status`);
 		expect(answered).toEqual(0);
 		await fault(a, {fault: 'heal'});
@@ -130,8 +130,8 @@
 	});
 
 	it('cuts single peers off and lets them catch up', async () => {
-		const [a, b, c] = await bench.group(['b', 'c'], {streamSilenceMs: 100_000});
-		const client = await bench.client(a);
+		const [a, b, c] = await harness.group(['b', 'c'], {streamSilenceMs: 100_000});
+		const client = await harness.client(a);
 		await fault(a, {fault: 'cut', peers: ['b']});
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
 		await waitUntil(() => c.instance.applied.offset === 2);
@@ -141,14 +141,14 @@
 	});
 
 	it('is rebuilt after a crash that lost its memory', async () => {
-		const [a, b] = await bench.group(['b']);
-		const client = await bench.client(a);
+		const [a, b] = await harness.group(['b']);
+		const client = await harness.client(a);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
 		await fault(b, {fault: 'crash', isForgetting: true});
-		expect(await errorCodeOf(bench.client(b))).toEqual('ECONNREFUSED');
+		expect(await errorCodeOf(harness.client(b))).toEqual('ECONNREFUSED');
 		await fault(b, {fault: 'heal'});
 		await waitUntil(() => !b.status.faults.isCrashed);
-		const control = await bench.client(b, 'quetzalstream-control:n1');
+		const control = await harness.client(b, 'quetzalstream-control:n1');
 		expect(await order(control, 'state()')).toEqual(['rebuilding 1 - 0/0 0/0 f']);
 		expect(await errorCodeOf(control.query('SELECT 1'))).toEqual('57P03');
 		await order(control, `follow(1, '127.0.0.1', ${a.port})`);
--- a/standins/endpoint/endpoint.ts
+++ b/standins/endpoint/endpoint.ts
@@ -40,7 +40,7 @@
 	private readonly _settings: EndpointSettings;
 	private readonly _clock: Clock = new SystemClock();
 	private readonly _random: Random;
-	private readonly _promiseFile: TermPromiseFile | undefined;
+	private readonly _termPromiseFile: TermPromiseFile | undefined;
 	private readonly _owned = new DisposableStore();
 	private readonly _faults: EndpointFaults;
 	private readonly _server: EndpointServer;
@@ -51,14 +51,14 @@
 	private _engine: SqlEngine;
 	private _slots: StatementSlots;
 	private _isDown = false;
-	private _commitCountBefore = 0;
+	private _earlierCommitCount = 0;
 
 	constructor(settings: EndpointSettings) {
 		this.name = settings.name;
 		this._settings = settings;
 		this._lag = settings.lag;
 		this._random = makeRandom(settings.seed);
-		this._promiseFile = settings.promiseFile === undefined ? undefined : new TermPromiseFile(settings.promiseFile);
+		this._termPromiseFile = settings.promiseFile === undefined ? undefined : new TermPromiseFile(settings.promiseFile);
 		this._faults = this._owned.register(new EndpointFaults(this._clock));
 		this._replication = this._owned.register(new ReplicationClient({
 			group: settings.group,
@@ -70,9 +70,9 @@
 		}));
 		this._server = this._owned.register(new EndpointServer(settings, () => ({engine: this._engine, slots: this._slots}), this._faults, {clock: this._clock, random: this._random}));
 		this._controlPort = this._owned.register(new ControlPort(this));
-		({instance: this._instance, engine: this._engine, slots: this._slots} = this._makeInstance(this._firstStart()));
+		({instance: this._instance, engine: this._engine, slots: this._slots} = this._makeInstance(this._startOptions()));
 		this._faults.onChange(() => {
-			void this._followFaults();
+			void this._applyActiveFaults();
 		});
 	}
 
@@ -100,7 +100,7 @@
 			holder: this._instance.attachment.holder,
 			slots: this._slots.statistics,
 			connections: this._server.statistics,
-			commitCount: this._commitCountBefore + this._engine.commitCount,
+			commitCount: this._earlierCommitCount + this._engine.commitCount,
 			faults: this._faults.active,
 			lag: this._lag,
 		};
@@ -122,7 +122,7 @@
 		}
 
 		if (order.fault === 'crash' && order.isForgetting) {
-			this._forget();
+			this._loseMemory();
 		}
 
 		this._faults.apply(order);
@@ -135,8 +135,8 @@
 		this._engine.dispose();
 	}
 
-	private _firstStart(): Pick<InstanceOptions, 'start' | 'promise' | 'initialPrimary'> {
-		const promise = this._promiseFile?.read();
+	private _startOptions(): Pick<InstanceOptions, 'start' | 'promise' | 'initialPrimary'> {
+		const promise = this._termPromiseFile?.read();
 		if (promise) {
 			return {start: 'restart', promise};
 		}
@@ -151,7 +151,7 @@
 			name, lag: this._lag, logEntriesKept, streamRetryMs, streamAliveMs, streamSilenceMs, ...start,
 		}, this._clock, this._random, this._replication);
 		instance.onTermPromised(promise => {
-			this._promiseFile?.write(promise);
+			this._termPromiseFile?.write(promise);
 		});
 		instance.onState(() => {
 			this._server.scheduleStateReport();
@@ -163,9 +163,9 @@
 	}
 
 	/** Loses its memory, but not its promise. */
-	private _forget(): void {
+	private _loseMemory(): void {
 		const {promisedTerm, claimId} = this._instance.state;
-		this._commitCountBefore += this._engine.commitCount;
+		this._earlierCommitCount += this._engine.commitCount;
 		this._server.close();
 		this._instance.dispose();
 		this._engine.dispose();
@@ -173,7 +173,7 @@
 		this._instance.start();
 	}
 
-	private async _followFaults(): Promise<void> {
+	private async _applyActiveFaults(): Promise<void> {
 		const {isCrashed} = this._faults.active;
 		this._server.refreshHeldConnections();
 		this._replication.refreshHeldConnections();
--- a/standins/endpoint/faults.ts
+++ b/standins/endpoint/faults.ts
@@ -51,7 +51,7 @@
 	private readonly _clock: Clock;
 	private readonly _timers = new Map<keyof ActiveFaults, Disposable>();
 	private readonly _onChange = new Emitter<ActiveFaults>();
-	private _inForce = noFaults;
+	private _active = noFaults;
 
 	constructor(clock: Clock) {
 		this._clock = clock;
@@ -59,12 +59,12 @@
 	}
 
 	get active(): ActiveFaults {
-		return this._inForce;
+		return this._active;
 	}
 
 	/** Whether nothing passes between this endpoint and someone; an unknown name is only stopped with all. */
 	isHeld(peer: string | undefined): boolean {
-		const {isFrozen, cut} = this._inForce;
+		const {isFrozen, cut} = this._active;
 		return isFrozen || cut === 'all' || (peer !== undefined && cut.some(name => peer === name || peer.startsWith(`${name}/`)));
 	}
 
@@ -93,7 +93,7 @@
 
 			case 'heal': {
 				this._clearTimers();
-				this._change(noFaults);
+				this._setActive(noFaults);
 				break;
 			}
 
@@ -108,20 +108,20 @@
 		this._onChange.dispose();
 	}
 
-	private _set(change: Partial<ActiveFaults>, key: keyof ActiveFaults, durationMs: number | undefined): void {
+	private _set(changes: Partial<ActiveFaults>, key: keyof ActiveFaults, durationMs: number | undefined): void {
 		this._timers.get(key)?.dispose();
 		this._timers.delete(key);
-		this._change({...this._inForce, ...change});
+		this._setActive({...this._active, ...changes});
 		if (durationMs !== undefined) {
 			this._timers.set(key, this._clock.setTimer(durationMs, () => {
-				this._change({...this._inForce, [key]: noFaults[key]});
+				this._setActive({...this._active, [key]: noFaults[key]});
 			}));
 		}
 	}
 
-	private _change(inForce: ActiveFaults): void {
-		this._inForce = inForce;
-		this._onChange.fire(inForce);
+	private _setActive(active: ActiveFaults): void {
+		this._active = active;
+		this._onChange.fire(active);
 	}
 
 	private _clearTimers(): void {
--- a/standins/endpoint/instance.ts
+++ b/standins/endpoint/instance.ts
@@ -41,7 +41,7 @@
 	private readonly _onPromise = new Emitter<TermPromise>();
 	private readonly _onStepDown = new Emitter<void>();
 	private _role: InstanceRole;
-	private _promise: TermPromise;
+	private _termPromise: TermPromise;
 	/** Term in which it was last told to follow: it can no longer be promoted in that one. */
 	private _followedTerm = 0;
 	/** Offset at which a rebuilding instance has the whole log. */
@@ -58,10 +58,10 @@
 		this._clock = clock;
 		this._connector = connector;
 		this._content = new InstanceContent(options.logEntriesKept, clock, () => {
-			this._changed();
+			this._fireState();
 		});
 		this._role = options.start === 'restart' ? 'rebuilding' : options.start;
-		this._promise = options.promise ?? {term: options.start === 'restart' ? 0 : 1, claimId: ''};
+		this._termPromise = options.promise ?? {term: options.start === 'restart' ? 0 : 1, claimId: ''};
 	}
 
 	/** Distribution of the delay between receiving and applying. */
@@ -99,8 +99,8 @@
 	get state(): InstanceState {
 		return {
 			role: this._role,
-			promisedTerm: this._promise.term,
-			claimId: this._promise.claimId,
+			promisedTerm: this._termPromise.term,
+			claimId: this._termPromise.claimId,
 			received: this.received,
 			applied: this.applied,
 			isStreaming: this.isPrimary || (this._link?.isStreaming ?? false),
@@ -114,29 +114,29 @@
 
 	/** Begins its work; kept apart from the constructor so that listeners are there first. */
 	start(): void {
-		this._onPromise.fire(this._promise);
+		this._onPromise.fire(this._termPromise);
 		if (this.isPrimary) {
-			this._openTerm();
+			this._appendTermStart();
 		} else if (this._options.start === 'replica' && this._options.initialPrimary) {
-			this._connect(this._promise.term, this._options.initialPrimary);
+			this._connect(this._termPromise.term, this._options.initialPrimary);
 		}
 
-		this._changed();
+		this._fireState();
 	}
 
 	/** Promises not to take part in any lower term; accepted if higher, or the same with the same claim. */
 	raiseTerm(term: number, claimId: string): TermClaim {
-		const isHigher = term > this._promise.term;
-		const isSame = term === this._promise.term && claimId === this._promise.claimId;
+		const isHigher = term > this._termPromise.term;
+		const isSame = term === this._termPromise.term && claimId === this._termPromise.claimId;
 		if (this._role === 'rebuilding' || claimId === '' || !(isHigher || isSame)) {
 			return this._answer(false);
 		}
 
 		if (isHigher) {
-			this._setPromise({term, claimId});
+			this._setTermPromise({term, claimId});
 			this._disconnect();
 			this._stepDown('a higher term was promised');
-			this._changed();
+			this._fireState();
 		}
 
 		return this._answer(true);
@@ -144,7 +144,7 @@
 
 	/** Becomes primary of the term that was promised to this claim. */
 	promote(term: number, claimId: string): TermClaim {
-		const isPromised = claimId !== '' && term === this._promise.term && claimId === this._promise.claimId;
+		const isPromised = claimId !== '' && term === this._termPromise.term && claimId === this._termPromise.claimId;
 		if (this._role === 'rebuilding' || !isPromised || this._followedTerm === term) {
 			return this._answer(false);
 		}
@@ -153,8 +153,8 @@
 			this._disconnect();
 			this._content.applyAll();
 			this._role = 'primary';
-			this._openTerm();
-			this._changed();
+			this._appendTermStart();
+			this._fireState();
 		}
 
 		return this._answer(true);
@@ -162,13 +162,13 @@
 
 	/** Follows the primary of a term. */
 	follow(term: number, primary: PrimaryAddress): TermClaim {
-		const isOwnTerm = this.isPrimary && term === this._promise.term;
-		if (term < this._promise.term || isOwnTerm) {
+		const isOwnTerm = this.isPrimary && term === this._termPromise.term;
+		if (term < this._termPromise.term || isOwnTerm) {
 			return this._answer(false);
 		}
 
-		if (term > this._promise.term) {
-			this._setPromise({term, claimId: ''});
+		if (term > this._termPromise.term) {
+			this._setTermPromise({term, claimId: ''});
 		}
 
 		this._stepDown('it follows another primary');
@@ -177,7 +177,7 @@
 			this._connect(term, primary);
 		}
 
-		this._changed();
+		this._fireState();
 		return this._answer(true);
 	}
 
@@ -187,23 +187,23 @@
 			return undefined;
 		}
 
-		const position = this._content.appendOwn(this._promise.term, changes);
+		const position = this._content.appendOwn(this._termPromise.term, changes);
 		for (const feed of this._feeds) {
 			feed.sendPending();
 		}
 
-		this._changed();
+		this._fireState();
 		return position;
 	}
 
 	/** Sends the log to a follower until either side ends it. Ends at once if this is not the primary of that term. */
 	serve(request: StreamRequest, sink: StreamSink): Disposable {
-		if (!this.isPrimary || request.term !== this._promise.term) {
+		if (!this.isPrimary || request.term !== this._termPromise.term) {
 			sink.end(`not the primary of term ${request.term}`);
 			return toDisposable(noop);
 		}
 
-		const feed = new ReplicationFeed({term: this._promise.term, heartbeatMs: this._options.streamAliveMs, request}, this._content, sink, this._clock);
+		const feed = new ReplicationFeed({term: this._termPromise.term, heartbeatMs: this._options.streamAliveMs, request}, this._content, sink, this._clock);
 		this._feeds.add(feed);
 		return {
 			dispose: () => {
@@ -226,12 +226,12 @@
 		return {isAccepted, state: this.state};
 	}
 
-	private _setPromise(promise: TermPromise): void {
-		this._promise = promise;
+	private _setTermPromise(promise: TermPromise): void {
+		this._termPromise = promise;
 		this._onPromise.fire(promise);
 	}
 
-	private _openTerm(): void {
+	private _appendTermStart(): void {
 		this.append([]);
 	}
 
@@ -260,7 +260,7 @@
 				this._receive(message);
 			},
 			onStreamingChange: () => {
-				this._changed();
+				this._fireState();
 			},
 		}, this._clock);
 		this._link = link;
@@ -292,10 +292,10 @@
 			this._role = 'replica';
 		}
 
-		this._changed();
+		this._fireState();
 	}
 
-	private _changed(): void {
+	private _fireState(): void {
 		this._onState.fire(this.state);
 	}
 }
--- a/standins/endpoint/lag-sampler.ts
+++ b/standins/endpoint/lag-sampler.ts
@@ -38,7 +38,7 @@
 	private readonly _random: Random;
 	private _distribution: LagDistribution;
 	private _currentMs = 0;
-	private _drawnMs = Number.NEGATIVE_INFINITY;
+	private _drawnAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(distribution: LagDistribution, clock: Clock, random: Random) {
 		this._distribution = distribution;
@@ -53,14 +53,14 @@
 	/** Uses another distribution from now on. */
 	set distribution(distribution: LagDistribution) {
 		this._distribution = distribution;
-		this._drawnMs = Number.NEGATIVE_INFINITY;
+		this._drawnAtMs = Number.NEGATIVE_INFINITY;
 	}
 
 	/** Delay of what has been received now. */
 	currentMs(): number {
 		const nowMs = this._clock.nowMs();
-		if (nowMs - this._drawnMs >= lagRedrawMs) {
-			this._drawnMs = nowMs;
+		if (nowMs - this._drawnAtMs >= lagRedrawMs) {
+			this._drawnAtMs = nowMs;
 			this._currentMs = drawLagMs(this._distribution, this._random);
 		}
 
--- a/standins/endpoint/replication-feed.ts
+++ b/standins/endpoint/replication-feed.ts
@@ -31,23 +31,23 @@
 	private readonly _database: Database;
 	private readonly _sink: StreamSink;
 	private readonly _clock: Clock;
-	private readonly _aliveMs: number;
+	private readonly _heartbeatMs: number;
 	private _sentOffset = 0;
 	private _isBlocked = false;
 	private _isEnded = false;
-	private _aliveTimer: Disposable | undefined;
+	private _heartbeatTimer: Disposable | undefined;
 	private _hasSentSinceTimer = false;
 
 	constructor(options: FeedOptions, content: FeedContent, sink: StreamSink, clock: Clock) {
 		this.follower = options.request.follower;
 		this._term = options.term;
-		this._aliveMs = options.heartbeatMs;
+		this._heartbeatMs = options.heartbeatMs;
 		this._log = content.log;
 		this._database = content.database;
 		this._sink = sink;
 		this._clock = clock;
 		this._start(options.request);
-		this._armAlive();
+		this._armHeartbeat();
 		this.sendPending();
 	}
 
@@ -75,7 +75,7 @@
 
 	dispose(): void {
 		this._isEnded = true;
-		this._aliveTimer?.dispose();
+		this._heartbeatTimer?.dispose();
 	}
 
 	private _start(request: StreamRequest): void {
@@ -108,14 +108,14 @@
 		this.sendPending();
 	}
 
-	private _armAlive(): void {
-		this._aliveTimer = this._clock.setTimer(this._aliveMs, () => {
+	private _armHeartbeat(): void {
+		this._heartbeatTimer = this._clock.setTimer(this._heartbeatMs, () => {
 			if (!this._hasSentSinceTimer && !this._isBlocked) {
 				this._push({kind: 'alive', term: this._term});
 			}
 
 			this._hasSentSinceTimer = false;
-			this._armAlive();
+			this._armHeartbeat();
 		});
 	}
 }
--- a/standins/endpoint/replication-link.ts
+++ b/standins/endpoint/replication-link.ts
@@ -34,7 +34,7 @@
 	private _stream: Disposable | undefined;
 	private _timer: Disposable | undefined;
 	private _streamNumber = 0;
-	private _heardMs = 0;
+	private _lastReceivedMs = 0;
 	private _isStreaming = false;
 	private _isDisposed = false;
 
@@ -56,7 +56,7 @@
 	open(): void {
 		this._streamNumber += 1;
 		const number = this._streamNumber;
-		this._heardMs = this._clock.nowMs();
+		this._lastReceivedMs = this._clock.nowMs();
 		this._stream = this._connector.connect(this.primary, this._listener.request(), {
 			receive: message => {
 				this._receive(number, message);
@@ -66,7 +66,7 @@
 			},
 		});
 		if (number === this._streamNumber && !this._isDisposed) {
-			this._watch();
+			this._watchForSilence();
 		}
 	}
 
@@ -83,7 +83,7 @@
 			return;
 		}
 
-		this._heardMs = this._clock.nowMs();
+		this._lastReceivedMs = this._clock.nowMs();
 		if (message.kind !== 'alive') {
 			this._listener.receive(message);
 		}
@@ -108,13 +108,13 @@
 	}
 
 	/** Looks at the silence from time to time, rather than setting a timer for each message. */
-	private _watch(): void {
+	private _watchForSilence(): void {
 		const number = this._streamNumber;
 		this._timer = this._clock.setTimer(this._timing.streamSilenceMs / 4, () => {
-			if (this._clock.nowMs() - this._heardMs >= this._timing.streamSilenceMs) {
+			if (this._clock.nowMs() - this._lastReceivedMs >= this._timing.streamSilenceMs) {
 				this._onEnd(number);
 			} else {
-				this._watch();
+				this._watchForSilence();
 			}
 		});
 	}
--- a/standins/endpoint/sql/access-path.ts
+++ b/standins/endpoint/sql/access-path.ts
@@ -86,7 +86,7 @@
 	const parts = conjuncts(where).flatMap(node => 'A_Expr' in node ? [node.A_Expr] : []);
 	const fixed = new Map<number, Expression>();
 	for (const part of parts) {
-		noteEquality(table, part, compilation, fixed);
+		collectEquality(table, part, compilation, fixed);
 	}
 
 	const expressions = keyColumns.map(index => fixed.get(index)).filter(expression => expression !== undefined);
@@ -97,11 +97,11 @@
 		};
 	}
 
-	return keyColumns.length === 1 ? parts.map(part => planList(table, part, compilation)).find(finder => finder !== undefined) : undefined;
+	return keyColumns.length === 1 ? parts.map(part => planKeyList(table, part, compilation)).find(finder => finder !== undefined) : undefined;
 }
 
 /** Notes `column = value`, whichever side the column is on. */
-function noteEquality(table: Table, part: OperatorExpression, compilation: Compilation, fixed: Map<number, Expression>): void {
+function collectEquality(table: Table, part: OperatorExpression, compilation: Compilation, fixed: Map<number, Expression>): void {
 	if (part.kind !== 'AEXPR_OP' || namesOf(part.name).at(-1) !== '=') {
 		return;
 	}
@@ -125,7 +125,7 @@
 }
 
 /** `column IN (...)` and `column = ANY (...)`. */
-function planList(table: Table, part: OperatorExpression, compilation: Compilation): KeyFinder | undefined {
+function planKeyList(table: Table, part: OperatorExpression, compilation: Compilation): KeyFinder | undefined {
 	const index = keyColumn(table, part.lexpr, compilation);
 	if (index === undefined || namesOf(part.name).at(-1) !== '=') {
 		return undefined;
--- a/standins/endpoint/sql/aggregates.ts
+++ b/standins/endpoint/sql/aggregates.ts
@@ -33,7 +33,7 @@
 	};
 }
 
-function summer(isAverage: boolean): Accumulator {
+function sumAccumulator(isAverage: boolean): Accumulator {
 	let sum = 0;
 	let count = 0;
 	return {
@@ -51,7 +51,7 @@
 	};
 }
 
-function extreme(sign: number): Accumulator {
+function extremumAccumulator(sign: number): Accumulator {
 	let best: SqlValue;
 	return {
 		add(value) {
@@ -67,12 +67,12 @@
 	int2: sqlTypes.int8, int4: sqlTypes.int8, int8: sqlTypes.numeric, float4: sqlTypes.float4, float8: sqlTypes.float8,
 };
 
-const definitions: Readonly<Record<string, {readonly type: (argument: SqlType) => SqlType; readonly make: () => Accumulator}>> = {
-	count: {type: () => sqlTypes.int8, make: counter},
-	sum: {type: argument => sumTypes[argument.name] ?? sqlTypes.numeric, make: () => summer(false)},
-	avg: {type: argument => argument.name.startsWith('float') ? sqlTypes.float8 : sqlTypes.numeric, make: () => summer(true)},
-	min: {type: argument => argument, make: () => extreme(-1)},
-	max: {type: argument => argument, make: () => extreme(1)},
+const definitions: Readonly<Record<string, {readonly type: (argument: SqlType) => SqlType; readonly createAccumulator: () => Accumulator}>> = {
+	count: {type: () => sqlTypes.int8, createAccumulator: counter},
+	sum: {type: argument => sumTypes[argument.name] ?? sqlTypes.numeric, createAccumulator: () => sumAccumulator(false)},
+	avg: {type: argument => argument.name.startsWith('float') ? sqlTypes.float8 : sqlTypes.numeric, createAccumulator: () => sumAccumulator(true)},
+	min: {type: argument => argument, createAccumulator: () => extremumAccumulator(-1)},
+	max: {type: argument => argument, createAccumulator: () => extremumAccumulator(1)},
 };
 
 /** Whether a function is an aggregate. */
@@ -89,14 +89,14 @@
 	const argument = isStar ? undefined : resolveUnknownType(rawArguments[0]);
 	const definition = definitions[name];
 	return {
-		type: definition.type(argument?.type ?? sqlTypes.int8), argument, isDistinct, createAccumulator: definition.make,
+		type: definition.type(argument?.type ?? sqlTypes.int8), argument, isDistinct, createAccumulator: definition.createAccumulator,
 	};
 }
 
 /** Runs aggregates over the rows of one group. */
 export function aggregate(aggregates: readonly Aggregate[], evaluations: readonly Evaluation[]): SqlValue[] {
-	return aggregates.map(({argument, isDistinct, createAccumulator: make}) => {
-		const accumulator = make();
+	return aggregates.map(({argument, isDistinct, createAccumulator}) => {
+		const accumulator = createAccumulator();
 		const seen = new Set<SqlValue>();
 		for (const evaluation of evaluations) {
 			const value = argument ? argument.evaluate(evaluation) : true;
--- a/standins/endpoint/sql/compile-expression.ts
+++ b/standins/endpoint/sql/compile-expression.ts
@@ -99,13 +99,13 @@
 	return compilation.column(names.length > 1 ? names.at(-2) : undefined, names.at(-1) ?? '');
 }
 
-function isOpenParameter(node: Node | undefined): boolean {
+function isParameter(node: Node | undefined): boolean {
 	return node !== undefined && 'ParamRef' in node;
 }
 
 /** Compiles both sides; an open parameter gets the type of the other one. */
 function compilePair(left: Node | undefined, right: Node | undefined, compilation: Compilation): [Expression, Expression] {
-	if (isOpenParameter(left) && !isOpenParameter(right)) {
+	if (isParameter(left) && !isParameter(right)) {
 		const compiledRight = compileExpression(right, compilation);
 		return [compileExpression(left, compilation, compiledRight.type), compiledRight];
 	}
--- a/standins/endpoint/sql/functions.ts
+++ b/standins/endpoint/sql/functions.ts
@@ -11,7 +11,7 @@
 	formatTimestamp, formatValue, sqlTypes, type SqlType,
 } from './sql-types.js';
 
-type Present = Exclude<SqlValue, undefined>;
+type NonNullValue = Exclude<SqlValue, undefined>;
 
 type SqlFunction = {
 	readonly minimum: number;
@@ -20,7 +20,7 @@
 	readonly type?: SqlType;
 	/** Type that arguments are made of; left as they are where left out. */
 	readonly argument?: SqlType;
-	readonly apply: (values: Present[], evaluation: Evaluation) => SqlValue;
+	readonly apply: (values: NonNullValue[], evaluation: Evaluation) => SqlValue;
 	/** Whether NULL arguments are passed over rather than making the result NULL. */
 	readonly skipsNull?: boolean;
 };
@@ -37,7 +37,7 @@
 	return {minimum: 1, maximum: 1, apply: ([value]) => apply(Number(value))};
 }
 
-function fact(type: SqlType, apply: (evaluation: Evaluation) => SqlValue): SqlFunction {
+function sessionFunction(type: SqlType, apply: (evaluation: Evaluation) => SqlValue): SqlFunction {
 	return {
 		minimum: 0, maximum: 0, type, apply: (_values, evaluation) => apply(evaluation),
 	};
@@ -52,7 +52,7 @@
 	return value.slice(Math.max(0, start - 1), Math.max(0, start - 1 + length));
 }
 
-const transactionTime = fact(timestamptz, ({facts}) => formatTimestamp(facts.transactionTimeMs, true));
+const transactionTime = sessionFunction(timestamptz, ({facts}) => formatTimestamp(facts.transactionTimeMs, true));
 
 /** Functions by name. */
 const functions: Readonly<Record<string, SqlFunction>> = {
@@ -78,20 +78,20 @@
 	floor: numberFunction(value => Math.floor(value)),
 	round: {minimum: 1, maximum: 2, apply: ([value, digits]) => roundTo(Number(value), Number(digits ?? 0))},
 	mod: {minimum: 2, maximum: 2, apply: ([a, b]) => Number(a) % Number(b)},
-	random: fact(float8, ({facts}) => facts.random()),
+	random: sessionFunction(float8, ({facts}) => facts.random()),
 	now: transactionTime,
 	transaction_timestamp: transactionTime,
 	statement_timestamp: transactionTime,
-	clock_timestamp: fact(timestamptz, ({facts}) => formatTimestamp(facts.wallClockMs(), true)),
-	version: fact(text, () => 'PostgreSQL 16.0 (endpoint stand-in)'),
-	current_database: fact(text, ({facts}) => facts.database),
-	pg_backend_pid: fact(int4, ({facts}) => facts.processId),
-	pg_is_in_recovery: fact(bool, ({facts}) => facts.isReplica),
+	clock_timestamp: sessionFunction(timestamptz, ({facts}) => formatTimestamp(facts.wallClockMs(), true)),
+	version: sessionFunction(text, () => 'PostgreSQL 16.0 (endpoint stand-in)'),
+	current_database: sessionFunction(text, ({facts}) => facts.database),
+	pg_backend_pid: sessionFunction(int4, ({facts}) => facts.processId),
+	pg_is_in_recovery: sessionFunction(bool, ({facts}) => facts.isReplica),
 	current_setting: {
 		minimum: 1, maximum: 2, type: text, argument: text, apply: ([name], {facts}) => facts.setting(String(name)),
 	},
-	gen_random_uuid: fact(sqlTypes.uuid, ({facts}) => randomUuid(facts)),
-	txid_current: fact(int8, () => 0),
+	gen_random_uuid: sessionFunction(sqlTypes.uuid, ({facts}) => randomUuid(facts)),
+	txid_current: sessionFunction(int8, () => 0),
 };
 
 function randomUuid(facts: {random(): number}): string {
--- a/standins/endpoint/sql/operators.ts
+++ b/standins/endpoint/sql/operators.ts
@@ -9,7 +9,7 @@
 import {SqlError} from './sql-error.js';
 import {formatValue, sqlTypes, type SqlType} from './sql-types.js';
 
-type Present = Exclude<SqlValue, undefined>;
+type NonNullValue = Exclude<SqlValue, undefined>;
 
 const comparisons: Readonly<Record<string, (order: number) => boolean>> = {
 	'=': order => order === 0,
@@ -64,7 +64,7 @@
 	return new SqlError('42883', `operator does not exist: ${left.type.name} ${name} ${right.type.name}`);
 }
 
-function combine(type: SqlType, left: Expression, right: Expression, apply: (a: Present, b: Present) => SqlValue): Expression {
+function compileBinary(type: SqlType, left: Expression, right: Expression, apply: (a: NonNullValue, b: NonNullValue) => SqlValue): Expression {
 	const {evaluate: evaluateLeft} = left;
 	const {evaluate: evaluateRight} = right;
 	return {
@@ -86,10 +86,10 @@
 	}
 
 	const holds = comparisons[name];
-	return combine(sqlTypes.bool, left, right, (a, b) => holds(compareValues(a, b)));
+	return compileBinary(sqlTypes.bool, left, right, (a, b) => holds(compareValues(a, b)));
 }
 
-function calculate(name: string, leftRaw: Expression, rightRaw: Expression): Expression {
+function compileArithmetic(name: string, leftRaw: Expression, rightRaw: Expression): Expression {
 	const [left, right] = matchTypes(leftRaw, rightRaw);
 	if (left.type.category !== 'number' || right.type.category !== 'number') {
 		throw missingOperator(name, left, right);
@@ -98,7 +98,7 @@
 	const type = widerNumber(left.type, right.type);
 	const apply = arithmetic[name];
 	const isInteger = integerTypes.has(type.name);
-	return combine(type, left, right, (a, b) => checkRange(apply(Number(a), Number(b), isInteger), type));
+	return compileBinary(type, left, right, (a, b) => checkRange(apply(Number(a), Number(b), isInteger), type));
 }
 
 function checkRange(value: number, type: SqlType): number {
@@ -125,26 +125,26 @@
 	return new RegExp(`^${source}$`, isCaseSensitive ? 'v' : 'iv');
 }
 
-function match(leftRaw: Expression, rightRaw: Expression, isCaseSensitive: boolean, isNegated: boolean): Expression {
+function compileLike(leftRaw: Expression, rightRaw: Expression, isCaseSensitive: boolean, isNegated: boolean): Expression {
 	const left = resolveUnknownType(leftRaw);
 	const right = resolveUnknownType(rightRaw);
 	// The pattern is the same for all rows of a query: it is made once.
-	let made: {readonly pattern: Present; readonly expression: RegExp} | undefined;
-	return combine(sqlTypes.bool, left, right, (a, b) => {
-		if (made?.pattern !== b) {
-			made = {pattern: b, expression: likePattern(formatValue(b), isCaseSensitive)};
+	let cached: {readonly pattern: NonNullValue; readonly expression: RegExp} | undefined;
+	return compileBinary(sqlTypes.bool, left, right, (a, b) => {
+		if (cached?.pattern !== b) {
+			cached = {pattern: b, expression: likePattern(formatValue(b), isCaseSensitive)};
 		}
 
-		return made.expression.test(formatValue(a)) !== isNegated;
+		return cached.expression.test(formatValue(a)) !== isNegated;
 	});
 }
 
-const others: Readonly<Record<string, (left: Expression, right: Expression) => Expression>> = {
-	'||': (left, right) => combine(sqlTypes.text, resolveUnknownType(left), resolveUnknownType(right), (a, b) => formatValue(a) + formatValue(b)),
-	'~~': (left, right) => match(left, right, true, false),
-	'!~~': (left, right) => match(left, right, true, true),
-	'~~*': (left, right) => match(left, right, false, false),
-	'!~~*': (left, right) => match(left, right, false, true),
+const textOperators: Readonly<Record<string, (left: Expression, right: Expression) => Expression>> = {
+	'||': (left, right) => compileBinary(sqlTypes.text, resolveUnknownType(left), resolveUnknownType(right), (a, b) => formatValue(a) + formatValue(b)),
+	'~~': (left, right) => compileLike(left, right, true, false),
+	'!~~': (left, right) => compileLike(left, right, true, true),
+	'~~*': (left, right) => compileLike(left, right, false, false),
+	'!~~*': (left, right) => compileLike(left, right, false, true),
 };
 
 /** Applies an operator by its name. */
@@ -154,27 +154,27 @@
 	}
 
 	if (name in arithmetic) {
-		return calculate(name, left, right);
+		return compileArithmetic(name, left, right);
 	}
 
-	if (name in others) {
-		return others[name](left, right);
+	if (name in textOperators) {
+		return textOperators[name](left, right);
 	}
 
 	throw missingOperator(name, left, right);
 }
 
 /** AND and OR with NULL as unknown: `deciding` decides at once. */
-export function combineConditions(conditions: readonly Expression[], deciding: boolean): Expression {
+export function combineConditions(conditions: readonly Expression[], decidingValue: boolean): Expression {
 	return {
 		type: sqlTypes.bool,
 		readsRow: conditions.some(condition => condition.readsRow),
 		evaluate(evaluation) {
-			let result: SqlValue = !deciding;
+			let result: SqlValue = !decidingValue;
 			for (const condition of conditions) {
 				const value = condition.evaluate(evaluation);
-				if (value === deciding) {
-					return deciding;
+				if (value === decidingValue) {
+					return decidingValue;
 				}
 
 				result = value === undefined ? undefined : result;
--- a/standins/endpoint/sql/planner.ts
+++ b/standins/endpoint/sql/planner.ts
@@ -87,11 +87,11 @@
 
 	/** The statements of a simple query, with its literals as parameters where that is safe. */
 	parseSimple(text: string): SimpleQuery {
-		const lifted = parameteriseLiterals(text);
-		if (lifted) {
+		const parameterised = parameteriseLiterals(text);
+		if (parameterised) {
 			try {
-				const statements = this.parse(lifted.shape);
-				return {statements, declaredTypes: lifted.declaredTypes, literalTexts: lifted.literalTexts};
+				const statements = this.parse(parameterised.shape);
+				return {statements, declaredTypes: parameterised.declaredTypes, literalTexts: parameterised.literalTexts};
 			} catch {
 				// The text itself gives the error that belongs to it.
 			}
--- a/standins/endpoint/sql/query-parameterisation.ts
+++ b/standins/endpoint/sql/query-parameterisation.ts
@@ -14,9 +14,9 @@
 	readonly literalTexts: readonly string[];
 };
 
-const liftable = /^\s*(?:select|insert|update|delete)\b/iv;
+const parameterisablePattern = /^\s*(?:select|insert|update|delete)\b/iv;
 /** Comments, other quotes, parameters and places where a literal is no value. */
-const unliftable = /[$"\\;]|--|\/\*|::|\b(?:order|group|cast|interval|generate_series|date|timestamp|timestamptz)\b/iv;
+const unsafePattern = /[$"\\;]|--|\/\*|::|\b(?:order|group|cast|interval|generate_series|date|timestamp|timestamptz)\b/iv;
 /** A quote after a word character begins a literal of another kind, which is left alone. */
 const literalPattern = /\w'(?:[^']|'')*'|'(?<quoted>(?:[^']|'')*)'|(?<![\w.])(?<number>\d+(?:\.\d+)?)(?![\w.])/gv;
 const maximumInt4 = 2_147_483_647;
@@ -31,20 +31,20 @@
 
 /** Takes the literals out; undefined where that might change what the query means. */
 export function parameteriseLiterals(text: string): ParameterisedQuery | undefined {
-	if (!liftable.test(text) || unliftable.test(text)) {
+	if (!parameterisablePattern.test(text) || unsafePattern.test(text)) {
 		return undefined;
 	}
 
 	const declaredTypes: Array<SqlType | undefined> = [];
-	const texts: string[] = [];
+	const literalTexts: string[] = [];
 	const shape = text.replaceAll(literalPattern, (literal: string, quoted: string | undefined, number: string | undefined) => {
 		if (quoted === undefined && number === undefined) {
 			return literal;
 		}
 
 		declaredTypes.push(quoted === undefined ? numberType(literal) : undefined);
-		texts.push(quoted === undefined ? literal : quoted.replaceAll('\'\'', '\''));
-		return `$${texts.length}`;
+		literalTexts.push(quoted === undefined ? literal : quoted.replaceAll('\'\'', '\''));
+		return `$${literalTexts.length}`;
 	});
-	return texts.length === 0 || texts.some(value => /^\d{16,}$/v.test(value)) ? undefined : {shape, declaredTypes, literalTexts: texts};
+	return literalTexts.length === 0 || literalTexts.some(value => /^\d{16,}$/v.test(value)) ? undefined : {shape, declaredTypes, literalTexts};
 }
--- a/standins/endpoint/sql/select.ts
+++ b/standins/endpoint/sql/select.ts
@@ -22,7 +22,7 @@
 } from './targets.js';
 import type {Transaction} from './transaction.js';
 
-type Sorting = {
+type SortKey = {
 	readonly expression: Expression;
 	readonly sign: number;
 	readonly areNullsFirst: boolean;
@@ -33,7 +33,7 @@
 	readonly targets: readonly Target[];
 	readonly grouping: readonly Expression[];
 	readonly having: Expression | undefined;
-	readonly sortings: readonly Sorting[];
+	readonly sortKeys: readonly SortKey[];
 	readonly limit: Expression | undefined;
 	readonly offset: Expression | undefined;
 	readonly isDistinct: boolean;
@@ -43,7 +43,7 @@
 
 /** Plans a SELECT. */
 export function planSelect(statement: SelectStmt, compilation: Compilation, transaction: Transaction): Plan {
-	refuseUnknown(statement);
+	refuseUnsupported(statement);
 	if (statement.valuesLists) {
 		return planValues(statement.valuesLists, compilation);
 	}
@@ -52,14 +52,14 @@
 	const isLocking = (statement.lockingClause ?? []).length > 0;
 	const columns = columnsOf(parts.targets);
 	if (isLocking) {
-		return {isWrite: true, columns, run: execution => runLocked(parts, execution)};
+		return {isWrite: true, columns, run: execution => runWithLocks(parts, execution)};
 	}
 
-	const isPlain = compilation.sleeps.length === 0;
-	return {isWrite: false, columns, run: execution => isPlain ? runAtOnce(parts, execution) : runAsleep(parts, execution)};
+	const hasNoSleep = compilation.sleeps.length === 0;
+	return {isWrite: false, columns, run: execution => hasNoSleep ? runWithoutWaiting(parts, execution) : runAfterSleeps(parts, execution)};
 }
 
-function refuseUnknown(statement: SelectStmt): void {
+function refuseUnsupported(statement: SelectStmt): void {
 	if (statement.op !== undefined && statement.op !== 'SETOP_NONE') {
 		throw notSupported('UNION, INTERSECT or EXCEPT');
 	}
@@ -83,7 +83,7 @@
 	}
 
 	return {
-		source, targets, grouping, having, sortings, isGrouped, compilation,
+		source, targets, grouping, having, sortKeys: sortings, isGrouped, compilation,
 		limit: planCount(statement.limitCount, compilation),
 		offset: planCount(statement.limitOffset, compilation),
 		isDistinct: (statement.distinctClause ?? []).length > 0,
@@ -120,7 +120,7 @@
 	return named ? named.expression : resolveUnknownType(compileExpression(node, compilation));
 }
 
-function planSorting(sort: SortBy, targets: readonly Target[], compilation: Compilation): Sorting {
+function planSorting(sort: SortBy, targets: readonly Target[], compilation: Compilation): SortKey {
 	const isDescending = sort.sortby_dir === 'SORTBY_DESC';
 	const areNullsFirst = sort.sortby_nulls === 'SORTBY_NULLS_DEFAULT' || sort.sortby_nulls === undefined ? isDescending : sort.sortby_nulls === 'SORTBY_NULLS_FIRST';
 	const expression = referenceOrExpression(sort.node ?? {A_Const: {isnull: true}}, targets, compilation);
@@ -144,40 +144,40 @@
 	return {tag: 'SELECT', rows};
 }
 
-function runAtOnce(parts: SelectParts, execution: Execution): StatementResult {
-	return answer(finish(parts, execution, parts.source.rows(execution.transaction, execution)));
+function runWithoutWaiting(parts: SelectParts, execution: Execution): StatementResult {
+	return answer(computeResult(parts, execution, parts.source.rows(execution.transaction, execution)));
 }
 
-function * runAsleep(parts: SelectParts, execution: Execution): Steps<StatementResult> {
+function * runAfterSleeps(parts: SelectParts, execution: Execution): Steps<StatementResult> {
 	for (const sleep of parts.compilation.sleeps) {
 		const seconds = Number(sleep.evaluate({...execution, row: emptyRow}) ?? 0);
 		yield execution.sleep(seconds * 1000);
 	}
 
-	return runAtOnce(parts, execution);
+	return runWithoutWaiting(parts, execution);
 }
 
 /** SELECT ... FOR UPDATE. */
-function * runLocked(parts: SelectParts, execution: Execution): Steps<StatementResult> {
+function * runWithLocks(parts: SelectParts, execution: Execution): Steps<StatementResult> {
 	const {lockable} = parts.source;
 	if (!lockable) {
-		return runAtOnce(parts, execution);
+		return runWithoutWaiting(parts, execution);
 	}
 
 	const locked = yield * lockRows(lockable.table, lockable.access, execution);
-	return answer(finish(parts, execution, locked.map(([, row]) => row)));
+	return answer(computeResult(parts, execution, locked.map(([, row]) => row)));
 }
 
 /** Groups, sorts and cuts the rows, and computes the result columns. */
-function finish(parts: SelectParts, execution: Execution, rows: readonly Row[]): readonly Row[] {
+function computeResult(parts: SelectParts, execution: Execution, rows: readonly Row[]): readonly Row[] {
 	const {parameters, facts} = execution;
 	let evaluations: Evaluation[] = rows.map(row => ({row, parameters, facts}));
 	if (parts.isGrouped) {
 		evaluations = group(parts, evaluations, {row: emptyRow, parameters, facts});
 	}
 
-	if (parts.sortings.length > 0) {
-		evaluations = sort(parts.sortings, evaluations);
+	if (parts.sortKeys.length > 0) {
+		evaluations = sort(parts.sortKeys, evaluations);
 	}
 
 	let results = evaluations.map(evaluation => evaluateTargets(parts.targets, evaluation));
@@ -185,10 +185,10 @@
 		results = [...new Map(results.map(row => [JSON.stringify(row), row])).values()];
 	}
 
-	return cut(parts, {row: emptyRow, parameters, facts}, results);
+	return applyLimit(parts, {row: emptyRow, parameters, facts}, results);
 }
 
-function group(parts: SelectParts, evaluations: readonly Evaluation[], whole: Evaluation): Evaluation[] {
+function group(parts: SelectParts, evaluations: readonly Evaluation[], emptyGroup: Evaluation): Evaluation[] {
 	const groups = new Map<string, Evaluation[]>();
 	if (parts.grouping.length === 0) {
 		groups.set('', [...evaluations]);
@@ -204,11 +204,11 @@
 		}
 	}
 
-	const grouped = [...groups.values()].map(members => ({...(members.at(0) ?? whole), aggregates: aggregate(parts.compilation.aggregates, members)}));
+	const grouped = [...groups.values()].map(members => ({...(members.at(0) ?? emptyGroup), aggregates: aggregate(parts.compilation.aggregates, members)}));
 	return parts.having ? grouped.filter(evaluation => parts.having?.evaluate(evaluation) === true) : grouped;
 }
 
-function sort(sortings: readonly Sorting[], evaluations: readonly Evaluation[]): Evaluation[] {
+function sort(sortings: readonly SortKey[], evaluations: readonly Evaluation[]): Evaluation[] {
 	const keyed = evaluations.map(evaluation => ({evaluation, keys: sortings.map(({expression}) => expression.evaluate(evaluation))}));
 	keyed.sort((a, b) => {
 		for (const [index, sorting] of sortings.entries()) {
@@ -223,7 +223,7 @@
 	return keyed.map(({evaluation}) => evaluation);
 }
 
-function compareSorted(a: SqlValue, b: SqlValue, {sign, areNullsFirst}: Sorting): number {
+function compareSorted(a: SqlValue, b: SqlValue, {sign, areNullsFirst}: SortKey): number {
 	if (a === undefined || b === undefined) {
 		return a === b ? 0 : ((a === undefined) === areNullsFirst ? -1 : 1);
 	}
@@ -231,7 +231,7 @@
 	return compareValues(a, b) * sign;
 }
 
-function cut(parts: SelectParts, evaluation: Evaluation, rows: Row[]): Row[] {
+function applyLimit(parts: SelectParts, evaluation: Evaluation, rows: Row[]): Row[] {
 	if (!parts.limit && !parts.offset) {
 		return rows;
 	}
--- a/standins/endpoint/sql/session-transaction.ts
+++ b/standins/endpoint/sql/session-transaction.ts
@@ -43,7 +43,7 @@
 	/** The transaction that a statement runs in; it begins here if there is none. */
 	open(): Transaction {
 		if (!this._current) {
-			this._current = this._make();
+			this._current = this._createTransaction();
 			this._startedMs = this._engine.clock.wallClockMs();
 		}
 
@@ -52,7 +52,7 @@
 
 	/** What a statement would run in, without beginning anything. */
 	peek(): Transaction {
-		return this._current ?? this._make();
+		return this._current ?? this._createTransaction();
 	}
 
 	/** BEGIN. */
@@ -88,11 +88,11 @@
 		this._isExplicit = false;
 		this._isFailed = false;
 		if (isFailed) {
-			this._drop();
+			this._discard();
 			return 'ROLLBACK';
 		}
 
-		this._append();
+		this._commitChanges();
 		return 'COMMIT';
 	}
 
@@ -100,20 +100,20 @@
 	rollback(): string {
 		this._isExplicit = false;
 		this._isFailed = false;
-		this._drop();
+		this._discard();
 		return 'ROLLBACK';
 	}
 
 	/** Commits what ran outside BEGIN and COMMIT. */
 	commitImplicit(): void {
 		if (!this._isExplicit) {
-			this._append();
+			this._commitChanges();
 		}
 	}
 
 	/** A statement failed: an explicit transaction can only be rolled back now. */
 	fail(): void {
-		this._drop();
+		this._discard();
 		this._isFailed = this._isExplicit;
 	}
 
@@ -130,15 +130,15 @@
 	abandon(error: SqlError): void {
 		if (this._current) {
 			this._current.terminationError = error;
-			this._drop();
+			this._discard();
 		}
 	}
 
-	private _make(): Transaction {
+	private _createTransaction(): Transaction {
 		return new Transaction(this._engine.instance.database, this._isReadOnlyByDefault());
 	}
 
-	private _append(): void {
+	private _commitChanges(): void {
 		const transaction = this._current;
 		if (!transaction) {
 			return;
@@ -147,7 +147,7 @@
 		try {
 			this._appendChanges(transaction);
 		} finally {
-			this._drop();
+			this._discard();
 		}
 	}
 
@@ -171,7 +171,7 @@
 		this._engine.countCommit();
 	}
 
-	private _drop(): void {
+	private _discard(): void {
 		if (this._current) {
 			this._engine.locks.releaseAll(this._current);
 			this._current = undefined;
--- a/standins/endpoint/sql/session.test.ts
+++ b/standins/endpoint/sql/session.test.ts
@@ -12,7 +12,7 @@
 type Answer = string | ReadonlyArray<readonly SqlValue[]>;
 
 /** Sessions of one instance that is a group of its own. */
-class Bench {
+class SqlHarness {
 	readonly group = new InProcessGroup(['a']);
 	readonly engine = new SqlEngine(this.group.get('a'), this.group.clock, makeRandom(1), 1000);
 
@@ -88,19 +88,19 @@
 	before(loadParser);
 
 	it('answers statements, or refuses them with their SQLSTATE', async () => {
-		const bench = new Bench();
-		const session = bench.session();
+		const harness = new SqlHarness();
+		const session = harness.session();
 		for (const text of setUp) {
-			await bench.run(session, text);
+			await harness.run(session, text);
 		}
 
 		for (const [text, answer, parameters] of statements) {
-			expect([text, await bench.run(session, text, parameters)]).toEqual([text, answer]);
+			expect([text, await harness.run(session, text, parameters)]).toEqual([text, answer]);
 		}
 	});
 
 	it('answers queries the same when their literals are taken out', () => {
-		const {statements: cache} = new Bench().engine;
+		const {statements: cache} = new SqlHarness().engine;
 		const cases: ReadonlyArray<readonly [string, readonly string[]]> = [
 			['SELECT * FROM t WHERE id = 12 AND name = \'it\'\'s\'', ['12', 'it\'s']],
 			['SELECT t1.c2 FROM t1 WHERE x > 1.5 LIMIT 3', ['1.5', '3']],
@@ -119,41 +119,41 @@
 	});
 
 	it('makes writers of one row wait for each other, and refuses a deadlock', async () => {
-		const bench = new Bench();
-		const [one, two] = [bench.session(), bench.session()];
+		const harness = new SqlHarness();
+		const [one, two] = [harness.session(), harness.session()];
 		for (const text of setUp) {
-			await bench.run(one, text);
+			await harness.run(one, text);
 		}
 
-		await bench.run(one, 'BEGIN; UPDATE items SET stock = 10 WHERE id = 1');
-		await bench.run(two, 'BEGIN; UPDATE items SET stock = 20 WHERE id = 2');
-		const waiting = bench.run(two, 'UPDATE items SET stock = stock + 1 WHERE id = 1 RETURNING stock');
-		expect(await bench.run(one, 'UPDATE items SET stock = 0 WHERE id = 2')).toEqual('40P01');
+		await harness.run(one, 'BEGIN; UPDATE items SET stock = 10 WHERE id = 1');
+		await harness.run(two, 'BEGIN; UPDATE items SET stock = 20 WHERE id = 2');
+		const waiting = harness.run(two, 'UPDATE items SET stock = stock + 1 WHERE id = 1 RETURNING stock');
+		expect(await harness.run(one, 'UPDATE items SET stock = 0 WHERE id = 2')).toEqual('40P01');
 		expect(await waiting).toEqual([[1]]);
-		expect(await bench.run(one, 'ROLLBACK; SELECT stock FROM items WHERE id = 1')).toEqual([[0]]);
-		const tooLong = bench.run(one, 'DELETE FROM items WHERE id = 2');
-		await bench.group.clock.advance(1001);
+		expect(await harness.run(one, 'ROLLBACK; SELECT stock FROM items WHERE id = 1')).toEqual([[0]]);
+		const tooLong = harness.run(one, 'DELETE FROM items WHERE id = 2');
+		await harness.group.clock.advance(1001);
 		expect(await tooLong).toEqual('55P03');
-		const forUpdate = bench.run(one, 'SELECT stock FROM items WHERE id = 2 FOR UPDATE');
-		await bench.run(two, 'COMMIT');
+		const forUpdate = harness.run(one, 'SELECT stock FROM items WHERE id = 2 FOR UPDATE');
+		await harness.run(two, 'COMMIT');
 		expect(await forUpdate).toEqual([[20]]);
 	});
 
 	it('ends write transactions when the instance steps down, and lets reads go on', async () => {
-		const bench = new Bench();
-		const [writer, reader, waiter] = [bench.session(), bench.session(), bench.session()];
+		const harness = new SqlHarness();
+		const [writer, reader, waiter] = [harness.session(), harness.session(), harness.session()];
 		for (const text of setUp) {
-			await bench.run(writer, text);
+			await harness.run(writer, text);
 		}
 
-		await bench.run(writer, 'BEGIN; DELETE FROM items WHERE id = 1');
-		await bench.run(reader, 'BEGIN; SELECT * FROM items');
-		const waiting = bench.run(waiter, 'UPDATE items SET stock = 1 WHERE id = 1');
-		bench.group.get('a').raiseTerm(2, 'claim');
+		await harness.run(writer, 'BEGIN; DELETE FROM items WHERE id = 1');
+		await harness.run(reader, 'BEGIN; SELECT * FROM items');
+		const waiting = harness.run(waiter, 'UPDATE items SET stock = 1 WHERE id = 1');
+		harness.group.get('a').raiseTerm(2, 'claim');
 		expect(await waiting).toEqual('25006');
-		expect(await bench.run(writer, 'COMMIT')).toEqual('25006');
+		expect(await harness.run(writer, 'COMMIT')).toEqual('25006');
 		expect(writer.status).toEqual('I');
-		expect(await bench.run(reader, 'SELECT count(*) FROM items')).toEqual([[3]]);
-		expect(await bench.run(reader, 'DELETE FROM items')).toEqual('25006');
+		expect(await harness.run(reader, 'SELECT count(*) FROM items')).toEqual([[3]]);
+		expect(await harness.run(reader, 'DELETE FROM items')).toEqual('25006');
 	});
 });
--- a/standins/endpoint/sql/session.ts
+++ b/standins/endpoint/sql/session.ts
@@ -157,7 +157,7 @@
 		const transaction = this.transaction.open();
 		const {plan} = this._plan(statement, declaredTypes, transaction);
 		if (plan.isWrite) {
-			this._refuseWrite(transaction);
+			this._checkWritable(transaction);
 		}
 
 		const execution: Execution = {
@@ -208,7 +208,7 @@
 		}
 	}
 
-	private _refuseWrite(transaction: Transaction): void {
+	private _checkWritable(transaction: Transaction): void {
 		if (!this._engine.instance.isPrimary) {
 			throw new SqlError('25006', 'cannot write on a replica');
 		}
--- a/standins/endpoint/sql/settings.ts
+++ b/standins/endpoint/sql/settings.ts
@@ -26,11 +26,11 @@
 
 /** Parameters with their values. */
 export class SessionSettings {
-	private readonly _changed = new Map<string, string>();
+	private readonly _overrides = new Map<string, string>();
 
 	/** Value of a parameter; undefined when there is none. */
 	value(name: string): string | undefined {
-		return this._changed.get(name.toLowerCase()) ?? defaults[name.toLowerCase()];
+		return this._overrides.get(name.toLowerCase()) ?? defaults[name.toLowerCase()];
 	}
 
 	/** Value of a parameter that must be there. */
@@ -49,18 +49,18 @@
 		if (statement.kind === 'VAR_RESET_ALL') {
 			this.reset();
 		} else if (statement.kind === 'VAR_SET_VALUE') {
-			this._changed.set(name, argumentTexts(statement).join(', '));
+			this._overrides.set(name, argumentTexts(statement).join(', '));
 		} else {
-			this._changed.delete(name);
+			this._overrides.delete(name);
 		}
 	}
 
 	set(name: string, value: string): void {
-		this._changed.set(name, value);
+		this._overrides.set(name, value);
 	}
 
 	reset(): void {
-		this._changed.clear();
+		this._overrides.clear();
 	}
 }
 
--- a/standins/endpoint/store/database.ts
+++ b/standins/endpoint/store/database.ts
@@ -51,11 +51,11 @@
 	private _applyOne(change: Change): Undo {
 		switch (change.kind) {
 			case 'put': {
-				return this._restorer(change.table, change.key, this._table(change.table).put(change.key, change.row));
+				return this._undoOfRow(change.table, change.key, this._table(change.table).put(change.key, change.row));
 			}
 
 			case 'remove': {
-				return this._restorer(change.table, change.key, this._table(change.table).remove(change.key));
+				return this._undoOfRow(change.table, change.key, this._table(change.table).remove(change.key));
 			}
 
 			case 'createTable': {
@@ -68,7 +68,7 @@
 		}
 	}
 
-	private _restorer(name: string, key: string, before: Row | undefined): Undo {
+	private _undoOfRow(name: string, key: string, before: Row | undefined): Undo {
 		return () => {
 			const table = this._table(name);
 			if (before) {
--- a/standins/endpoint/store/table.ts
+++ b/standins/endpoint/store/table.ts
@@ -4,14 +4,14 @@
 import type {Row, SqlValue, TableDefinition} from '../types.js';
 
 /** Name under which a row without a primary key is kept, in front of its number. */
-const hiddenKeyMark = '#';
+const hiddenKeyPrefix = '#';
 
 /** Rows by key. Only the log changes it. */
 export class Table {
 	readonly definition: TableDefinition;
 	readonly rows = new Map<string, Row>();
 	/** Next number of a serial column or of a hidden key; shared by all serials of the table. */
-	private _nextNumber = 1;
+	private _nextSequenceValue = 1;
 	private readonly _serialColumns: readonly number[];
 
 	constructor(definition: TableDefinition) {
@@ -26,22 +26,22 @@
 
 	/** Takes the next number; numbers of rolled back transactions are lost, as in any sequence. */
 	nextSequenceValue(): number {
-		const number = this._nextNumber;
-		this._nextNumber += 1;
+		const number = this._nextSequenceValue;
+		this._nextSequenceValue += 1;
 		return number;
 	}
 
 	/** Key of a row; a row without primary key gets a hidden number. */
 	keyOf(row: Row): string {
 		const {keyColumns} = this.definition;
-		return keyColumns.length === 0 ? hiddenKeyMark + this.nextSequenceValue() : encodeKey(keyColumns.map(index => row[index]));
+		return keyColumns.length === 0 ? hiddenKeyPrefix + this.nextSequenceValue() : encodeKey(keyColumns.map(index => row[index]));
 	}
 
 	/** Puts a row and returns the one that was there. */
 	put(key: string, row: Row): Row | undefined {
 		const before = this.rows.get(key);
 		this.rows.set(key, row);
-		this._noteNumbers(key, row);
+		this._advanceSequence(key, row);
 		return before;
 	}
 
@@ -53,13 +53,13 @@
 	}
 
 	/** Keeps the counter ahead of every number in the table, so that a new primary goes on from there. */
-	private _noteNumbers(key: string, row: Row): void {
+	private _advanceSequence(key: string, row: Row): void {
 		if (this.definition.keyColumns.length === 0) {
-			this._nextNumber = Math.max(this._nextNumber, Number(key.slice(hiddenKeyMark.length)) + 1);
+			this._nextSequenceValue = Math.max(this._nextSequenceValue, Number(key.slice(hiddenKeyPrefix.length)) + 1);
 		}
 
 		for (const index of this._serialColumns) {
-			this._nextNumber = Math.max(this._nextNumber, Number(row[index] ?? 0) + 1);
+			this._nextSequenceValue = Math.max(this._nextSequenceValue, Number(row[index] ?? 0) + 1);
 		}
 	}
 }
--- a/standins/endpoint/wire/backend-message-writer.ts
+++ b/standins/endpoint/wire/backend-message-writer.ts
@@ -10,7 +10,7 @@
 const initialSizeBytes = 8192;
 
 /** Codes of the messages that a server sends. */
-const codes = {
+const messageTypes = {
 	authentication: 0x52,
 	parameterStatus: 0x53,
 	backendKeyData: 0x4B,
@@ -49,33 +49,33 @@
 	}
 
 	authenticationOk(): void {
-		this._begin(codes.authentication);
+		this._begin(messageTypes.authentication);
 		this._int32(0);
 		this._end();
 	}
 
 	parameterStatus(name: string, value: string): void {
-		this._begin(codes.parameterStatus);
+		this._begin(messageTypes.parameterStatus);
 		this._cString(name);
 		this._cString(value);
 		this._end();
 	}
 
 	backendKeyData(processId: number, secret: number): void {
-		this._begin(codes.backendKeyData);
+		this._begin(messageTypes.backendKeyData);
 		this._int32(processId);
 		this._int32(secret);
 		this._end();
 	}
 
 	readyForQuery(status: string): void {
-		this._begin(codes.readyForQuery);
+		this._begin(messageTypes.readyForQuery);
 		this._byte(status.codePointAt(0) ?? 0);
 		this._end();
 	}
 
 	rowDescription(columns: readonly ResultColumn[]): void {
-		this._begin(codes.rowDescription);
+		this._begin(messageTypes.rowDescription);
 		this._int16(columns.length);
 		for (const {name, type} of columns) {
 			this._cString(name);
@@ -91,7 +91,7 @@
 	}
 
 	dataRow(row: Row): void {
-		this._begin(codes.dataRow);
+		this._begin(messageTypes.dataRow);
 		this._int16(row.length);
 		for (const value of row) {
 			if (value === undefined) {
@@ -105,13 +105,13 @@
 	}
 
 	commandComplete(tag: string): void {
-		this._begin(codes.commandComplete);
+		this._begin(messageTypes.commandComplete);
 		this._cString(tag);
 		this._end();
 	}
 
 	parameterDescription(oids: readonly number[]): void {
-		this._begin(codes.parameterDescription);
+		this._begin(messageTypes.parameterDescription);
 		this._int16(oids.length);
 		for (const oid of oids) {
 			this._int32(oid);
@@ -121,7 +121,7 @@
 	}
 
 	error(error: Pick<SqlError, 'sqlState' | 'message'>, severity: 'ERROR' | 'FATAL'): void {
-		this._begin(codes.error);
+		this._begin(messageTypes.error);
 		for (const [field, text] of [['S', severity], ['V', severity], ['C', error.sqlState], ['M', error.message]]) {
 			this._byte(field.codePointAt(0) ?? 0);
 			this._cString(text);
@@ -132,36 +132,36 @@
 	}
 
 	parseComplete(): void {
-		this._empty(codes.parseComplete);
+		this._emptyMessage(messageTypes.parseComplete);
 	}
 
 	bindComplete(): void {
-		this._empty(codes.bindComplete);
+		this._emptyMessage(messageTypes.bindComplete);
 	}
 
 	closeComplete(): void {
-		this._empty(codes.closeComplete);
+		this._emptyMessage(messageTypes.closeComplete);
 	}
 
 	noData(): void {
-		this._empty(codes.noData);
+		this._emptyMessage(messageTypes.noData);
 	}
 
 	portalSuspended(): void {
-		this._empty(codes.portalSuspended);
+		this._emptyMessage(messageTypes.portalSuspended);
 	}
 
 	emptyQuery(): void {
-		this._empty(codes.emptyQuery);
+		this._emptyMessage(messageTypes.emptyQuery);
 	}
 
-	private _empty(code: number): void {
+	private _emptyMessage(code: number): void {
 		this._begin(code);
 		this._end();
 	}
 
 	private _begin(code: number): void {
-		this._ensure(5);
+		this._ensureCapacity(5);
 		this._start = this._length;
 		this._buffer[this._length] = code;
 		this._length += 5;
@@ -172,18 +172,18 @@
 	}
 
 	private _byte(value: number): void {
-		this._ensure(1);
+		this._ensureCapacity(1);
 		this._buffer[this._length] = value;
 		this._length += 1;
 	}
 
 	private _int16(value: number): void {
-		this._ensure(2);
+		this._ensureCapacity(2);
 		this._length = this._buffer.writeInt16BE(value, this._length);
 	}
 
 	private _int32(value: number): void {
-		this._ensure(4);
+		this._ensureCapacity(4);
 		this._length = this._buffer.writeInt32BE(Math.trunc(value), this._length);
 	}
 
@@ -201,13 +201,13 @@
 
 	/** Room for the longest encoding is made at once, which avoids measuring the text first. */
 	private _text(text: string): number {
-		this._ensure(text.length * 3);
+		this._ensureCapacity(text.length * 3);
 		const sizeBytes = this._buffer.write(text, this._length, 'utf8');
 		this._length += sizeBytes;
 		return sizeBytes;
 	}
 
-	private _ensure(sizeBytes: number): void {
+	private _ensureCapacity(sizeBytes: number): void {
 		if (this._length + sizeBytes > this._buffer.length) {
 			const larger = Buffer.allocUnsafe(Math.max(this._buffer.length * 2, initialSizeBytes, this._length + sizeBytes));
 			this._buffer.copy(larger, 0, 0, this._length);
--- a/standins/endpoint/wire/connection.ts
+++ b/standins/endpoint/wire/connection.ts
@@ -56,7 +56,7 @@
 	private readonly _instance: Instance;
 	private readonly _engine: SqlEngine;
 	private readonly _session: SqlSession;
-	private readonly _port: StatementDispatcher;
+	private readonly _dispatcher: StatementDispatcher;
 	private readonly _protocol: ExtendedProtocol;
 	private readonly _pump: MessagePump;
 	private readonly _rows: RowSender;
@@ -76,7 +76,7 @@
 		this._output = output;
 		this._session = new SqlSession(options.engine, options.identity);
 		this._protocol = new ExtendedProtocol(options.engine.statements);
-		this._port = new StatementDispatcher({
+		this._dispatcher = new StatementDispatcher({
 			instance: this._instance,
 			session: this._session,
 			runner: new StatementRunner(this._session, options.purpose === 'control' ? undefined : options.slots, options.serviceTime, options.engine.clock),
@@ -112,7 +112,7 @@
 		}
 
 		this._writer.backendKeyData(this._identity.processId, this.secret);
-		this._ready();
+		this._sendReadyForQuery();
 		this._flush();
 		void this._pump.run();
 	}
@@ -170,27 +170,27 @@
 				await this._querySingle(statement, query, index === statements.length - 1);
 			}
 		} catch (error) {
-			this._fail(error);
+			this._sendError(error);
 		}
 
-		this._ready();
+		this._sendReadyForQuery();
 	}
 
 	parse(body: Uint8Array): void {
 		const prepared = this._protocol.parse(body);
-		this._port.describe(prepared);
+		this._dispatcher.describe(prepared);
 		this._writer.parseComplete();
 	}
 
 	bind(body: Uint8Array): void {
-		this._protocol.bind(body, prepared => this._port.describe(prepared));
+		this._protocol.bind(body, prepared => this._dispatcher.describe(prepared));
 		this._writer.bindComplete();
 	}
 
 	describe(body: Uint8Array): void {
 		const {kind, name} = readDescribeTarget(body);
 		const prepared = kind === 'S' ? this._protocol.statement(name) : this._protocol.portal(name).prepared;
-		const {parameterTypes, columns} = this._port.describe(prepared);
+		const {parameterTypes, columns} = this._dispatcher.describe(prepared);
 		if (kind === 'S') {
 			this._writer.parameterDescription(parameterTypes.map(type => type.oid));
 		}
@@ -216,12 +216,12 @@
 			return;
 		}
 
-		const result = this._port.run(statement, declaredTypes, portal.parameters);
+		const result = this._dispatcher.run(statement, declaredTypes, portal.parameters);
 		if (result instanceof Promise) {
-			return this._executeLater(result, portal, rowLimit);
+			return this._awaitExecution(result, portal, rowLimit);
 		}
 
-		this._keep(result, portal);
+		this._storeResult(result, portal);
 		this._rows.sendPortalRows(portal, rowLimit);
 	}
 
@@ -254,26 +254,26 @@
 		}
 
 		if (!this._isSkippingToSync || code === 'Q') {
-			return this._guard(handler, frame.body);
+			return this._runExtendedMessage(handler, frame.body);
 		}
 	}
 
 	/** Runs an extended message; its error makes the rest up to Sync be skipped. */
-	private _guard(handler: MessageHandler, body: Uint8Array): void | Promise<void> {
+	private _runExtendedMessage(handler: MessageHandler, body: Uint8Array): void | Promise<void> {
 		try {
 			const pending = handler(this, body);
-			return pending ? this._guardLater(pending) : undefined;
+			return pending ? this._awaitExtendedMessage(pending) : undefined;
 		} catch (error) {
-			this._fail(error);
+			this._sendError(error);
 			this._isSkippingToSync = true;
 		}
 	}
 
-	private async _guardLater(pending: Promise<void>): Promise<void> {
+	private async _awaitExtendedMessage(pending: Promise<void>): Promise<void> {
 		try {
 			await pending;
 		} catch (error) {
-			this._fail(error);
+			this._sendError(error);
 			this._isSkippingToSync = true;
 		}
 	}
@@ -282,29 +282,29 @@
 		const wasSkipping = this._isSkippingToSync;
 		this._isSkippingToSync = false;
 		if (!wasSkipping) {
-			this._finishCycle();
+			this._commitImplicitTransaction();
 		}
 
-		this._ready();
+		this._sendReadyForQuery();
 	}
 
-	private _finishCycle(): void {
+	private _commitImplicitTransaction(): void {
 		try {
 			this._session.commitImplicitTransaction();
 		} catch (error) {
-			this._fail(error);
+			this._sendError(error);
 		}
 	}
 
-	private async _querySingle(statement: ParsedStatement, {declaredTypes, literalTexts: texts}: SimpleQuery, isLast: boolean): Promise<void> {
-		const {columns, parameterTypes} = this._port.describe({statement, declaredTypes});
-		if (parameterTypes.length > texts.length) {
-			throw new SqlError('42P02', `there is no parameter $${texts.length + 1}`);
+	private async _querySingle(statement: ParsedStatement, {declaredTypes, literalTexts}: SimpleQuery, isLast: boolean): Promise<void> {
+		const {columns, parameterTypes} = this._dispatcher.describe({statement, declaredTypes});
+		if (parameterTypes.length > literalTexts.length) {
+			throw new SqlError('42P02', `there is no parameter $${literalTexts.length + 1}`);
 		}
 
-		const parameters = texts.map((text, index) => parameterTypes[index].read(text));
-		const pending = this._port.run(statement, declaredTypes, parameters);
-		const result = pending instanceof Promise ? await this._flushed(pending) : pending;
+		const parameters = literalTexts.map((text, index) => parameterTypes[index].read(text));
+		const pending = this._dispatcher.run(statement, declaredTypes, parameters);
+		const result = pending instanceof Promise ? await this._flushAndAwait(pending) : pending;
 		if (isLast) {
 			this._session.commitImplicitTransaction();
 		}
@@ -317,26 +317,26 @@
 	}
 
 	/** Hands over the answers of earlier requests before waiting. */
-	private async _flushed(pending: Promise<StatementResult>): Promise<StatementResult> {
+	private async _flushAndAwait(pending: Promise<StatementResult>): Promise<StatementResult> {
 		this._flush();
 		return pending;
 	}
 
-	private async _executeLater(pending: Promise<StatementResult>, portal: Portal, rowLimit: number): Promise<void> {
-		this._keep(await this._flushed(pending), portal);
+	private async _awaitExecution(pending: Promise<StatementResult>, portal: Portal, rowLimit: number): Promise<void> {
+		this._storeResult(await this._flushAndAwait(pending), portal);
 		this._rows.sendPortalRows(portal, rowLimit);
 	}
 
-	private _keep({tag, rows = []}: StatementResult, portal: Portal): void {
+	private _storeResult({tag, rows = []}: StatementResult, portal: Portal): void {
 		portal.rest = {rows, tag, sentCount: 0};
 	}
 
-	private _fail(error: unknown): void {
+	private _sendError(error: unknown): void {
 		this._session.failTransaction();
 		this._writer.error(error instanceof SqlError ? error : new SqlError('XX000', String(error)), 'ERROR');
 	}
 
-	private _ready(): void {
+	private _sendReadyForQuery(): void {
 		const {status} = this._session;
 		const {applied} = this._instance;
 		if (status === 'I') {
--- a/standins/endpoint/wire/control-commands.ts
+++ b/standins/endpoint/wire/control-commands.ts
@@ -17,15 +17,15 @@
 /** An order that can be described and run. */
 export type ControlCommand = {
 	readonly columns: readonly ResultColumn[];
-	run(instance: Instance, binding: unknown): StatementResult;
+	run(instance: Instance, controlConnection: unknown): StatementResult;
 };
 
-type OrderArgument = string | number | boolean;
+type CommandArgument = string | number | boolean;
 
-type OrderDefinition = {
+type CommandDefinition = {
 	readonly columns: readonly string[];
 	readonly arguments: ReadonlyArray<'number' | 'string' | 'boolean'>;
-	readonly run: (instance: Instance, values: readonly OrderArgument[], binding: unknown) => readonly string[];
+	readonly run: (instance: Instance, values: readonly CommandArgument[], controlConnection: unknown) => readonly string[];
 };
 
 /** Text of a state, as it is reported. */
@@ -41,7 +41,7 @@
 const claimColumns = ['accepted', 'state'];
 const attachColumns = ['accepted', 'holder'];
 
-const orders: Readonly<Record<string, OrderDefinition>> = {
+const commands: Readonly<Record<string, CommandDefinition>> = {
 	quetzalstream_state: {
 		columns: ['state'], arguments: [], run: instance => [formatState(instance.state)],
 	},
@@ -57,8 +57,8 @@
 	quetzalstream_attach: {
 		columns: attachColumns,
 		arguments: ['string', 'boolean'],
-		run(instance, [homeId, isForced], binding) {
-			const answer = instance.attachment.attach(String(homeId), Boolean(isForced), binding);
+		run(instance, [homeId, isForced], controlConnection) {
+			const answer = instance.attachment.attach(String(homeId), Boolean(isForced), controlConnection);
 			return [answer.isAccepted ? 't' : 'f', answer.holder];
 		},
 	},
@@ -75,7 +75,7 @@
 /** The order in a statement; undefined when it is none. */
 export function findControlCommand(statement: ParsedStatement): ControlCommand | undefined {
 	const call = 'SelectStmt' in statement.node ? singleCall(statement.node.SelectStmt) : undefined;
-	const definition = call && orders[namesOf(call.funcname).at(-1) ?? ''] as OrderDefinition | undefined;
+	const definition = call && commands[namesOf(call.funcname).at(-1) ?? ''] as CommandDefinition | undefined;
 	if (!call || !definition) {
 		return undefined;
 	}
@@ -87,7 +87,7 @@
 
 	return {
 		columns: definition.columns.map(name => ({name, type: sqlTypes.text})),
-		run: (instance, binding) => ({tag: 'SELECT', rows: [definition.run(instance, values, binding)]}),
+		run: (instance, controlConnection) => ({tag: 'SELECT', rows: [definition.run(instance, values, controlConnection)]}),
 	};
 }
 
@@ -97,7 +97,7 @@
 	return value && 'FuncCall' in value && !statement.fromClause ? value.FuncCall : undefined;
 }
 
-function constantOf(node: Node): OrderArgument {
+function constantOf(node: Node): CommandArgument {
 	const constant: Constant = 'A_Const' in node ? node.A_Const : {isnull: true};
 	if (constant.isnull) {
 		throw new SqlError('42601', 'an order takes constants');
--- a/standins/endpoint/wire/frame-reader.ts
+++ b/standins/endpoint/wire/frame-reader.ts
@@ -17,11 +17,11 @@
 export class FrameReader {
 	private _chunk = asReadable(Buffer.alloc(0));
 	private _offset = 0;
-	private readonly _waiting: Uint8Array[] = [];
+	private readonly _pendingChunks: Uint8Array[] = [];
 
 	/** Adds bytes that have arrived. */
 	add(bytes: Uint8Array): void {
-		this._waiting.push(bytes);
+		this._pendingChunks.push(bytes);
 	}
 
 	/** The next whole message; undefined when more bytes are needed. */
@@ -51,12 +51,12 @@
 			return true;
 		}
 
-		if (this._waiting.length === 0) {
+		if (this._pendingChunks.length === 0) {
 			return false;
 		}
 
-		this._chunk = available === 0 && this._waiting.length === 1 ? asReadable(this._waiting[0]) : Buffer.concat([this._chunk.subarray(this._offset), ...this._waiting]);
-		this._waiting.length = 0;
+		this._chunk = available === 0 && this._pendingChunks.length === 1 ? asReadable(this._pendingChunks[0]) : Buffer.concat([this._chunk.subarray(this._offset), ...this._pendingChunks]);
+		this._pendingChunks.length = 0;
 		this._offset = 0;
 		return this._chunk.length >= sizeBytes;
 	}
--- a/standins/endpoint/wire/gated-socket.ts
+++ b/standins/endpoint/wire/gated-socket.ts
@@ -11,10 +11,10 @@
 	/** Who is on the other side, once that is known. */
 	peer: string | undefined;
 	private readonly _isHeldFor: (peer: string | undefined) => boolean;
-	private _kept: Uint8Array[] = [];
+	private _heldWrites: Uint8Array[] = [];
 	private _isEnding = false;
 	private _isHeld = false;
-	private _onReleased: Array<() => void> = [];
+	private _releaseListeners: Array<() => void> = [];
 
 	constructor(socket: Socket, isHeldFor: (peer: string | undefined) => boolean) {
 		this.socket = socket;
@@ -62,7 +62,7 @@
 
 	write(bytes: Uint8Array): void {
 		if (this._isHeld) {
-			this._kept.push(bytes);
+			this._heldWrites.push(bytes);
 		} else if (this.socket.writable) {
 			this.socket.write(bytes);
 		}
@@ -80,7 +80,7 @@
 	async whenReleased(): Promise<void> {
 		if (this._isHeld) {
 			await new Promise<void>(resolve => {
-				this._onReleased.push(resolve);
+				this._releaseListeners.push(resolve);
 			});
 		}
 	}
@@ -97,25 +97,25 @@
 	}
 
 	dispose(): void {
-		this._kept = [];
+		this._heldWrites = [];
 		this.socket.destroy();
 	}
 
 	private _release(): void {
-		for (const bytes of this._kept) {
+		for (const bytes of this._heldWrites) {
 			this.socket.write(bytes);
 		}
 
-		this._kept = [];
+		this._heldWrites = [];
 		this.flow();
 		if (this._isEnding) {
 			this.socket.end();
 		}
 
-		for (const resolve of this._onReleased) {
+		for (const resolve of this._releaseListeners) {
 			resolve();
 		}
 
-		this._onReleased = [];
+		this._releaseListeners = [];
 	}
 }
--- a/standins/endpoint/wire/message-pump.ts
+++ b/standins/endpoint/wire/message-pump.ts
@@ -43,7 +43,7 @@
 					}
 				} else {
 					this._handler.onInputDrained();
-					await this._arrival();
+					await this._waitForBytes();
 				}
 			}
 		} catch (error) {
@@ -56,7 +56,7 @@
 		this._wake?.();
 	}
 
-	private async _arrival(): Promise<void> {
+	private async _waitForBytes(): Promise<void> {
 		await new Promise<void>(resolve => {
 			this._wake = resolve;
 		});
--- a/standins/endpoint/wire/server.ts
+++ b/standins/endpoint/wire/server.ts
@@ -39,7 +39,7 @@
 	readonly byPurpose: Readonly<Record<ConnectionPurpose, number>>;
 };
 
-type Admitted = {
+type AdmittedConnection = {
 	readonly purpose: ConnectionPurpose;
 	/** Home or observer that the connection belongs to. */
 	readonly owner: string;
@@ -52,13 +52,13 @@
 	readonly password: string | undefined;
 	readonly authentication: 'md5' | 'cleartext';
 	private readonly _settings: EndpointSettings;
-	private readonly _served: () => InstanceServices;
+	private readonly _instanceServices: () => InstanceServices;
 	private readonly _faults: EndpointFaults;
 	private readonly _clock: Clock;
 	private readonly _random: Random;
 	private readonly _serviceTime: ServiceTime;
 	private readonly _gates = new Set<GatedSocket>();
-	private readonly _admitted = new Map<GatedSocket, Admitted>();
+	private readonly _admitted = new Map<GatedSocket, AdmittedConnection>();
 	private readonly _connections = new Map<number, Connection>();
 	private _server: Server | undefined;
 	private _port = 0;
@@ -75,7 +75,7 @@
 		this.password = settings.password;
 		this.authentication = settings.authentication;
 		this._settings = settings;
-		this._served = served;
+		this._instanceServices = served;
 		this._faults = faults;
 		this._clock = host.clock;
 		this._random = host.random;
@@ -110,7 +110,7 @@
 		});
 		const address = server.address();
 		this._port = typeof address === 'object' && address ? address.port : this._port;
-		this._beat();
+		this._armHeartbeat();
 	}
 
 	/** Refuses connections from now on and drops those there are. */
@@ -173,12 +173,12 @@
 
 		this._admitted.set(gate, {purpose, owner, connection: undefined});
 		this._peak = Math.max(this._peak, this._admitted.size);
-		await this._payConnectCost();
+		await this._delayConnect();
 		return undefined;
 	}
 
 	onAuthenticated(parameters: ClientParameters, gate: GatedSocket): void {
-		const {engine, slots} = this._served();
+		const {engine, slots} = this._instanceServices();
 		const admitted = this._admitted.get(gate);
 		if (!admitted) {
 			const sender = new ReplicationSender(engine.instance, gate);
@@ -246,14 +246,14 @@
 			return new SqlError('3D000', `database "${parameters.database}" does not exist`);
 		}
 
-		if (purpose === 'work' && this._served().engine.instance.attachment.holder !== owner) {
+		if (purpose === 'work' && this._instanceServices().engine.instance.attachment.holder !== owner) {
 			return notAttached(owner);
 		}
 
 		return this._admitted.size >= this._settings.connections ? new SqlError('53300', 'too many connections') : undefined;
 	}
 
-	private async _payConnectCost(): Promise<void> {
+	private async _delayConnect(): Promise<void> {
 		if (this._settings.connectCostMs > 0) {
 			await new Promise<void>(resolve => {
 				this._clock.setTimer(this._settings.connectCostMs, resolve);
@@ -283,12 +283,12 @@
 		}
 	}
 
-	private _beat(): void {
-		const {role} = this._served().engine.instance.state;
+	private _armHeartbeat(): void {
+		const {role} = this._instanceServices().engine.instance.state;
 		const {heartbeatMs, primaryHeartbeatMs} = stateReports;
 		this._heartbeatTimer = this._clock.setTimer(role === 'primary' ? primaryHeartbeatMs : heartbeatMs, () => {
 			this._reportState();
-			this._beat();
+			this._armHeartbeat();
 		});
 	}
 }
--- a/standins/endpoint/wire/start-up.ts
+++ b/standins/endpoint/wire/start-up.ts
@@ -27,17 +27,17 @@
 /** Speaks the start-up phase; afterwards the socket is handed over. */
 class StartUp extends PostgresConnection {
 	private readonly _gate: GatedSocket;
-	private readonly _host: StartUpHandler;
+	private readonly _handler: StartUpHandler;
 
 	constructor(gate: GatedSocket, host: StartUpHandler) {
 		super(gate.socket, {
 			authMode: authModeOf(host),
-			onMessage: (data, state) => this._takeCancel(asReadable(data), state),
-			onStartup: async state => this._refuse(state),
-			validateCredentials: async credentials => areValid(credentials, host),
+			onMessage: (data, state) => this._handleCancelRequest(asReadable(data), state),
+			onStartup: async state => this._rejectIfNotAdmitted(state),
+			validateCredentials: async credentials => areCredentialsValid(credentials, host),
 		});
 		this._gate = gate;
-		this._host = host;
+		this._handler = host;
 	}
 
 	begin(): void {
@@ -52,11 +52,11 @@
 	override async completeAuthentication(): Promise<void> {
 		this.isAuthenticated = true;
 		this.detach();
-		this._host.onAuthenticated(this.clientInfo?.parameters ?? {user: ''}, this._gate);
+		this._handler.onAuthenticated(this.clientInfo?.parameters ?? {user: ''}, this._gate);
 	}
 
-	private async _refuse({clientInfo}: State): Promise<boolean> {
-		const error = await this._host.admit(clientInfo?.parameters ?? {user: ''}, this._gate);
+	private async _rejectIfNotAdmitted({clientInfo}: State): Promise<boolean> {
+		const error = await this._handler.admit(clientInfo?.parameters ?? {user: ''}, this._gate);
 		if (error) {
 			rejectConnection(this._gate, error);
 		}
@@ -64,12 +64,12 @@
 		return error !== undefined;
 	}
 
-	private _takeCancel(data: ReadableBytes, {hasStarted}: State): boolean {
+	private _handleCancelRequest(data: ReadableBytes, {hasStarted}: State): boolean {
 		if (hasStarted || data.length !== cancelRequestSizeBytes || data.readInt32BE(4) !== cancelRequestCode) {
 			return false;
 		}
 
-		this._host.onCancel(data.readInt32BE(8), data.readInt32BE(12));
+		this._handler.onCancel(data.readInt32BE(8), data.readInt32BE(12));
 		this._gate.end();
 		return true;
 	}
@@ -96,7 +96,7 @@
 	return host.authentication === 'md5' ? 'md5Password' : 'cleartextPassword';
 }
 
-async function areValid(credentials: Credentials, {user, password = ''}: StartUpHandler): Promise<boolean> {
+async function areCredentialsValid(credentials: Credentials, {user, password = ''}: StartUpHandler): Promise<boolean> {
 	if (credentials.user !== user) {
 		return false;
 	}
--- a/standins/endpoint/wire/statement-dispatcher.ts
+++ b/standins/endpoint/wire/statement-dispatcher.ts
@@ -28,7 +28,7 @@
 	}
 
 	describe({statement, declaredTypes}: PreparedStatement): StatementDescription {
-		const order = this._order(statement);
+		const order = this._controlCommand(statement);
 		if (order) {
 			return {parameterTypes: [], columns: order.columns};
 		}
@@ -38,11 +38,11 @@
 
 	/** Gives the result at once where nothing must be waited for. */
 	run(...[statement, declaredTypes, parameters]: Parameters<StatementRunner['run']>): StatementResult | Promise<StatementResult> {
-		const order = this._order(statement);
+		const order = this._controlCommand(statement);
 		return order ? order.run(this._options.instance, this._options.controlConnection) : this._options.runner.run(statement, declaredTypes, parameters);
 	}
 
-	private _order(statement: PreparedStatement['statement']): ControlCommand | undefined {
+	private _controlCommand(statement: PreparedStatement['statement']): ControlCommand | undefined {
 		return statement && this._options.isControl ? findControlCommand(statement) : undefined;
 	}
 }
--- a/standins/endpoint/wire/statement-runner.ts
+++ b/standins/endpoint/wire/statement-runner.ts
@@ -43,7 +43,7 @@
 		const wait = this._slots?.acquire();
 		const serviceMs = isDataStatement(statement) ? this._serviceTime.nextMs() : 0;
 		if (wait ?? serviceMs > 0) {
-			return this._runLater(wait, serviceMs, async () => this._session.execute(statement, declaredTypes, parameters));
+			return this._runAfterWaiting(wait, serviceMs, async () => this._session.execute(statement, declaredTypes, parameters));
 		}
 
 		let isPending = false;
@@ -62,7 +62,7 @@
 		}
 	}
 
-	private async _runLater(wait: ReturnType<StatementSlots['acquire']>, serviceMs: number, execute: () => StatementResult | Promise<StatementResult>): Promise<StatementResult> {
+	private async _runAfterWaiting(wait: ReturnType<StatementSlots['acquire']>, serviceMs: number, execute: () => StatementResult | Promise<StatementResult>): Promise<StatementResult> {
 		if (wait) {
 			await this._session.waitFor(wait);
 		}
--- a/standins/line/events.test.ts
+++ b/standins/line/events.test.ts
@@ -17,17 +17,17 @@
 const replacedWithinMs = 6000;
 
 describe('log events of leases and promotions', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(nodes: number): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		await bench.start(nodes);
-		return bench;
+		cluster = new LineTestCluster();
+		await cluster.start(nodes);
+		return cluster;
 	}
 
 	/** Ends the primary and lets a node replace it; resolves with the node that did. */
 	async function replacePrimary(): Promise<LineTestNode> {
-		const {clock, group, nodes, ordered} = bench;
+		const {clock, group, nodes, ordered} = cluster;
 		await nodes[0].session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
 		group.instance('i-1').isUp = false;
@@ -55,7 +55,7 @@
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('name the replica whose proof an acknowledged write rests on', async () => {
@@ -134,7 +134,7 @@
 	it('follow a promotion from its fences over its order to its effect', async () => {
 		await start(3);
 		const promoter = await replacePrimary();
-		const [{id: promoted, epoch}] = bench.ordered;
+		const [{id: promoted, epoch}] = cluster.ordered;
 		const followerId = promoted === 'i-2' ? 'i-3' : 'i-2';
 		expect(promoter.logged('replicaFenced').toSorted((a, b) => String(a.endpoint).localeCompare(String(b.endpoint)))).toEqual(['i-2', 'i-3'].map(endpoint => ({
 			group: service, endpoint, term: 2, epoch, why: promoter.logged('promotionStarted')[0].reason, hasAnswered: true,
@@ -158,8 +158,8 @@
 	it('name on every node who fenced a term, and on whose word a primary was adopted', async () => {
 		await start(3);
 		const promoter = await replacePrimary();
-		const [{holder, epoch}] = bench.ordered;
-		for (const node of bench.nodes) {
+		const [{holder, epoch}] = cluster.ordered;
+		for (const node of cluster.nodes) {
 			const fences = node.logged('termFenced');
 			expect(fences.length > 0).toEqual(true);
 			expect(fences.every(fields => fields.holder === holder && fields.epoch === epoch && fields.term === 1 && fields.isFenced === true)).toEqual(true);
--- a/standins/line/failover.test.ts
+++ b/standins/line/failover.test.ts
@@ -10,34 +10,34 @@
 import type {LineTestNode} from './line-test-cluster.js';
 
 /** Longest time in virtual ms in which writes are tried again. */
-const patienceMs = 15_000;
+const timeoutMs = 15_000;
 
 describe('failover over the line protocol', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(nodes: number): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		await bench.start(nodes);
-		return bench;
+		cluster = new LineTestCluster();
+		await cluster.start(nodes);
+		return cluster;
 	}
 
 	/** Writes until one is acknowledged; resolves with the time that took. */
 	async function writeUntilDone(session: LineTestSession, text: string): Promise<number> {
-		const startedAtMs = bench.clock.nowMs();
-		while (bench.clock.nowMs() - startedAtMs < patienceMs) {
+		const startedAtMs = cluster.clock.nowMs();
+		while (cluster.clock.nowMs() - startedAtMs < timeoutMs) {
 			const answer = await session.send(text);
 			if (answer.startsWith('COMPLETE')) {
-				return bench.clock.nowMs() - startedAtMs;
+				return cluster.clock.nowMs() - startedAtMs;
 			}
 
-			await bench.clock.advance(20);
+			await cluster.clock.advance(20);
 		}
 
-		throw new Error(`no write within ${patienceMs} ms`);
+		throw new Error(`no write within ${timeoutMs} ms`);
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('does not take a primary that nobody asks for a lost one', async () => {
@@ -80,7 +80,7 @@
 		const {clock, group, ordered, nodes} = await start(3);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
-		bench.register('i-1');
+		cluster.register('i-1');
 		await clock.advance(200);
 		await writeUntilDone(session, 'WRITE y 1');
 		expect(ordered.length).toEqual(1);
@@ -224,7 +224,7 @@
 		}
 
 		node.connector.connectionFaults.set('i-1', 'silent');
-		while (group.instances.every(({fencedForTerm: pausedFor}) => pausedFor === 0)) {
+		while (group.instances.every(({fencedForTerm}) => fencedForTerm === 0)) {
 			void session.start('READ x');
 			await clock.advance(10);
 		}
@@ -265,7 +265,7 @@
 			}
 
 			if (ordered.length > 0 && !group.instance('i-2').isPrimary) {
-				bench.register();
+				cluster.register();
 			}
 
 			await other.send(`WRITE new ${round}`);
@@ -280,7 +280,7 @@
 		const {group, ordered, store, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
-		await bench.clock.advance(100);
+		await cluster.clock.advance(100);
 		store.writeAnswersToLose = 1;
 		group.instance('i-1').isUp = false;
 		await writeUntilDone(session, 'WRITE y 1');
@@ -313,7 +313,7 @@
 			await clock.advance(250);
 		}
 
-		expect(group.instances.map(({fencedForTerm: pausedFor}) => pausedFor)).toEqual([0, 0, 0]);
+		expect(group.instances.map(({fencedForTerm}) => fencedForTerm)).toEqual([0, 0, 0]);
 		expect(await answerStartsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
 	});
 
@@ -344,7 +344,7 @@
 			const other = nodes[(round + 1) % 3].session(databases.primary);
 			await writeUntilDone(other, 'WRITE y 1');
 			expect(await answerStartsWith(other.send('READ x'), `DATAROW ${round}|`)).toEqual(true);
-			bench.dispose();
+			cluster.dispose();
 		}
 	});
 
--- a/standins/line/faulty-proxy.ts
+++ b/standins/line/faulty-proxy.ts
@@ -11,18 +11,18 @@
 /** What happens to bytes on their way. */
 export type ProxyMode = 'pass' | 'slow' | 'silent' | 'cutToServer' | 'cutToCaller' | 'refuse';
 
-type Passing = {
+type Forwarding = {
 	readonly toServer: boolean;
 	readonly toCaller: boolean;
 	readonly delayMs: number;
 };
 
 /** Delay of slow links, in milliseconds: well above a hop between zones, below the nodes' time-outs. */
-const slowMs = 60;
+const slowDelayMs = 60;
 
-const passings: Record<ProxyMode, Passing> = {
+const forwardingByMode: Record<ProxyMode, Forwarding> = {
 	pass: {toServer: true, toCaller: true, delayMs: 0},
-	slow: {toServer: true, toCaller: true, delayMs: slowMs},
+	slow: {toServer: true, toCaller: true, delayMs: slowDelayMs},
 	silent: {toServer: false, toCaller: false, delayMs: 0},
 	cutToServer: {toServer: false, toCaller: true, delayMs: 0},
 	cutToCaller: {toServer: true, toCaller: false, delayMs: 0},
@@ -88,23 +88,23 @@
 		}
 
 		const server = connect({...this._target, noDelay: true});
-		this._join(caller, server, 'toServer');
-		this._join(server, caller, 'toCaller');
+		this._forward(caller, server, 'toServer');
+		this._forward(server, caller, 'toCaller');
 	}
 
 	/** Passes bytes and the end of one direction on; a connection that lost bytes never passes any again. */
-	private _join(from: Socket, to: Socket, direction: 'toServer' | 'toCaller'): void {
-		let hasLost = false;
+	private _forward(from: Socket, to: Socket, direction: 'toServer' | 'toCaller'): void {
+		let hasLostBytes = false;
 		this._sockets.add(from);
 		from.on('data', chunk => {
-			const inForce = this._modes.map(mode => passings[mode]);
-			hasLost ||= inForce.some(({[direction]: isPassed}) => !isPassed);
-			if (!hasLost) {
+			const activeForwardings = this._modes.map(mode => forwardingByMode[mode]);
+			hasLostBytes ||= activeForwardings.some(({[direction]: isPassed}) => !isPassed);
+			if (!hasLostBytes) {
 				setTimeout(() => {
 					if (to.writable) {
 						to.write(chunk);
 					}
-				}, Math.max(...inForce.map(({delayMs}) => delayMs)));
+				}, Math.max(...activeForwardings.map(({delayMs}) => delayMs)));
 			}
 		});
 		from.on('error', () => {
--- a/standins/line/instance-server.ts
+++ b/standins/line/instance-server.ts
@@ -17,7 +17,7 @@
 	readonly instance: LineInstance;
 	private readonly _workMs: number;
 	private readonly _server: Server;
-	private readonly _links = new Set<InstanceLink>();
+	private readonly _connections = new Set<InstanceConnection>();
 
 	/** Every statement takes `workMs`. */
 	constructor(instance: LineInstance, workMs: number) {
@@ -35,8 +35,8 @@
 
 	/** Ends every connection at once, as a crash does. */
 	resetConnections(): void {
-		for (const link of this._links) {
-			link.break();
+		for (const link of this._connections) {
+			link.reset();
 		}
 	}
 
@@ -51,21 +51,21 @@
 			return;
 		}
 
-		const link = new InstanceLink(socket, this.instance, this._workMs);
-		this._links.add(link);
+		const link = new InstanceConnection(socket, this.instance, this._workMs);
+		this._connections.add(link);
 		socket.once('close', () => {
-			this._links.delete(link);
+			this._connections.delete(link);
 		});
 	}
 }
 
 /** One connection of a node: answers its lines one after the other. */
-class InstanceLink {
+class InstanceConnection {
 	private readonly _socket: Socket;
 	private readonly _instance: LineInstance;
 	private readonly _workMs: number;
 	private _session: LineInstanceSession | undefined;
-	private _work = Promise.resolve();
+	private _pendingAnswers = Promise.resolve();
 
 	constructor(socket: Socket, instance: LineInstance, workMs: number) {
 		this._socket = socket;
@@ -74,7 +74,7 @@
 		const splitter = new LineSplitter(maximumLineBytes);
 		socket.on('data', chunk => {
 			for (const line of splitter.push(chunk)) {
-				this._work = this._work.then(async () => this._answer(line));
+				this._pendingAnswers = this._pendingAnswers.then(async () => this._answer(line));
 			}
 		});
 		socket.on('error', () => {
@@ -87,7 +87,7 @@
 		});
 	}
 
-	break(): void {
+	reset(): void {
 		resetSocket(this._socket);
 	}
 
@@ -106,7 +106,7 @@
 		await pause(this._workMs);
 		const answer = this._instance.isUp ? this._session.query(first, rest.join(' ')) : undefined;
 		if (answer === undefined) {
-			this.break();
+			this.reset();
 		} else if (this._socket.writable) {
 			this._socket.write(answer);
 		}
--- a/standins/line/large-fleet.test.ts
+++ b/standins/line/large-fleet.test.ts
@@ -11,21 +11,21 @@
 const nodeCount = 24;
 
 describe('a fleet too large for every node to connect to every endpoint', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		await bench.start(nodeCount);
-		return bench;
+		cluster = new LineTestCluster();
+		await cluster.start(nodeCount);
+		return cluster;
 	}
 
 	/** Sends one statement over every node at one time; resolves with the answers. */
 	async function sendOverAll(nodes: readonly LineTestNode[], text: string, database: string): Promise<string[]> {
-		return bench.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(database).start(text))));
+		return cluster.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(database).start(text))));
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('serves reads and writes over every node with few connections to an endpoint', async () => {
@@ -51,27 +51,27 @@
 	// seconds of a third of a core in which the first callers waited, and most of what a node that
 	// starts spends (`npm run bench -- fleet-cost`).
 	it('links a node that is neither home nor asker to homes and askers only', async () => {
-		bench = new LineTestCluster();
+		cluster = new LineTestCluster();
 		const links = new Map<string, Set<string>>();
-		bench.peerCallListener = ({from, to}) => {
+		cluster.peerCallListener = ({from, to}) => {
 			links.set(from, (links.get(from) ?? new Set()).add(to));
 		};
 
-		await bench.start(nodeCount * 2);
+		await cluster.start(nodeCount * 2);
 		for (let round = 0; round < 5; round++) {
-			await sendOverAll(bench.nodes, 'WRITE x 1', databases.primary);
-			await sendOverAll(bench.nodes, 'READ x', databases.own);
-			await bench.clock.advance(1000);
+			await sendOverAll(cluster.nodes, 'WRITE x 1', databases.primary);
+			await sendOverAll(cluster.nodes, 'READ x', databases.own);
+			await cluster.clock.advance(1000);
 		}
 
-		const serving = new Set(bench.nodes.filter(({fleet}) => fleet.isCoordinator).map(({self}) => self.name));
-		for (const endpoint of bench.nodes[0].registry.ofService('svc')) {
-			for (const {name} of bench.nodes[0].fleet.homes(endpoint)) {
+		const serving = new Set(cluster.nodes.filter(({fleet}) => fleet.isCoordinator).map(({self}) => self.name));
+		for (const endpoint of cluster.nodes[0].registry.ofService('svc')) {
+			for (const {name} of cluster.nodes[0].fleet.homes(endpoint)) {
 				serving.add(name);
 			}
 		}
 
-		const strangers = bench.nodes.flatMap(({self}) => [...links.get(self.name) ?? []].filter(peer => !serving.has(peer)));
+		const strangers = cluster.nodes.flatMap(({self}) => [...links.get(self.name) ?? []].filter(peer => !serving.has(peer)));
 		// Before the first nodes knew that the fleet is large, they met each other.
 		expect(strangers.length <= peeringDefaults.homesFrom * peeringDefaults.homesFrom).toEqual(true);
 	});
@@ -84,10 +84,10 @@
 		const joined = {
 			...first.self, name: 'n-late', host: 'n-late', incarnation: '1',
 		};
-		bench.store.put('nodes', joined.name, JSON.stringify(joined));
+		cluster.store.put('nodes', joined.name, JSON.stringify(joined));
 		await clock.advance(1500);
 		expect(new Set(known())).toEqual(new Set([nodeCount + 1]));
-		bench.store.put('nodes', joined.name, JSON.stringify({...joined, incarnation: '2'}));
+		cluster.store.put('nodes', joined.name, JSON.stringify({...joined, incarnation: '2'}));
 		await clock.advance(1500);
 		const starts = nodes.map(({directory}) => directory.others().find(({name}) => name === joined.name)?.incarnation);
 		expect(new Set(starts)).toEqual(new Set(['2']));
@@ -134,7 +134,7 @@
 	it('puts a change of the configuration in force on every node', async () => {
 		const {clock, nodes} = await start();
 		await clock.advance(5000);
-		bench.configure(7);
+		cluster.configure(7);
 		await clock.advance(1500);
 		expect(nodes.map(({catalog}) => catalog.version)).toEqual(nodes.map(() => 7));
 	});
@@ -144,7 +144,7 @@
 		await clock.advance(5000);
 		nodes.find(({fleet}) => fleet.isCoordinator)!.isStoreUnreachable = true;
 		await clock.advance(1000);
-		bench.configure(8);
+		cluster.configure(8);
 		await clock.advance(3000);
 		const behind = nodes.filter(({catalog}) => catalog.version !== 8);
 		expect(behind.length <= 1).toEqual(true);
@@ -196,13 +196,13 @@
 	it('passes changes of followed tables on in batches', async () => {
 		const {clock} = await start();
 		let rowsCalls = 0;
-		bench.peerCallListener = ({kind}) => {
+		cluster.peerCallListener = ({kind}) => {
 			rowsCalls += kind === 'rows' ? 1 : 0;
 		};
 
 		const seconds = 10;
 		for (let step = 0; step < seconds * 20; step++) {
-			bench.register();
+			cluster.register();
 			await clock.advance(50);
 		}
 
@@ -212,10 +212,10 @@
 
 	/** A node that joins a fleet that runs. */
 	async function join(): Promise<LineTestNode> {
-		const late = new LineTestNode('late', 'a', 1, bench);
-		bench.nodes.push(late);
+		const late = new LineTestNode('late', 'a', 1, cluster);
+		cluster.nodes.push(late);
 		late.start();
-		await bench.clock.advance(400);
+		await cluster.clock.advance(400);
 		return late;
 	}
 
@@ -268,9 +268,9 @@
 	});
 
 	it('gives the work for others to large hosts, and to small ones where those are gone', async () => {
-		bench = new LineTestCluster();
-		await bench.start(nodeCount, index => index < 6 ? 1.35 : 0.324);
-		const [node] = bench.nodes;
+		cluster = new LineTestCluster();
+		await cluster.start(nodeCount, index => index < 6 ? 1.35 : 0.324);
+		const [node] = cluster.nodes;
 		const endpoint = node.registry.endpoint('i-1')!;
 		expect(node.fleet.homes(endpoint).map(({cores}) => cores)).toEqual([1.35, 1.35]);
 		for (const {name, cores, availabilityZone} of node.directory.others()) {
@@ -304,7 +304,7 @@
 	it('lets nobody but an asker replace a draining primary, without waiting for a place in a long row', async () => {
 		const {clock, ordered, nodes} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
-		bench.register('i-1');
+		cluster.register('i-1');
 		await clock.advance(2500);
 		expect(ordered.length).toEqual(1);
 		expect(nodes.filter(({fleet}) => fleet.isCoordinator).map(({self}) => self.name).includes(ordered[0].holder)).toEqual(true);
--- a/standins/line/line-group.ts
+++ b/standins/line/line-group.ts
@@ -178,7 +178,7 @@
 
 	/** Questions for states that all instances were asked. */
 	get statusRequests(): number {
-		return this.instances.reduce((sum, {statusRequests: questions}) => sum + questions, 0);
+		return this.instances.reduce((sum, {statusRequests}) => sum + statusRequests, 0);
 	}
 
 	/** Time of the group's clock. */
@@ -212,7 +212,7 @@
 			instance.fencedForTerm = 0;
 		}
 
-		for (const instance of this.instances.filter(other => other === next || isToldOfPromotions(other))) {
+		for (const instance of this.instances.filter(other => other === next || receivesPromotions(other))) {
 			instance.isPrimary = instance === next;
 			instance.term = term;
 			instance.log = instance === next ? instance.log : [...next.log];
@@ -226,7 +226,7 @@
 		instance.isUp = true;
 		instance.fencedForTerm = 0;
 		const leader = this.newerPrimary(instance)
-			?? (instance.isPrimary ? undefined : this._leaders(instance).find(({isUp}) => isUp));
+			?? (instance.isPrimary ? undefined : this._reachablePrimaries(instance).find(({isUp}) => isUp));
 		if (leader) {
 			follow(instance, leader);
 		}
@@ -234,7 +234,7 @@
 
 	/** The leader of a later term that an instance can reach; undefined where it is not left behind. */
 	newerPrimary(instance: LineInstance): LineInstance | undefined {
-		return this._leaders(instance).find(({term}) => term > instance.term);
+		return this._reachablePrimaries(instance).find(({term}) => term > instance.term);
 	}
 
 	/** An instance that was left behind follows the leader of a later term, with that one's log. */
@@ -248,7 +248,7 @@
 
 	/** Keeps that a write took effect. */
 	recordCommit(id: string, primary: LineInstance): void {
-		const isUnreplicable = !this.instances.some(other => other !== primary && this._reaches(primary, other));
+		const isUnreplicable = !this.instances.some(other => other !== primary && this._canReplicate(primary, other));
 		this.commits.push({
 			id, instance: primary.id, term: primary.term, isUnreplicable, atMs: this._clock.nowMs(),
 		});
@@ -263,7 +263,7 @@
 		const instance = this.instance(id);
 		instance.reset(isPrimary);
 		this._clock.setTimer(syncMs, () => {
-			const leader = this._leaders(instance).find(({isUp}) => isUp);
+			const leader = this._reachablePrimaries(instance).find(({isUp}) => isUp);
 			if (leader && !instance.isPrimary && instance.fencedForTerm === 0) {
 				follow(instance, leader);
 			}
@@ -274,7 +274,7 @@
 	replicate(primary: LineInstance): void {
 		const {length} = primary.log;
 		for (const replica of this.instances) {
-			const isReceiving = this._reaches(primary, replica) && replica.fencedForTerm === 0;
+			const isReceiving = this._canReplicate(primary, replica) && replica.fencedForTerm === 0;
 			if (isReceiving && replica.replicationDelayMs === 0) {
 				this._receive(replica, primary, length);
 			} else if (isReceiving) {
@@ -288,13 +288,13 @@
 	}
 
 	/** Whether what a primary writes arrives at a replica, but for a fence. */
-	private _reaches(primary: LineInstance, replica: LineInstance): boolean {
+	private _canReplicate(primary: LineInstance, replica: LineInstance): boolean {
 		const isLinked = replica.isUp && !replica.isReplicationBlocked && !replica.isIsolated && !primary.isIsolated;
 		return isLinked && !replica.isPrimary && replica.term === primary.term;
 	}
 
 	/** Other instances that call themselves primary and can be reached, that of the latest term first. */
-	private _leaders(instance: LineInstance): LineInstance[] {
+	private _reachablePrimaries(instance: LineInstance): LineInstance[] {
 		return this.instances
 			.filter(other => other !== instance && other.isPrimary && !other.isIsolated && !instance.isIsolated && !instance.isReplicationBlocked)
 			.toSorted((a, b) => b.term - a.term);
@@ -313,8 +313,8 @@
 	}
 }
 
-function isToldOfPromotions({isUp, missesPromotions, isIsolated: isCutOff}: LineInstance): boolean {
-	return isUp && !missesPromotions && !isCutOff;
+function receivesPromotions({isUp, missesPromotions, isIsolated}: LineInstance): boolean {
+	return isUp && !missesPromotions && !isIsolated;
 }
 
 function follow(instance: LineInstance, leader: LineInstance): void {
--- a/standins/line/line-instance-session.ts
+++ b/standins/line/line-instance-session.ts
@@ -59,8 +59,8 @@
 
 	/** Answers one statement: its lines, each with its end; undefined where the answer is lost. */
 	query(id: string, text: string): string | undefined {
-		const {floor, statement} = splitFloor(text);
-		const [word, rest] = cut(statement);
+		const {floor, statement} = splitMinimumPosition(text);
+		const [word, rest] = splitWord(statement);
 		const handler = Object.hasOwn(this._handlers, word) ? this._handlers[word] : undefined;
 		const isRun = id !== '-';
 		if (isRun) {
@@ -125,7 +125,7 @@
 			return `ERROR LAGGING ${this.instance.id}\r\n`;
 		}
 
-		if (this._hasLostLead()) {
+		if (this._wasDemoted()) {
 			return this._fail();
 		}
 
@@ -134,11 +134,11 @@
 	}
 
 	private _write(rest: string): string {
-		if (!this.instance.isPrimary || this._transaction?.isReadOnly === true || this._hasLostLead()) {
+		if (!this.instance.isPrimary || this._transaction?.isReadOnly === true || this._wasDemoted()) {
 			return this._fail();
 		}
 
-		const [item, data] = cut(rest);
+		const [item, data] = splitWord(rest);
 		if (this._transaction) {
 			this._transaction.items.set(item, data);
 		} else {
@@ -149,20 +149,20 @@
 	}
 
 	private _set(rest: string): string {
-		const [name, value] = cut(rest);
+		const [name, value] = splitWord(rest);
 		this.values.set(name, value);
 		return complete('-');
 	}
 
 	private _prepare(rest: string): string {
-		const [name, described] = cut(rest);
-		const [kind, shape] = cut(described);
+		const [name, described] = splitWord(rest);
+		const [kind, shape] = splitWord(described);
 		this.prepared.set(name, {isWrite: kind === 'WRITE', shape});
 		return complete('-');
 	}
 
 	private _execute(rest: string, floor: string | undefined): string {
-		const [name, parameters] = cut(rest);
+		const [name, parameters] = splitWord(rest);
 		const prepared = this.prepared.get(name);
 		if (!prepared) {
 			return `ERROR NOSTMT ${name}\r\n`;
@@ -208,7 +208,7 @@
 		return this._row();
 	}
 
-	private _hasLostLead(): boolean {
+	private _wasDemoted(): boolean {
 		const transaction = this._transaction;
 		return transaction !== undefined && !transaction.isReadOnly && (!this.instance.isPrimary || this.instance.term !== transaction.term);
 	}
@@ -235,17 +235,17 @@
 	return `COMPLETE ${digest}\r\n`;
 }
 
-function splitFloor(text: string): {floor: string | undefined; statement: string} {
-	const [word, rest] = cut(text);
+function splitMinimumPosition(text: string): {floor: string | undefined; statement: string} {
+	const [word, rest] = splitWord(text);
 	if (word !== 'AFTERLSN') {
 		return {floor: undefined, statement: text};
 	}
 
-	const [floor, statement] = cut(rest);
+	const [floor, statement] = splitWord(rest);
 	return {floor, statement};
 }
 
-function cut(text: string): [string, string] {
+function splitWord(text: string): [string, string] {
 	const end = text.indexOf(' ');
 	return end === -1 ? [text, ''] : [text.slice(0, end), text.slice(end + 1)];
 }
--- a/standins/line/line-platform-server.ts
+++ b/standins/line/line-platform-server.ts
@@ -98,7 +98,7 @@
 		const written = await this._store.write({
 			table, key, value, partition: part, expectedVersion: ver === 0 ? 0 : this._versionOf(ver),
 		});
-		return answered(written, ({version, storeNowMs}) => ({status: 200, body: {ver: counterOf(version), 'now-ms': storeNowMs}}));
+		return toAnswer(written, ({version, storeNowMs}) => ({status: 200, body: {ver: counterOf(version), 'now-ms': storeNowMs}}));
 	}
 
 	/** Callers name a counter; the store takes it for one of its own. */
@@ -129,7 +129,7 @@
 }
 
 function answerOf(rows: Either<PlatformFault, StoredRows>): Answer {
-	return answered(rows, ({rows: found, version, storeNowMs, isHistoryGone}) => isHistoryGone
+	return toAnswer(rows, ({rows: found, version, storeNowMs, isHistoryGone}) => isHistoryGone
 		? {status: 410, body: {}}
 		: {
 			status: 200,
@@ -147,6 +147,6 @@
 		});
 }
 
-function answered<T>(result: Either<PlatformFault, T>, toAnswer: (value: T) => Answer): Answer {
+function toAnswer<T>(result: Either<PlatformFault, T>, toAnswer: (value: T) => Answer): Answer {
 	return result.isLeft() ? {status: statuses[result.extract().kind], body: {}} : toAnswer(result.unsafeCoerce());
 }
--- a/standins/line/line-test-cluster.ts
+++ b/standins/line/line-test-cluster.ts
@@ -68,7 +68,7 @@
 export const usageRule: UsageRule = {windowS: 5, overshootShare: 0.1, slack: 20};
 
 /** Time that a promotion takes to have an effect, unless a test says otherwise. */
-const usualPromotionMs = 500;
+const defaultPromotionMs = 500;
 
 /** Something that a node logged. */
 export type LoggedEvent = {readonly name: LogEventName; readonly fields: Readonly<Record<string, unknown>>};
@@ -92,8 +92,8 @@
 	isStoreUnreachable = false;
 	/** Names of nodes that it cannot call. */
 	readonly unreachablePeers = new Set<string>();
-	private readonly _bench: LineTestCluster;
-	private readonly _notices: HandlersOf<PeerNotice, void> = {
+	private readonly _cluster: LineTestCluster;
+	private readonly _noticeHandlers: HandlersOf<PeerNotice, void> = {
 		joined: ({node}) => {
 			this.directory.learn(node);
 		},
@@ -113,9 +113,9 @@
 	private readonly _registrations: Registrations;
 	private readonly _runner: StatementRunner;
 
-	constructor(name: string, availabilityZone: string, cores: number, bench: LineTestCluster, incarnation = '1') {
-		const {clock, group} = bench;
-		this._bench = bench;
+	constructor(name: string, availabilityZone: string, cores: number, cluster: LineTestCluster, incarnation = '1') {
+		const {clock, group} = cluster;
+		this._cluster = cluster;
 		this.self = {
 			name, availabilityZone, host: name, port: 1, cores, incarnation,
 		};
@@ -127,13 +127,13 @@
 		const restores = new RestoreWatch({
 			clock, log, metrics: silentMetrics, options: restoreDefaults,
 		});
-		const store = new VersionObservingStore(this._ownView(bench.store), restores);
+		const store = new VersionObservingStore(this._storeWithFaults(cluster.store), restores);
 		const shared = {
 			clock, log, store, restores, metrics: silentMetrics, random: new SeededRandom(7), node: name,
 		};
 		this.connector = new MemoryConnector(group, clock);
 		const peering = {
-			...shared, self: this.self, calls: bench.peerCallsOf(this), options: peeringDefaults,
+			...shared, self: this.self, calls: cluster.peerCallsOf(this), options: peeringDefaults,
 		};
 		this.directory = new PeerDirectory(peering);
 		const fleet = new Fleet(peering, this.directory);
@@ -143,7 +143,7 @@
 			paceMs: () => fleet.isLarge ? peeringDefaults.followPaceMs : 0,
 		};
 		this._registrations = new Registrations(this.directory, followed);
-		this.catalog = new RouteCatalog({...followed, provingStore: store, keyRevocationMs: bench.keyRevocationMs}, rowFormats);
+		this.catalog = new RouteCatalog({...followed, provingStore: store, keyRevocationMs: cluster.keyRevocationMs}, rowFormats);
 		this.registry = new EndpointRegistry(followed, rowFormats);
 		this.pools = new PoolSet({
 			...shared,
@@ -174,7 +174,7 @@
 			peers,
 			registry: this.registry,
 			pools: this.pools,
-			promotions: bench.promotions,
+			promotions: cluster.promotions,
 			sharing,
 			endpointPools: ways,
 			audit: {
@@ -246,7 +246,7 @@
 
 	/** A new session with one of the databases, of a caller that sends a word or a key. */
 	session(database: string, word = 'caller'): LineTestSession {
-		return new LineTestSession(new LineSession(database, this._access.credential(word), this.sessionServices, this._runner), this._bench.clock);
+		return new LineTestSession(new LineSession(database, this._access.credential(word), this.sessionServices, this._runner), this._cluster.clock);
 	}
 
 	/** Fields of every event of a name. */
@@ -265,7 +265,7 @@
 	}
 
 	/** The store as this node reaches it. */
-	private _ownView(store: RowStore): RowStore {
+	private _storeWithFaults(store: RowStore): RowStore {
 		const reach = async <T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> =>
 			this.isStoreUnreachable ? Left({kind: 'unavailable', detail: 'cut by the test'}) : call();
 		return {
@@ -302,7 +302,7 @@
 	}
 
 	private _onNotice(notice: PeerNotice): void {
-		dispatch(this._notices, notice);
+		dispatch(this._noticeHandlers, notice);
 	}
 }
 
@@ -318,7 +318,7 @@
 	/** Promotions that were ordered: instance, holder and epoch. */
 	readonly ordered: Array<{readonly id: string; readonly holder: string; readonly epoch: number}> = [];
 	/** Time from the next order to its effect. */
-	promotionMs = usualPromotionMs;
+	promotionMs = defaultPromotionMs;
 	/** Orders whose answers are lost: they are carried out all the same. */
 	orderAnswersToLose = 0;
 	/** Time after which a revoked key may count on no node; as on platforms that ask for it. */
--- a/standins/line/memory-row-store.ts
+++ b/standins/line/memory-row-store.ts
@@ -12,17 +12,17 @@
 } from '../../src/common/services/services.js';
 
 /** A row with its version as the store counts it. */
-type KeptRow = StoredRow & {readonly partition: string};
+type VersionedRow = StoredRow & {readonly partition: string};
 
 /** What the store held at one moment. */
 export type StoreSnapshot = {
-	readonly rows: ReadonlyMap<string, KeptRow>;
-	readonly history: readonly KeptRow[];
+	readonly rows: ReadonlyMap<string, VersionedRow>;
+	readonly history: readonly VersionedRow[];
 	readonly historyFrom: number;
 	readonly version: number;
 };
 
-const away: PlatformFault = {kind: 'unavailable', detail: 'away, by the test'};
+const unavailable: PlatformFault = {kind: 'unavailable', detail: 'away, by the test'};
 
 /** Rows, and the changes since the history was last dropped. */
 export class MemoryRowStore implements RowStore {
@@ -41,12 +41,12 @@
 	/** Reads of whole partitions among them, by table. */
 	readonly reads = new Map<string, number>();
 	private readonly _clock: Clock;
-	private _rows = new Map<string, KeptRow>();
-	private _history: KeptRow[] = [];
+	private _rows = new Map<string, VersionedRow>();
+	private _history: VersionedRow[] = [];
 	private _historyFrom = 0;
 	private _version = 0;
 	private _era = 0;
-	private readonly _waiting = new Set<() => void>();
+	private readonly _wakers = new Set<() => void>();
 
 	constructor(clock: Clock) {
 		this._clock = clock;
@@ -55,9 +55,9 @@
 	async read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>> {
 		this.calls += 1;
 		this.reads.set(table, (this.reads.get(table) ?? 0) + 1);
-		await this._speak();
+		await this._waitWhileSilent();
 		if (this.isUnavailable) {
-			return Left(away);
+			return Left(unavailable);
 		}
 
 		return Right(this._answer([...this._rows.values()].filter(row => row.table === table && row.partition === partition)));
@@ -66,7 +66,7 @@
 	async follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>> {
 		this.calls += 1;
 		if (this.isUnavailable) {
-			return Left(away);
+			return Left(unavailable);
 		}
 
 		const after = counterOf(afterVersion);
@@ -76,18 +76,18 @@
 
 		const era = this._era;
 		if (this._changes(table, after).length === 0) {
-			await this._changeOr(waitMs);
+			await this._waitForChange(waitMs);
 		}
 
-		await this._speak();
+		await this._waitWhileSilent();
 		// Questions that wait are cut when the store is restored.
-		return this.isUnavailable || era !== this._era ? Left(away) : Right(this._answer(this._changes(table, after)));
+		return this.isUnavailable || era !== this._era ? Left(unavailable) : Right(this._answer(this._changes(table, after)));
 	}
 
 	async write(write: ConditionalWrite): Promise<Either<PlatformFault, {version: number; storeNowMs: number}>> {
 		this.calls += 1;
 		if (this.isUnavailable) {
-			return Left(away);
+			return Left(unavailable);
 		}
 
 		const key = keyOf(write);
@@ -109,7 +109,7 @@
 	/** Writes a row as the operator or an instance does; undefined removes it. */
 	put(table: string, key: string, value: string | undefined, partition = ''): void {
 		this._version += 1;
-		const row: KeptRow = {
+		const row: VersionedRow = {
 			table, key, value, partition, version: this._version,
 		};
 		if (value === undefined) {
@@ -119,7 +119,7 @@
 		}
 
 		this._history.push(row);
-		for (const wake of this._waiting) {
+		for (const wake of this._wakers) {
 			wake();
 		}
 	}
@@ -154,23 +154,23 @@
 		this._history = [...history];
 		this._historyFrom = historyFrom;
 		this._version = version;
-		for (const wake of this._waiting) {
+		for (const wake of this._wakers) {
 			wake();
 		}
 	}
 
 	/** Goes on, unless the store has fallen silent: then never. */
-	private async _speak(): Promise<void> {
+	private async _waitWhileSilent(): Promise<void> {
 		if (this.isSilent) {
 			await new Promise<void>(() => undefined); // eslint-disable-line no-promise-executor-return -- never answered
 		}
 	}
 
-	private _changes(table: string, afterVersion: number): KeptRow[] {
+	private _changes(table: string, afterVersion: number): VersionedRow[] {
 		return this._history.filter(row => row.table === table && row.version > afterVersion);
 	}
 
-	private _answer(rows: readonly KeptRow[]): StoredRows {
+	private _answer(rows: readonly VersionedRow[]): StoredRows {
 		return {
 			rows: rows.map(row => ({...row, version: storeVersion(this._era, row.version)})),
 			version: storeVersion(this._era, this._version),
@@ -178,18 +178,18 @@
 		};
 	}
 
-	private async _changeOr(waitMs: number): Promise<void> {
+	private async _waitForChange(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const timer = this._clock.setTimer(waitMs, () => {
 				wake();
 			});
 			const wake = (): void => {
 				timer.dispose();
-				this._waiting.delete(wake);
+				this._wakers.delete(wake);
 				resolve();
 			};
 
-			this._waiting.add(wake);
+			this._wakers.add(wake);
 		});
 	}
 }
--- a/standins/line/organisations.test.ts
+++ b/standins/line/organisations.test.ts
@@ -19,46 +19,46 @@
 const keyRevocationMs = 5000;
 
 async function startWith(organisations: LineTestCluster['organisations'], nodes = 3): Promise<LineTestCluster> {
-	const bench = new LineTestCluster();
-	bench.organisations = organisations;
-	bench.keyRevocationMs = keyRevocationMs;
-	await bench.start(nodes);
-	return bench;
+	const cluster = new LineTestCluster();
+	cluster.organisations = organisations;
+	cluster.keyRevocationMs = keyRevocationMs;
+	await cluster.start(nodes);
+	return cluster;
 }
 
 /** Cuts a node off from the store and from all other nodes; instances still answer it. */
-function cutAway(bench: LineTestCluster, node: LineTestNode): void {
+function cutAway(cluster: LineTestCluster, node: LineTestNode): void {
 	node.isStoreUnreachable = true;
-	for (const {self} of bench.nodes) {
+	for (const {self} of cluster.nodes) {
 		node.unreachablePeers.add(self.name);
 	}
 }
 
 /** Revokes every key of the shop while a node is cut off from whoever could tell it. */
-async function revokeBehindCut(bench: LineTestCluster, node: LineTestNode): Promise<void> {
-	cutAway(bench, node);
+async function revokeBehindCut(cluster: LineTestCluster, node: LineTestNode): Promise<void> {
+	cutAway(cluster, node);
 	// The question that waits at the store is still answered.
-	await bench.clock.advance(1200);
-	bench.organisations = [{...shop, 'api-keys': []}];
-	bench.configure(2);
+	await cluster.clock.advance(1200);
+	cluster.organisations = [{...shop, 'api-keys': []}];
+	cluster.configure(2);
 }
 
 /** As whom statements ran at the instances, by their id. */
-function ranAs(bench: LineTestCluster): Map<string, string> {
-	return new Map(bench.group.instances.flatMap(instance => [...instance.firstRuns].map(([id, {user}]) => [id, user] as const)));
+function ranAs(cluster: LineTestCluster): Map<string, string> {
+	return new Map(cluster.group.instances.flatMap(instance => [...instance.firstRuns].map(([id, {user}]) => [id, user] as const)));
 }
 
 describe('callers by API key', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('have their statements run under the name of the organisation that holds the key', async () => {
 		// Before nodes knew organisations, instances were told the node's name for every statement.
-		bench = await startWith([shop, gang]);
-		for (const [index, node] of bench.nodes.entries()) {
+		cluster = await startWith([shop, gang]);
+		for (const [index, node] of cluster.nodes.entries()) {
 			await node.session(databases.primary, 'key-of-shop').send(`WRITE x ${index}`, `shop-${index}`);
 			await node.session(databases.aged, 'second-key-of-shop').send('READ x', `shop-read-${index}`);
 			const transaction = node.session(databases.own, 'key-of-gang');
@@ -67,29 +67,29 @@
 			await transaction.send('COMMIT', `gang-commit-${index}`);
 		}
 
-		const names = [...ranAs(bench)];
+		const names = [...ranAs(cluster)];
 		expect(names.length >= 12).toEqual(true);
 		expect(names.filter(([id, name]) => !id.startsWith(name))).toEqual([]);
 	});
 
 	it('are refused where no configuration holds the key, and nothing of theirs runs', async () => {
 		// Callers whose key nobody had ever given out were served.
-		bench = await startWith([shop]);
+		cluster = await startWith([shop]);
 		for (const word of ['key-of-gang', 'shop', '', 'SHOP']) {
-			const answer = await bench.nodes[0].session(databases.primary, word).send('WRITE x 1', `by-${word}`);
+			const answer = await cluster.nodes[0].session(databases.primary, word).send('WRITE x 1', `by-${word}`);
 			expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
 		}
 
-		expect(ranAs(bench).size).toEqual(0);
+		expect(ranAs(cluster).size).toEqual(0);
 	});
 
 	it('get in with a key that was just given out, on a node that has not heard of it', async () => {
-		bench = await startWith([shop], 1);
-		const [node] = bench.nodes;
+		cluster = await startWith([shop], 1);
+		const [node] = cluster.nodes;
 		node.isStoreUnreachable = true;
-		await bench.clock.advance(2500);
-		bench.organisations = [shop, gang];
-		bench.configure(2);
+		await cluster.clock.advance(2500);
+		cluster.organisations = [shop, gang];
+		cluster.configure(2);
 		node.isStoreUnreachable = false;
 		const answer = await node.session(databases.primary, 'key-of-gang').send('READ x');
 		expect(answer.includes('COMPLETE')).toEqual(true);
@@ -97,21 +97,21 @@
 
 	it('lose an open session and an open transaction with their key', async () => {
 		// Keys that were taken away went on being served: 4,825 times on one day of trouble.
-		bench = await startWith([shop]);
-		const [node] = bench.nodes;
+		cluster = await startWith([shop]);
+		const [node] = cluster.nodes;
 		const session = node.session(databases.primary, 'key-of-shop');
 		const transaction = node.session(databases.primary, 'key-of-shop');
 		await session.send('WRITE x 1');
 		await transaction.send('BEGIN');
 		await transaction.send('WRITE x 2');
-		bench.organisations = [{...shop, 'api-keys': ['second-key-of-shop']}];
-		bench.configure(2);
-		await bench.clock.advance(100);
-		const ran = ranAs(bench).size;
+		cluster.organisations = [{...shop, 'api-keys': ['second-key-of-shop']}];
+		cluster.configure(2);
+		await cluster.clock.advance(100);
+		const ran = ranAs(cluster).size;
 		const answers = [await session.send('WRITE x 3'), await transaction.send('COMMIT')];
 		expect(answers.map(answer => answer.split(' ').slice(0, 2).join(' '))).toEqual(['ERROR NOAUTH', 'ERROR NOAUTH']);
 		expect([session.session.mustCloseConnection, transaction.session.mustCloseConnection]).toEqual([true, true]);
-		expect(ranAs(bench).size).toEqual(ran);
+		expect(ranAs(cluster).size).toEqual(ran);
 		const other = await node.session(databases.primary, 'second-key-of-shop').send('READ x');
 		expect(other.includes('DATAROW 1')).toEqual(true);
 	});
@@ -119,14 +119,14 @@
 	it('are not served on nodes out of touch once their key may have been taken away for long', async () => {
 		// The rule holds for all nodes, in touch or not: a node may serve only as long as it knows
 		// that no configuration can have been acknowledged that long ago without its knowing.
-		bench = await startWith([shop]);
-		const [node] = bench.nodes;
-		await revokeBehindCut(bench, node);
-		const removedAtMs = bench.clock.nowMs();
+		cluster = await startWith([shop]);
+		const [node] = cluster.nodes;
+		await revokeBehindCut(cluster, node);
+		const removedAtMs = cluster.clock.nowMs();
 		const session = node.session(databases.aged, 'key-of-shop');
 		let lastServedMs = 0;
-		for (let index = 0; bench.clock.nowMs() < removedAtMs + (2 * keyRevocationMs); index++) {
-			const sentAtMs = bench.clock.nowMs();
+		for (let index = 0; cluster.clock.nowMs() < removedAtMs + (2 * keyRevocationMs); index++) {
+			const sentAtMs = cluster.clock.nowMs();
 			const answer = await session.send('READ x', `late-${index}`);
 			if (answer.includes('COMPLETE')) {
 				lastServedMs = sentAtMs - removedAtMs;
@@ -134,7 +134,7 @@
 				expect(answer.startsWith('ERROR BUSY') && answer.includes('retry-after-ms=')).toEqual(true);
 			}
 
-			await bench.clock.advance(50);
+			await cluster.clock.advance(50);
 		}
 
 		expect(lastServedMs > 1000).toEqual(true);
@@ -144,42 +144,42 @@
 	it('are judged by what the proof of the moment brought, not by what was known before it', async () => {
 		// A day of trouble: the store, silent for 9 s, answered the question that a statement waited for.
 		// The key had been taken away 8.5 s before; its holder had been looked up before the wait.
-		bench = await startWith([shop]);
-		const [node] = bench.nodes;
-		await revokeBehindCut(bench, node);
-		await bench.clock.advance(2 * keyRevocationMs);
+		cluster = await startWith([shop]);
+		const [node] = cluster.nodes;
+		await revokeBehindCut(cluster, node);
+		await cluster.clock.advance(2 * keyRevocationMs);
 		node.isStoreUnreachable = false;
 		const answer = await node.session(databases.aged, 'key-of-shop').send('READ x', 'after-silence');
 		expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
-		expect(ranAs(bench).has('after-silence')).toEqual(false);
+		expect(ranAs(cluster).has('after-silence')).toEqual(false);
 	});
 
 	it('are served again by a node that comes back into touch, and by one that only peers tell', async () => {
-		bench = await startWith([shop], 18);
-		const member = bench.nodes.find(({fleet}) => !fleet.isCoordinator)!;
+		cluster = await startWith([shop], 18);
+		const member = cluster.nodes.find(({fleet}) => !fleet.isCoordinator)!;
 		member.isStoreUnreachable = true;
-		await bench.clock.advance(3 * keyRevocationMs);
+		await cluster.clock.advance(3 * keyRevocationMs);
 		const overPeers = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(overPeers.includes('COMPLETE')).toEqual(true);
-		cutAway(bench, member);
-		await bench.clock.advance(keyRevocationMs);
+		cutAway(cluster, member);
+		await cluster.clock.advance(keyRevocationMs);
 		const cutOff = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(cutOff.startsWith('ERROR BUSY')).toEqual(true);
 		member.unreachablePeers.clear();
 		member.isStoreUnreachable = false;
-		await bench.clock.advance(1000);
+		await cluster.clock.advance(1000);
 		const back = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(back.includes('COMPLETE')).toEqual(true);
 	});
 
 	it('show no word of an earlier time that may be a key, once organisations are named', async () => {
-		bench = await startWith(undefined, 1);
-		const [node] = bench.nodes;
+		cluster = await startWith(undefined, 1);
+		const [node] = cluster.nodes;
 		const session = node.session(databases.primary, 'key-of-gang');
 		await session.send('WRITE x 1');
-		bench.organisations = [shop];
-		bench.configure(2);
-		await bench.clock.advance(100);
+		cluster.organisations = [shop];
+		cluster.configure(2);
+		await cluster.clock.advance(100);
 		node.events.length = 0;
 		const answer = await session.send('WRITE x 2');
 		expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
@@ -187,51 +187,51 @@
 	});
 
 	it('show their keys nowhere: not in logs, nor in what nodes tell each other or keep', async () => {
-		bench = await startWith([shop, gang], 18);
-		for (const node of bench.nodes) {
+		cluster = await startWith([shop, gang], 18);
+		for (const node of cluster.nodes) {
 			await node.session(databases.primary, 'key-of-shop').send('WRITE x 1');
 			await node.session(databases.primary, 'key-of-nobody').send('WRITE x 1');
 			await node.session('no-such-database', 'key-of-gang').send('READ x');
 		}
 
-		const [node] = bench.nodes;
+		const [node] = cluster.nodes;
 		const told = await node.requests.rows('op', 0, 0);
-		const emitted = JSON.stringify([told, bench.nodes.map(({events}) => events)]);
+		const emitted = JSON.stringify([told, cluster.nodes.map(({events}) => events)]);
 		expect(emitted.includes('digests')).toEqual(true);
 		expect(emitted.includes('key-of')).toEqual(false);
 	});
 });
 
 describe('connections of organisations', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('serve more organisations than an endpoint takes connections, and never more than it takes', async () => {
 		const many = Array.from({length: 74}, (_, index) => ({name: `org-${index}`, 'api-keys': [`key-${index}`]}));
-		bench = await startWith(many, 18);
+		cluster = await startWith(many, 18);
 		const answers = many.flatMap(({name, 'api-keys': [key]}, index) => [0, 1].map(async round => {
-			await pauseFor(bench.clock, (index * 20) + (round * 2000));
-			return bench.nodes[(index + round) % bench.nodes.length].session(databases.primary, key).start(`WRITE ${name} ${round}`, `${name} ${round}`.replace(' ', '-of-'));
+			await pauseFor(cluster.clock, (index * 20) + (round * 2000));
+			return cluster.nodes[(index + round) % cluster.nodes.length].session(databases.primary, key).start(`WRITE ${name} ${round}`, `${name} ${round}`.replace(' ', '-of-'));
 		}));
-		await bench.clock.advance(6000);
+		await cluster.clock.advance(6000);
 		const settled = await Promise.all(answers);
 		expect(settled.filter(answer => !answer.includes('COMPLETE'))).toEqual([]);
-		for (const instance of bench.group.instances) {
+		for (const instance of cluster.group.instances) {
 			expect(instance.sessions.size <= instance.maximumConnections).toEqual(true);
 		}
 	});
 
 	it('are kept where the statements of an organisation meet, so that most need no new one', async () => {
 		const few = Array.from({length: 8}, (_, index) => ({name: `org-${index}`, 'api-keys': [`key-${index}`]}));
-		bench = await startWith(few, 18);
-		const opened = (): number => bench.group.instances.reduce((sum, instance) => sum + instance.openedConnections, 0);
+		cluster = await startWith(few, 18);
+		const opened = (): number => cluster.group.instances.reduce((sum, instance) => sum + instance.openedConnections, 0);
 		const before = opened();
 		for (let round = 0; round < 40; round++) {
 			for (const [index, {'api-keys': [key]}] of few.entries()) {
-				await bench.nodes[(index + round) % bench.nodes.length].session(databases.aged, key).send('READ x');
+				await cluster.nodes[(index + round) % cluster.nodes.length].session(databases.aged, key).send('READ x');
 			}
 		}
 
@@ -241,7 +241,7 @@
 });
 
 /** What a test does to a node, and when. */
-type Disturbance = {
+type ScheduledFault = {
 	readonly atMs: number;
 	readonly node: number;
 	readonly what: 'cut' | 'heal' | 'passOver';
@@ -270,7 +270,7 @@
 }
 
 describe('usage limits', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 	let ranAtMs: number[];
 	let refusals: string[];
 
@@ -281,32 +281,32 @@
 			answers.push(sendLater(sessions[index % sessions.length], index * 1000 / perS));
 		}
 
-		await bench.clock.advance(forMs + 1000);
+		await cluster.clock.advance(forMs + 1000);
 		await Promise.all(answers);
 	}
 
 	async function sendLater(session: LineTestSession, waitMs: number): Promise<void> {
-		await pauseFor(bench.clock, waitMs);
+		await pauseFor(cluster.clock, waitMs);
 		const answer = await session.start('READ x');
 		if (answer.includes('COMPLETE')) {
-			ranAtMs.push(bench.clock.nowMs());
+			ranAtMs.push(cluster.clock.nowMs());
 		} else {
 			refusals.push(answer);
 		}
 	}
 
 	function sessionsOfAll(each = 10): LineTestSession[] {
-		return Array.from({length: each}, () => bench.nodes.map(node => node.session(databases.aged, 'key-of-shop'))).flat();
+		return Array.from({length: each}, () => cluster.nodes.map(node => node.session(databases.aged, 'key-of-shop'))).flat();
 	}
 
 	async function startLimited(perS: number, burst: number, nodes: number): Promise<void> {
 		ranAtMs = [];
 		refusals = [];
-		bench = await startWith([{...shop, 'rate-per-s': perS, burst}, gang], nodes);
+		cluster = await startWith([{...shop, 'rate-per-s': perS, burst}, gang], nodes);
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	async function checkBound(nodes: number): Promise<void> {
@@ -327,7 +327,7 @@
 	it('leave an organisation alone whose callers are all in one zone', async () => {
 		// With equal parts of the limit a zone, 5.6% of a calm day's requests were refused below it.
 		await startLimited(12, 12, 18);
-		const zone = bench.nodes.filter(({self}) => self.availabilityZone === 'a');
+		const zone = cluster.nodes.filter(({self}) => self.availabilityZone === 'a');
 		await load(10, 15_000, zone.map(node => node.session(databases.aged, 'key-of-shop')));
 		expect(refusals).toEqual([]);
 	});
@@ -335,8 +335,8 @@
 	it('cost organisations nothing that stay below theirs', async () => {
 		await startLimited(10, 10, 18);
 		const hot = load(200, 5000, sessionsOfAll());
-		const quiet = bench.nodes.map(async (node, index) => {
-			await pauseFor(bench.clock, index * 250);
+		const quiet = cluster.nodes.map(async (node, index) => {
+			await pauseFor(cluster.clock, index * 250);
 			return node.session(databases.aged, 'key-of-gang').start('READ x');
 		});
 		await hot;
@@ -347,9 +347,9 @@
 	it('bind in full once they were lowered', async () => {
 		await startLimited(100, 100, 18);
 		await load(60, 3000, sessionsOfAll());
-		bench.organisations = [{...shop, 'rate-per-s': 4, burst: 4}, gang];
-		bench.configure(2);
-		await bench.clock.advance(usageRule.windowS * 1000);
+		cluster.organisations = [{...shop, 'rate-per-s': 4, burst: 4}, gang];
+		cluster.configure(2);
+		await cluster.clock.advance(usageRule.windowS * 1000);
 		ranAtMs = [];
 		await load(60, 10_000, sessionsOfAll());
 		expect(mostInWindow(ranAtMs) <= allowed(4, 4)).toEqual(true);
@@ -360,8 +360,8 @@
 		// With a zone cut off each operation whose zone's part was used up waited 200 ms for one node
 		// of that zone after the other.
 		await startLimited(12, 12, 18);
-		for (const node of bench.nodes) {
-			for (const {self} of bench.nodes) {
+		for (const node of cluster.nodes) {
+			for (const {self} of cluster.nodes) {
 				if ((self.availabilityZone === 'b') !== (node.self.availabilityZone === 'b')) {
 					node.unreachablePeers.add(self.name);
 				}
@@ -369,14 +369,14 @@
 		}
 
 		const asked: string[] = [];
-		bench.peerCallListener = ({from, to, kind}) => {
+		cluster.peerCallListener = ({from, to, kind}) => {
 			const isLoan = kind === 'takeUsage' && from !== to;
-			if (isLoan && bench.nodes.find(({self}) => self.name === to)!.self.availabilityZone === 'b') {
+			if (isLoan && cluster.nodes.find(({self}) => self.name === to)!.self.availabilityZone === 'b') {
 				asked.push(to);
 			}
 		};
 
-		const zone = bench.nodes.filter(({self}) => self.availabilityZone === 'a');
+		const zone = cluster.nodes.filter(({self}) => self.availabilityZone === 'a');
 		await load(30, 5000, zone.map(node => node.session(databases.aged, 'key-of-shop')));
 		expect(asked.length > 0).toEqual(true);
 		expect(asked.length <= 4).toEqual(true);
@@ -384,24 +384,24 @@
 
 	it('let operations run where the node that keeps the budget is lost, and still bind', async () => {
 		await startLimited(20, 20, 18);
-		const lost = new Set(bench.nodes.map(({fleet}) => fleet.usageHolders('shop')[0].name));
-		for (const node of bench.nodes) {
+		const lost = new Set(cluster.nodes.map(({fleet}) => fleet.usageHolders('shop')[0].name));
+		for (const node of cluster.nodes) {
 			for (const name of lost) {
 				node.unreachablePeers.add(name);
 			}
 		}
 
-		const left = bench.nodes.filter(({self}) => !lost.has(self.name));
+		const left = cluster.nodes.filter(({self}) => !lost.has(self.name));
 		await load(150, 8000, left.map(node => node.session(databases.aged, 'key-of-shop')));
 		expect(mostInWindow(ranAtMs) <= allowed(20, 20)).toEqual(true);
 		expect(ranAtMs.length >= 20 * 6).toEqual(true);
 	});
 
 	/** A node is cut off from all others, or no more, or passes one over that is well. */
-	function disturb({node: index, what}: Disturbance): void {
-		const node = bench.nodes[index];
-		const names = bench.nodes.map(({self}) => self.name);
-		const acts: Record<Disturbance['what'], () => void> = {
+	function injectFault({node: index, what}: ScheduledFault): void {
+		const node = cluster.nodes[index];
+		const names = cluster.nodes.map(({self}) => self.name);
+		const acts: Record<ScheduledFault['what'], () => void> = {
 			cut() {
 				for (const name of names) {
 					node.unreachablePeers.add(name);
@@ -418,20 +418,20 @@
 	}
 
 	it('bind whatever nodes lose each other or pass each other over', async () => {
-		const disturbance = recordOf({
+		const scheduledFault = recordOf({
 			atMs: integer({min: 0, max: 6000}), node: integer({min: 0, max: 17}), what: constantFrom(...(['cut', 'heal', 'passOver'] as const)),
 		});
-		await assert(asyncProperty(arrayOf(disturbance, {maxLength: 6}), async changes => {
+		await assert(asyncProperty(arrayOf(scheduledFault, {maxLength: 6}), async changes => {
 			await startLimited(20, 20, 18);
 			for (const change of changes) {
-				bench.clock.setTimer(change.atMs, () => {
-					disturb(change);
+				cluster.clock.setTimer(change.atMs, () => {
+					injectFault(change);
 				});
 			}
 
 			await load(150, 7000, sessionsOfAll(3));
 			expect(mostInWindow(ranAtMs) <= allowed(20, 20)).toEqual(true);
-			bench.dispose();
+			cluster.dispose();
 		}), {seed: 7, numRuns: 10});
 	});
 });
--- a/standins/line/processes/line-system.ts
+++ b/standins/line/processes/line-system.ts
@@ -32,12 +32,12 @@
 const zones = ['a', 'b', 'c'] as const;
 
 /** Times of the stand-ins, in milliseconds. */
-const standInTimes = {
+const simulatedTimesMs = {
 	work: 2, lag: 20, promotion: 400, sync: 500,
 	/** A primary that was left behind goes on as one for this long after it can reach the new one. */
-	leftBehind: 1000,
+	demotion: 1000,
 	/** Time between two looks for instances that were left behind. */
-	look: 50,
+	followCheck: 50,
 } as const;
 
 /** Port of all nodes' callers, readiness and peers would collide on one address: each node has its own. */
@@ -63,7 +63,7 @@
 };
 
 /** How it deals with them when nothing is done to it. */
-export const defaultPromotionBehaviour: PromotionBehaviour = {answer: 'given', answerMs: 0, effectMs: standInTimes.promotion};
+export const defaultPromotionBehaviour: PromotionBehaviour = {answer: 'given', answerMs: 0, effectMs: simulatedTimesMs.promotion};
 
 const denied: PlatformFault = {kind: 'unavailable', detail: 'denied, by the stand-in'};
 
@@ -96,19 +96,19 @@
 	private readonly _addresses = new Map<string, string>();
 	private _platform: LinePlatformServer | undefined;
 	private _folder = '';
-	private _configuration = 0;
+	private _configurationVersion = 0;
 	private _configurationText = '';
-	private readonly _added: string[] = [];
+	private readonly _addedDatabases: string[] = [];
 	private _stepListener: ((step: PromotionStep, node: NodeProcess) => void) | undefined;
 	/** Since when instances that were left behind can reach the leader of a later term. */
-	private readonly _behindSinceMs = new Map<string, number>();
+	private readonly _staleSinceMs = new Map<string, number>();
 	private readonly _clock = new SystemClock();
-	private _follower: NodeJS.Timeout | undefined;
+	private _followTimer: NodeJS.Timeout | undefined;
 
 	private readonly _promotions: PromotionCalls = {
 		promote: async (name, id, holder, epoch) => {
 			this.ordered.push({id, holder, epoch});
-			this._tellStep('order', holder);
+			this._notifyPromotionStep('order', holder);
 			if (!this.group.instance(id).isUp) {
 				return Left({kind: 'invalid', detail: 'does not run'});
 			}
@@ -119,7 +119,7 @@
 
 			const {answer, answerMs, effectMs} = this.promotionBehaviour;
 			setTimeout(() => {
-				this._carryOut(id, epoch);
+				this._applyPromotion(id, epoch);
 			}, effectMs);
 			await (answer === 'lost' ? new Promise<void>(() => undefined) : pause(answerMs)); // eslint-disable-line no-promise-executor-return -- never answered
 			return answer === 'denied' ? Left(denied) : Right(undefined);
@@ -131,7 +131,7 @@
 		this.group = new LineGroup(service, ['i-1', 'i-2', 'i-3'], this._clock);
 		this.store.onConditionalWrite = ({table, value}) => {
 			if (table === dutyTable) {
-				this._tellStep('duty', z.object({holder: z.string()}).parse(JSON.parse(value)).holder);
+				this._notifyPromotionStep('duty', z.object({holder: z.string()}).parse(JSON.parse(value)).holder);
 			}
 		};
 	}
@@ -145,8 +145,8 @@
 	async start(nodeCount: number): Promise<void> {
 		this._folder = await mkdtemp(path.join(tmpdir(), 'quetzalstream-line-'));
 		for (const instance of this.group.instances) {
-			instance.lagMs = standInTimes.lag;
-			const server = new InstanceServer(instance, standInTimes.work);
+			instance.lagMs = simulatedTimesMs.lag;
+			const server = new InstanceServer(instance, simulatedTimesMs.work);
 			this._servers.set(instance.id, server);
 			this._addresses.set(instance.id, `127.0.0.1:${await server.listen('127.0.0.1')}`);
 		}
@@ -164,9 +164,9 @@
 			await node.start();
 		}
 
-		this._follower = setInterval(() => {
-			this._followLeaders();
-		}, standInTimes.look);
+		this._followTimer = setInterval(() => {
+			this._followNewerPrimaries();
+		}, simulatedTimesMs.followCheck);
 		const areReady = await Promise.all(this.nodes.map(async node => node.waitUntilReady()));
 		if (areReady.includes(false)) {
 			throw new Error(`a node did not become ready; logs are in ${this._folder}`);
@@ -175,14 +175,14 @@
 
 	/** Writes a further configuration that has one database more. */
 	addDatabase(name: string): void {
-		this._added.push(name);
+		this._addedDatabases.push(name);
 		this.configure();
 	}
 
 	/** Writes a further configuration. */
 	configure(): void {
-		this._configuration += 1;
-		this._configurationText = this._configurationNow();
+		this._configurationVersion += 1;
+		this._configurationText = this._formatConfiguration();
 		this.store.put(tables.operator, configurationKey, this._configurationText);
 	}
 
@@ -203,8 +203,8 @@
 	/** Writes what the running instances say of themselves. */
 	register(): void {
 		for (const [index, instance] of this.group.instances.entries()) {
-			const {id, isUp, isIsolated: isCutOff} = instance;
-			if (isUp && !isCutOff) {
+			const {id, isUp, isIsolated} = instance;
+			if (isUp && !isIsolated) {
 				this.store.put(tables.instances, id, registrationOf(instance, this._addresses.get(id)!, zones[index]));
 			}
 		}
@@ -240,7 +240,7 @@
 
 	/** Starts a replica again under its id with an empty memory; it has its log again after a time. */
 	restartEmpty(id: string): void {
-		this.group.restart(id, {syncMs: standInTimes.sync});
+		this.group.restart(id, {syncMs: simulatedTimesMs.sync});
 		this.group.instance(id).startedAtMs = Date.now();
 		this._servers.get(id)?.resetConnections();
 		this.register();
@@ -254,7 +254,7 @@
 
 	/** Ends everything that was started; removes the logs unless they are to be read. */
 	async stop(keepsLogs: boolean): Promise<void> {
-		clearInterval(this._follower);
+		clearInterval(this._followTimer);
 		await Promise.all(this.nodes.map(async node => {
 			node.signal('SIGCONT');
 			await node.end('SIGKILL');
@@ -270,28 +270,28 @@
 	}
 
 	/** An order takes effect, unless another with a later epoch came meanwhile. */
-	private _carryOut(id: string, epoch: number): void {
+	private _applyPromotion(id: string, epoch: number): void {
 		if (this.ordered.every(other => other.epoch <= epoch)) {
 			this.group.promote(id);
 			this.register();
 		}
 	}
 
-	private _configurationNow(): string {
+	private _formatConfiguration(): string {
 		const routes = (['primary', 'aged', 'own'] as const).map(kind => ({
 			name: `r-${kind}`, host: databases[kind], kind: routeKinds[kind], service,
 			'timeout-ms': 1500, priority: 1, 'max-attempts': 2, 'max-staleness-ms': kind === 'primary' ? 0 : maximumAgeMs,
 		}));
-		const added = this._added.map(name => ({...routes[0], name: `r-${name}`, host: name}));
+		const added = this._addedDatabases.map(name => ({...routes[0], name: `r-${name}`, host: name}));
 		return JSON.stringify({
-			version: this._configuration, routes: [...routes, ...added], services: [{name: service, 'max-conns': 23}], limits: {'tx-idle-ms': 3000},
+			version: this._configurationVersion, routes: [...routes, ...added], services: [{name: service, 'max-conns': 23}], limits: {'tx-idle-ms': 3000},
 			tenants: this.organisations?.map(({name, keys, perS, burst}) => ({
 				name, 'api-keys': [...keys], 'rate-per-s': perS, burst,
 			})),
 		});
 	}
 
-	private _tellStep(step: PromotionStep, name: string): void {
+	private _notifyPromotionStep(step: PromotionStep, name: string): void {
 		const node = this.nodes.find(({plan}) => plan.name === name);
 		if (node) {
 			this._stepListener?.(step, node);
@@ -299,17 +299,17 @@
 	}
 
 	/** Instances that were left behind follow the leader of a later term some time after they can reach it. */
-	private _followLeaders(): void {
+	private _followNewerPrimaries(): void {
 		for (const instance of this.group.instances) {
 			const {id, isUp} = instance;
 			if (!isUp || !this.group.newerPrimary(instance)) {
-				this._behindSinceMs.delete(id);
+				this._staleSinceMs.delete(id);
 				continue;
 			}
 
-			const sinceMs = this._behindSinceMs.get(id) ?? this._clock.nowMs();
-			this._behindSinceMs.set(id, sinceMs);
-			if (this._clock.nowMs() - sinceMs >= standInTimes.leftBehind) {
+			const sinceMs = this._staleSinceMs.get(id) ?? this._clock.nowMs();
+			this._staleSinceMs.set(id, sinceMs);
+			if (this._clock.nowMs() - sinceMs >= simulatedTimesMs.demotion) {
 				this.group.catchUp(instance);
 				this.register();
 			}
--- a/standins/line/processes/node-process.ts
+++ b/standins/line/processes/node-process.ts
@@ -17,7 +17,7 @@
 const program = fileURLToPath(new URL('node-main.js', import.meta.url));
 
 /** Time between two looks whether a node is ready, and how often it is looked. */
-const readyLook = {everyMs: 100, times: 300} as const;
+const readinessPolling = {everyMs: 100, times: 300} as const;
 
 /** What nodes owe to organisations: when a key must count no more, and how usage is counted. */
 export const accessRule: {readonly keyRevocationMs: number; readonly usage: UsageRule} = {
@@ -78,12 +78,12 @@
 
 	/** Waits until it takes callers; resolves to whether it does. */
 	async waitUntilReady(): Promise<boolean> {
-		for (let look = 0; look < readyLook.times; look++) {
+		for (let look = 0; look < readinessPolling.times; look++) {
 			if (await this.isReady()) {
 				return true;
 			}
 
-			await pause(readyLook.everyMs);
+			await pause(readinessPolling.everyMs);
 		}
 
 		return false;
--- a/standins/line/replaced-primary.test.ts
+++ b/standins/line/replaced-primary.test.ts
@@ -27,67 +27,67 @@
 const roundMs = 10;
 
 /** Longest time in virtual ms until writes are acknowledged again. */
-const patienceMs = 20_000;
+const timeoutMs = 20_000;
 
 describe('a primary that was replaced', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 	/** Writes that the old primary committed after the promotion's effect, and that were acknowledged. */
-	let broken: string[];
+	let wrongAcknowledgements: string[];
 	let rounds: number;
 
 	async function start(nodes: number): Promise<readonly LineTestNode[]> {
-		bench = new LineTestCluster();
-		broken = [];
+		cluster = new LineTestCluster();
+		wrongAcknowledgements = [];
 		rounds = 0;
-		await bench.start(nodes);
-		for (const node of bench.nodes) {
+		await cluster.start(nodes);
+		for (const node of cluster.nodes) {
 			await node.session(databases.primary).send('WRITE x 0');
 		}
 
-		await bench.clock.advance(100);
+		await cluster.clock.advance(100);
 		// The old primary never hears of another one, nor does the replica that receives nothing.
-		bench.group.instance('i-1').missesPromotions = true;
-		makeDeaf('i-2');
+		cluster.group.instance('i-1').missesPromotions = true;
+		blockReplication('i-2');
 		// So the other replica has more of the log, and is the one to be promoted.
-		await bench.nodes[0].session(databases.primary).send('WRITE x 1');
-		await bench.clock.advance(100);
-		return bench.nodes;
+		await cluster.nodes[0].session(databases.primary).send('WRITE x 1');
+		await cluster.clock.advance(100);
+		return cluster.nodes;
 	}
 
-	function makeDeaf(id: string): void {
-		const instance = bench.group.instance(id);
+	function blockReplication(id: string): void {
+		const instance = cluster.group.instance(id);
 		instance.isReplicationBlocked = true;
 		instance.missesPromotions = true;
 	}
 
 	function isReplaced(): boolean {
-		return bench.group.instances.some(({id, isPrimary}) => isPrimary && id !== 'i-1');
+		return cluster.group.instances.some(({id, isPrimary}) => isPrimary && id !== 'i-1');
 	}
 
 	/** Writes once over each node, and notes acknowledgements that must not be. */
 	async function write(nodes: readonly LineTestNode[]): Promise<string[]> {
 		rounds += 1;
 		const wasReplaced = isReplaced();
-		const answers = await bench.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(databases.own).start(`WRITE x ${rounds}`))));
+		const answers = await cluster.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(databases.own).start(`WRITE x ${rounds}`))));
 		if (wasReplaced) {
-			broken.push(...answers.filter(answer => answer.startsWith('COMPLETE i-1')));
+			wrongAcknowledgements.push(...answers.filter(answer => answer.startsWith('COMPLETE i-1')));
 		}
 
-		await bench.clock.advance(roundMs);
+		await cluster.clock.advance(roundMs);
 		return answers;
 	}
 
 	async function writeFor(durationMs: number, nodes: readonly LineTestNode[]): Promise<void> {
-		const endMs = bench.clock.nowMs() + durationMs;
-		while (bench.clock.nowMs() < endMs) {
+		const endMs = cluster.clock.nowMs() + durationMs;
+		while (cluster.clock.nowMs() < endMs) {
 			await write(nodes);
 		}
 	}
 
 	async function writeUntil(isDone: () => boolean, nodes: readonly LineTestNode[]): Promise<void> {
-		const endMs = bench.clock.nowMs() + patienceMs;
+		const endMs = cluster.clock.nowMs() + timeoutMs;
 		while (!isDone()) {
-			expect(bench.clock.nowMs() < endMs).toEqual(true);
+			expect(cluster.clock.nowMs() < endMs).toEqual(true);
 			await write(nodes);
 		}
 	}
@@ -95,8 +95,8 @@
 	/** The new primary serves over every one of these nodes. */
 	async function expectServed(nodes: readonly LineTestNode[], primary = 'i-3'): Promise<void> {
 		const served = new Set<LineTestNode>();
-		const endMs = bench.clock.nowMs() + patienceMs;
-		while (served.size < nodes.length && bench.clock.nowMs() < endMs) {
+		const endMs = cluster.clock.nowMs() + timeoutMs;
+		while (served.size < nodes.length && cluster.clock.nowMs() < endMs) {
 			const answers = await write(nodes);
 			for (const node of nodes.filter((_, index) => answers[index].startsWith(`COMPLETE ${primary}`))) {
 				served.add(node);
@@ -107,7 +107,7 @@
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('acknowledges nothing over nodes from behind a cut that has healed', async () => {
@@ -118,43 +118,43 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(isReplaced, bench.nodes);
-		await writeFor(1500, bench.nodes);
+		await writeUntil(isReplaced, cluster.nodes);
+		await writeFor(1500, cluster.nodes);
 		heal();
-		await writeFor(1500, bench.nodes);
-		expect(broken).toEqual([]);
-		await expectServed(bench.nodes);
+		await writeFor(1500, cluster.nodes);
+		expect(wrongAcknowledgements).toEqual([]);
+		await expectServed(cluster.nodes);
 	});
 
 	it('acknowledges nothing when the promotion takes effect long after its call was given up on', async () => {
 		const nodes = await start(3);
-		bench.orderAnswersToLose = 1;
-		bench.promotionMs = 4000;
+		cluster.orderAnswersToLose = 1;
+		cluster.promotionMs = 4000;
 		for (const node of nodes) {
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, nodes);
+		await writeUntil(() => cluster.ordered.length > 0, nodes);
 		heal();
 		await writeFor(6000, nodes);
 		expect(isReplaced()).toEqual(true);
-		expect(broken).toEqual([]);
+		expect(wrongAcknowledgements).toEqual([]);
 		await expectServed(nodes);
 	});
 
 	it('acknowledges nothing when the node that ordered the promotion dies before its effect', async () => {
 		const nodes = await start(3);
-		bench.promotionMs = 7000;
+		cluster.promotionMs = 7000;
 		for (const node of nodes) {
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, nodes);
+		await writeUntil(() => cluster.ordered.length > 0, nodes);
 		const left = killPromoter();
 		heal(left);
 		await writeFor(9000, left);
 		expect(isReplaced()).toEqual(true);
-		expect(broken).toEqual([]);
+		expect(wrongAcknowledgements).toEqual([]);
 		await expectServed(left);
 	});
 
@@ -164,7 +164,7 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, nodes);
+		await writeUntil(() => cluster.ordered.length > 0, nodes);
 		const left = killPromoter();
 
 		// Nobody sees that it leads the next term, and its registration lapses.
@@ -174,10 +174,10 @@
 		}
 
 		await writeUntil(isReplaced, left);
-		bench.store.put(tables.instances, 'i-3', undefined);
+		cluster.store.put(tables.instances, 'i-3', undefined);
 		await writeFor(9000, left);
-		expect(broken).toEqual([]);
-		expect(bench.ordered.at(-1)?.id).toEqual('i-2');
+		expect(wrongAcknowledgements).toEqual([]);
+		expect(cluster.ordered.at(-1)?.id).toEqual('i-2');
 		await expectServed(left, 'i-2');
 		expect(left.flatMap(node => node.logged('promotionOrdered').map(({term}) => term))).toEqual([2]);
 	});
@@ -190,13 +190,13 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
-		bench.group.instance('i-2').fencedForTerm = 0;
-		await writeUntil(isReplaced, bench.nodes);
-		await writeFor(2000, bench.nodes);
-		expect(broken).toEqual([]);
+		await writeUntil(() => cluster.ordered.length > 0, cluster.nodes);
+		cluster.group.instance('i-2').fencedForTerm = 0;
+		await writeUntil(isReplaced, cluster.nodes);
+		await writeFor(2000, cluster.nodes);
+		expect(wrongAcknowledgements).toEqual([]);
 		heal();
-		await expectServed(bench.nodes);
+		await expectServed(cluster.nodes);
 	});
 
 	it('acknowledges nothing when a fence was lost at a replica that the promoter cannot ask again', async () => {
@@ -207,30 +207,30 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.group.instance('i-2').fencedForTerm > 0, bench.nodes);
+		await writeUntil(() => cluster.group.instance('i-2').fencedForTerm > 0, cluster.nodes);
 		// It started again with its log; the promoter's second question gets no answer.
 		for (const node of others) {
 			cutConnections(node, ['i-2']);
 		}
 
-		bench.group.instance('i-2').fencedForTerm = 0;
-		await writeFor(4000, bench.nodes);
-		expect(broken).toEqual([]);
+		cluster.group.instance('i-2').fencedForTerm = 0;
+		await writeFor(4000, cluster.nodes);
+		expect(wrongAcknowledgements).toEqual([]);
 	});
 
 	it('acknowledges nothing when all fences run out before an order takes effect, at a node without the store', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, [], others);
 		cutOff.isStoreUnreachable = true;
-		bench.promotionMs = 3800;
+		cluster.promotionMs = 3800;
 		for (const node of others) {
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
-		await writeFor(12_000, bench.nodes);
+		await writeUntil(() => cluster.ordered.length > 0, cluster.nodes);
+		await writeFor(12_000, cluster.nodes);
 		expect(isReplaced()).toEqual(true);
-		expect(broken).toEqual([]);
+		expect(wrongAcknowledgements).toEqual([]);
 	});
 
 	it('acknowledges nothing when all fences end between an order and its effect, at a node without the store', async () => {
@@ -241,14 +241,14 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		await writeUntil(() => bench.ordered.length > 0, bench.nodes);
-		for (const instance of bench.group.instances) {
+		await writeUntil(() => cluster.ordered.length > 0, cluster.nodes);
+		for (const instance of cluster.group.instances) {
 			instance.fencedForTerm = 0;
 		}
 
-		await writeUntil(isReplaced, bench.nodes);
-		await writeFor(2000, bench.nodes);
-		expect(broken).toEqual([]);
+		await writeUntil(isReplaced, cluster.nodes);
+		await writeFor(2000, cluster.nodes);
+		expect(wrongAcknowledgements).toEqual([]);
 	});
 
 	it('acknowledges nothing over a later primary that a stale node replaces once more', async () => {
@@ -261,15 +261,15 @@
 		await writeUntil(isReplaced, others);
 		await writeFor(1000, others);
 		// The new primary's entry expires for a while; the stale node finds an order on record.
-		bench.group.instance('i-2').missesPromotions = false;
-		bench.group.instance('i-3').missesPromotions = true;
+		cluster.group.instance('i-2').missesPromotions = false;
+		cluster.group.instance('i-3').missesPromotions = true;
 		for (const node of others) {
 			cutConnections(node, ['i-2']);
 		}
 
-		bench.store.put(tables.instances, 'i-3', undefined);
-		await bench.clock.advance(9000);
-		expect(bench.group.instance('i-2').isPrimary).toEqual(true);
+		cluster.store.put(tables.instances, 'i-3', undefined);
+		await cluster.clock.advance(9000);
+		expect(cluster.group.instance('i-2').isPrimary).toEqual(true);
 		const answers: string[] = [];
 		for (let round = 0; round < 100; round++) {
 			answers.push(...await write(others));
@@ -285,17 +285,17 @@
 			cutConnections(node, ['i-1']);
 		}
 
-		const startMs = bench.clock.nowMs();
-		await writeUntil(isReplaced, bench.nodes);
-		expect(bench.nodes.flatMap(node => node.logged('promotionFailed')).filter(({outcome}) => outcome === 'notNeeded')).toEqual([]);
-		expect(bench.clock.nowMs() - startMs < 2500).toEqual(true);
+		const startMs = cluster.clock.nowMs();
+		await writeUntil(isReplaced, cluster.nodes);
+		expect(cluster.nodes.flatMap(node => node.logged('promotionFailed')).filter(({outcome}) => outcome === 'notNeeded')).toEqual([]);
+		expect(cluster.clock.nowMs() - startMs < 2500).toEqual(true);
 	});
 
 	/** The node that ordered neither hears nor says anything any more; the others are left. */
 	function killPromoter(): readonly LineTestNode[] {
-		const [{holder}] = bench.ordered;
-		const dead = bench.nodes.find(({self}) => self.name === holder)!;
-		const left = bench.nodes.filter(node => node !== dead);
+		const [{holder}] = cluster.ordered;
+		const dead = cluster.nodes.find(({self}) => self.name === holder)!;
+		const left = cluster.nodes.filter(node => node !== dead);
 		dead.dispose();
 		dead.isStoreUnreachable = true;
 		cutNode(dead, ['i-1', 'i-2', 'i-3'], left);
@@ -303,7 +303,7 @@
 	}
 
 	/** Ends all cuts of these nodes. */
-	function heal(nodes: readonly LineTestNode[] = bench.nodes): void {
+	function heal(nodes: readonly LineTestNode[] = cluster.nodes): void {
 		for (const node of nodes) {
 			node.connector.connectionFaults.clear();
 			node.unreachablePeers.clear();
--- a/standins/line/replacement-reads.test.ts
+++ b/standins/line/replacement-reads.test.ts
@@ -7,31 +7,31 @@
 
 describe('looks whether a primary is being replaced', () => {
 	it('reads the store at most twice a node during a promotion', async () => {
-		const bench = new LineTestCluster();
+		const cluster = new LineTestCluster();
 		let reads = 0;
-		const {store} = bench;
+		const {store} = cluster;
 		const read = store.read.bind(store);
 		store.read = async (table, partition) => {
 			reads += table === dutyTable ? 1 : 0;
 			return read(table, partition);
 		};
 
-		await bench.start(nodeCount);
+		await cluster.start(nodeCount);
 		const atStart = reads;
-		bench.group.instance('i-1').missesPromotions = true;
-		for (const node of bench.nodes) {
+		cluster.group.instance('i-1').missesPromotions = true;
+		for (const node of cluster.nodes) {
 			node.connector.connectionFaults.set('i-1', 'refused');
 			node.pools.pool(node.registry.endpoint('i-1')!).closeIdle();
 		}
 
-		const endMs = bench.clock.nowMs() + 4000;
-		while (bench.clock.nowMs() < endMs) {
-			await bench.clock.advanceUntil(Promise.all(bench.nodes.map(async node => node.session(databases.own).start('WRITE x 1'))));
-			await bench.clock.advance(50);
+		const endMs = cluster.clock.nowMs() + 4000;
+		while (cluster.clock.nowMs() < endMs) {
+			await cluster.clock.advanceUntil(Promise.all(cluster.nodes.map(async node => node.session(databases.own).start('WRITE x 1'))));
+			await cluster.clock.advance(50);
 		}
 
-		bench.dispose();
-		expect(bench.group.instances.some(({id, isPrimary}) => isPrimary && id !== 'i-1')).toEqual(true);
+		cluster.dispose();
+		expect(cluster.group.instances.some(({id, isPrimary}) => isPrimary && id !== 'i-1')).toEqual(true);
 		expect(reads - atStart <= 2 * nodeCount).toEqual(true);
 	});
 });
--- a/standins/line/restarts.test.ts
+++ b/standins/line/restarts.test.ts
@@ -5,50 +5,50 @@
 import type {LineTestNode} from './line-test-cluster.js';
 
 /** Longest time in virtual ms until a group serves again. */
-const patienceMs = 15_000;
+const timeoutMs = 15_000;
 
 /** Time until an instance that started again has its log from its primary. */
 const syncMs = 300;
 
 describe('instances that start again under their id', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(nodes: number): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		for (const instance of bench.group.instances) {
+		cluster = new LineTestCluster();
+		for (const instance of cluster.group.instances) {
 			instance.startedAtMs = 1000;
 		}
 
-		await bench.start(nodes);
-		return bench;
+		await cluster.start(nodes);
+		return cluster;
 	}
 
 	/** Starts an instance again, which says so in its registration after a time. */
 	function restart(id: string, options: {readonly isPrimary?: boolean; readonly saysSoAfterMs?: number; readonly isStartTold?: boolean} = {}): void {
 		const {isPrimary, saysSoAfterMs = 800, isStartTold = true} = options;
-		bench.group.restart(id, {syncMs, isPrimary});
-		bench.clock.setTimer(saysSoAfterMs, () => {
-			bench.group.instance(id).startedAtMs = isStartTold ? 2000 : undefined;
-			bench.register();
+		cluster.group.restart(id, {syncMs, isPrimary});
+		cluster.clock.setTimer(saysSoAfterMs, () => {
+			cluster.group.instance(id).startedAtMs = isStartTold ? 2000 : undefined;
+			cluster.register();
 		});
 	}
 
 	async function untilDone(node: LineTestNode, text: string, database: string = databases.primary): Promise<string> {
-		const endMs = bench.clock.nowMs() + patienceMs;
-		while (bench.clock.nowMs() < endMs) {
+		const endMs = cluster.clock.nowMs() + timeoutMs;
+		while (cluster.clock.nowMs() < endMs) {
 			const answer = await node.session(database).send(text);
 			if (answer.includes('COMPLETE')) {
 				return answer;
 			}
 
-			await bench.clock.advance(20);
+			await cluster.clock.advance(20);
 		}
 
-		throw new Error(`not done within ${patienceMs} ms`);
+		throw new Error(`not done within ${timeoutMs} ms`);
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	for (const isStartTold of [true, false]) {
@@ -107,7 +107,7 @@
 		node.connector.connectionFaults.set('i-3', 'silent');
 		// Its position alone tells of the start: the node cannot ask the store.
 		node.isStoreUnreachable = true;
-		bench.group.restart('i-2', {syncMs: 600});
+		cluster.group.restart('i-2', {syncMs: 600});
 		for (let round = 0; round < 20; round++) {
 			await node.session(databases.primary).send('READ x');
 			await clock.advance(100);
@@ -126,7 +126,7 @@
 		group.instance('i-1').isUp = false;
 		const attempt = node.session(databases.primary).start('WRITE y 1');
 		// As soon as a replica is fenced it starts again.
-		while (!group.instances.some(({fencedForTerm: pausedFor}) => pausedFor > 0)) {
+		while (!group.instances.some(({fencedForTerm}) => fencedForTerm > 0)) {
 			await clock.advance(1);
 		}
 
--- a/standins/line/restore-schedules.test.ts
+++ b/standins/line/restore-schedules.test.ts
@@ -19,7 +19,7 @@
 const recoveryMs = 20_000;
 
 class Schedule {
-	readonly bench = new LineTestCluster();
+	readonly cluster = new LineTestCluster();
 	private readonly _random: SeededRandom;
 	private readonly _acknowledged = new Set<string>();
 	private readonly _copies: StoreSnapshot[] = [];
@@ -28,7 +28,7 @@
 
 	private readonly _actions: Readonly<Record<string, () => Promise<void>>> = {
 		copy: async () => {
-			this._copies.push(this.bench.store.takeSnapshot());
+			this._copies.push(this.cluster.store.takeSnapshot());
 		},
 		restore: async () => this._restore(),
 		restoreTwice: async () => {
@@ -38,11 +38,11 @@
 		},
 		configure: async () => {
 			this._configuration += 1;
-			this.bench.configure(this._configuration);
+			this.cluster.configure(this._configuration);
 		},
 		replacePrimary: async () => {
-			const [leader] = this.bench.group.instances.filter(({isPrimary}) => isPrimary).toSorted((a, b) => b.term - a.term);
-			for (const node of this.bench.nodes.slice(1)) {
+			const [leader] = this.cluster.group.instances.filter(({isPrimary}) => isPrimary).toSorted((a, b) => b.term - a.term);
+			for (const node of this.cluster.nodes.slice(1)) {
 				cutConnections(node, [leader.id]);
 			}
 
@@ -51,16 +51,16 @@
 		},
 		/** A node stays with a primary and a replica that hear of no promotion; it comes back to the store first. */
 		cutZone: async () => {
-			const [leader, deaf, ...others] = this.bench.group.instances.toSorted((a, b) => Number(b.isPrimary) - Number(a.isPrimary) || b.term - a.term);
-			const inside = this._pick(this.bench.nodes);
+			const [leader, deaf, ...others] = this.cluster.group.instances.toSorted((a, b) => Number(b.isPrimary) - Number(a.isPrimary) || b.term - a.term);
+			const inside = this._pick(this.cluster.nodes);
 			inside.isStoreUnreachable = this._random.next() < 0.7;
 			cutConnections(inside, others.map(({id}) => id));
-			for (const node of this.bench.nodes.filter(other => other !== inside)) {
+			for (const node of this.cluster.nodes.filter(other => other !== inside)) {
 				inside.unreachablePeers.add(node.self.name);
 				cutConnections(node, [leader.id]);
 			}
 
-			this._copies.push(this.bench.store.takeSnapshot());
+			this._copies.push(this.cluster.store.takeSnapshot());
 			for (const instance of [leader, deaf]) {
 				instance.missesPromotions = true;
 			}
@@ -75,21 +75,21 @@
 			await this._writeFor(this._upTo(6000));
 		},
 		cutStore: async () => {
-			this._pick(this.bench.nodes).isStoreUnreachable = true;
+			this._pick(this.cluster.nodes).isStoreUnreachable = true;
 		},
 		cutNode: async () => {
-			const node = this._pick(this.bench.nodes);
-			for (const {self} of this.bench.nodes) {
+			const node = this._pick(this.cluster.nodes);
+			for (const {self} of this.cluster.nodes) {
 				node.unreachablePeers.add(self.name);
 			}
 		},
 		startNode: async () => {
-			if (this.bench.nodes.length < 6) {
-				this.bench.addNode();
+			if (this.cluster.nodes.length < 6) {
+				this.cluster.addNode();
 			}
 		},
 		loseHistory: async () => {
-			this.bench.store.dropHistory();
+			this.cluster.store.dropHistory();
 		},
 		heal: async () => {
 			this._heal();
@@ -101,37 +101,37 @@
 	}
 
 	async run(): Promise<void> {
-		await this.bench.start(4);
-		this._copies.push(this.bench.store.takeSnapshot());
+		await this.cluster.start(4);
+		this._copies.push(this.cluster.store.takeSnapshot());
 		for (let step = 0; step < steps; step++) {
 			await this._actions[this._pick([...Object.keys(this._actions), 'restore', 'copy', 'cutZone', 'heal'])]();
-			this.bench.register();
+			this.cluster.register();
 			await this._writeFor(this._upTo(1500));
 		}
 
 		this._heal();
 		await this._actions.configure();
-		this.bench.register();
+		this.cluster.register();
 		await this._writeFor(recoveryMs);
 	}
 
 	/** Names of nodes without the last configuration. */
 	behind(): string[] {
-		return this.bench.nodes.filter(({catalog}) => catalog.version !== this._configuration).map(({self}) => self.name);
+		return this.cluster.nodes.filter(({catalog}) => catalog.version !== this._configuration).map(({self}) => self.name);
 	}
 
 	/** Acknowledged writes that took effect at a primary after a later one led. */
 	acknowledgedAtReplaced(): string[] {
-		const {commits, promotionEffects: termStarts} = this.bench.group;
+		const {commits, promotionEffects} = this.cluster.group;
 		return commits
-			.filter(({id, term, atMs}) => this._acknowledged.has(id) && termStarts.some(start => start.term > term && start.atMs < atMs))
+			.filter(({id, term, atMs}) => this._acknowledged.has(id) && promotionEffects.some(start => start.term > term && start.atMs < atMs))
 			.map(({id, instance, term}) => `${id} at ${instance} in term ${term}`);
 	}
 
 	/** Epochs that are lower than one before, or that two nodes used. */
 	falseEpochs(): string[] {
-		return this.bench.ordered
-			.filter(({epoch, holder}, index) => this.bench.ordered.slice(0, index).some(other => other.epoch > epoch || (other.epoch === epoch && other.holder !== holder)))
+		return this.cluster.ordered
+			.filter(({epoch, holder}, index) => this.cluster.ordered.slice(0, index).some(other => other.epoch > epoch || (other.epoch === epoch && other.holder !== holder)))
 			.map(({epoch, holder}) => `${holder} with ${epoch}`);
 	}
 
@@ -142,45 +142,45 @@
 	}
 
 	private async _restore(): Promise<void> {
-		const {store, clock} = this.bench;
+		const {store, clock} = this.cluster;
 		store.isUnavailable = this._random.next() < 0.8;
 		await this._writeFor(this._upTo(1500));
 		store.restore(this._pick(this._copies.slice(-2)));
 		store.isUnavailable = false;
 		await clock.advance(this._upTo(2000));
-		this.bench.configure(this._configuration);
-		this.bench.register();
+		this.cluster.configure(this._configuration);
+		this.cluster.register();
 	}
 
 	private _heal(): void {
-		for (const node of this.bench.nodes) {
+		for (const node of this.cluster.nodes) {
 			node.connector.connectionFaults.clear();
 			node.unreachablePeers.clear();
 			node.isStoreUnreachable = false;
 		}
 
-		for (const instance of this.bench.group.instances) {
+		for (const instance of this.cluster.group.instances) {
 			instance.missesPromotions = false;
 			instance.isReplicationBlocked = false;
-			this.bench.group.catchUp(instance);
+			this.cluster.group.catchUp(instance);
 		}
 	}
 
 	private async _writeFor(durationMs: number): Promise<void> {
-		const endMs = this.bench.clock.nowMs() + durationMs;
-		while (this.bench.clock.nowMs() < endMs) {
+		const endMs = this.cluster.clock.nowMs() + durationMs;
+		while (this.cluster.clock.nowMs() < endMs) {
 			await this._write();
-			await this.bench.clock.advance(roundMs);
+			await this.cluster.clock.advance(roundMs);
 		}
 	}
 
 	private async _write(): Promise<string[]> {
-		const sent = this.bench.nodes.map((node: LineTestNode) => {
+		const sent = this.cluster.nodes.map((node: LineTestNode) => {
 			this._writes += 1;
 			const id = `w${this._writes}`;
 			return {id, answer: node.session(databases.own).start(`WRITE x ${this._writes}`, id)};
 		});
-		const answers = await this.bench.clock.advanceUntil(Promise.all(sent.map(async ({answer}) => answer)));
+		const answers = await this.cluster.clock.advanceUntil(Promise.all(sent.map(async ({answer}) => answer)));
 		for (const [index, answer] of answers.entries()) {
 			if (answer.startsWith('COMPLETE')) {
 				this._acknowledged.add(sent[index].id);
@@ -210,7 +210,7 @@
 				expect(schedule.falseEpochs()).toEqual([]);
 				expect(await schedule.areAllServing()).toEqual(true);
 			} finally {
-				schedule.bench.dispose();
+				schedule.cluster.dispose();
 			}
 		});
 	}
--- a/standins/line/sessions.test.ts
+++ b/standins/line/sessions.test.ts
@@ -4,16 +4,16 @@
 import {databases, LineTestCluster} from './line-test-cluster.js';
 
 describe('sessions over the line protocol', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(nodes = 1): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		await bench.start(nodes);
-		return bench;
+		cluster = new LineTestCluster();
+		await cluster.start(nodes);
+		return cluster;
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	it('passes an endpoint\'s answers on', async () => {
@@ -187,10 +187,10 @@
 		const {nodes: [node], clock} = await start();
 		const session = node.session(databases.aged);
 		await session.send('READ x');
-		bench.configure(2, 'aged');
+		cluster.configure(2, 'aged');
 		await clock.advance(50);
 		expect(await answerStartsWith(session.send('READ x'), 'ERROR NODB')).toEqual(true);
-		bench.configure(1);
+		cluster.configure(1);
 		await clock.advance(50);
 		expect(node.catalog.version).toEqual(2);
 	});
@@ -216,20 +216,20 @@
 	it('sends no read to a replica that drains, though it read there before', async () => {
 		// Reads reached an instance 11.9 s after it had said that it leaves, where 10 s are allowed: the
 		// pool that a replica's earlier reads had made knew its registration of that time.
-		bench = new LineTestCluster();
-		await bench.start(1);
-		const session = bench.nodes[0].session(databases.aged);
+		cluster = new LineTestCluster();
+		await cluster.start(1);
+		const session = cluster.nodes[0].session(databases.aged);
 		for (let index = 0; index < 20; index++) {
 			await session.send('READ x', `before-${index}`);
 		}
 
-		bench.register('i-2');
-		await bench.clock.advance(100);
+		cluster.register('i-2');
+		await cluster.clock.advance(100);
 		for (let index = 0; index < 40; index++) {
 			await session.send('READ x', `after-${index}`);
 		}
 
-		const {ran} = bench.group.instance('i-2');
+		const {ran} = cluster.group.instance('i-2');
 		expect(ran.some(id => id.startsWith('before'))).toEqual(true);
 		expect(ran.filter(id => id.startsWith('after'))).toEqual([]);
 	});
--- a/standins/line/store-restored.test.ts
+++ b/standins/line/store-restored.test.ts
@@ -16,7 +16,7 @@
 const keyRevocationMs = 5000;
 
 /** Longest time in virtual milliseconds until something comes about. */
-const patienceMs = 20_000;
+const timeoutMs = 20_000;
 
 /** Versions that the store gives out again after each of these tests' copies. */
 const lostWrites = 100;
@@ -24,47 +24,47 @@
 const shop = {name: 'shop', 'api-keys': ['key-of-shop']};
 
 describe('a store that comes back from an older copy', () => {
-	let bench: LineTestCluster;
+	let cluster: LineTestCluster;
 
 	async function start(nodes: number): Promise<LineTestCluster> {
-		bench = new LineTestCluster();
-		await bench.start(nodes);
-		return bench;
+		cluster = new LineTestCluster();
+		await cluster.start(nodes);
+		return cluster;
 	}
 
 	/** The store is away for a moment and has lost what was written since the copy. */
 	async function restore(copy: StoreSnapshot, awayMs = 500): Promise<void> {
-		bench.store.isUnavailable = true;
-		await bench.clock.advance(awayMs);
-		bench.store.restore(copy);
-		bench.store.isUnavailable = false;
+		cluster.store.isUnavailable = true;
+		await cluster.clock.advance(awayMs);
+		cluster.store.restore(copy);
+		cluster.store.isUnavailable = false;
 	}
 
 	function write(rows: number): void {
 		for (let count = 0; count < rows; count++) {
-			bench.store.put('other', 'row', String(count));
+			cluster.store.put('other', 'row', String(count));
 		}
 	}
 
 	/** Writes over a node until one more promotion has taken effect. */
 	async function writeUntilReplaced(node: LineTestNode): Promise<void> {
 		const session = node.session(databases.own);
-		const before = bench.group.promotionEffects.length;
-		const endMs = bench.clock.nowMs() + patienceMs;
-		while (bench.group.promotionEffects.length === before) {
-			expect(bench.clock.nowMs() < endMs).toEqual(true);
+		const before = cluster.group.promotionEffects.length;
+		const endMs = cluster.clock.nowMs() + timeoutMs;
+		while (cluster.group.promotionEffects.length === before) {
+			expect(cluster.clock.nowMs() < endMs).toEqual(true);
 			await session.send('WRITE x 1');
-			await bench.clock.advance(50);
+			await cluster.clock.advance(50);
 		}
 	}
 
 	/** Writes over a node for a time; resolves with what the endpoint acknowledged. */
 	async function acknowledgedAt(endpoint: string, node: LineTestNode, durationMs: number): Promise<string[]> {
-		const endMs = bench.clock.nowMs() + durationMs;
+		const endMs = cluster.clock.nowMs() + durationMs;
 		const answers: string[] = [];
-		while (bench.clock.nowMs() < endMs) {
+		while (cluster.clock.nowMs() < endMs) {
 			answers.push(await node.session(databases.own).send('WRITE x 1'));
-			await bench.clock.advance(10);
+			await cluster.clock.advance(10);
 		}
 
 		return answers.filter(answer => answer.startsWith(`COMPLETE ${endpoint}`));
@@ -72,11 +72,11 @@
 
 	/** Names of nodes on which version 2 of the configuration is not in force. */
 	function behind(): string[] {
-		return bench.nodes.filter(({catalog}) => catalog.version !== 2).map(({self}) => self.name);
+		return cluster.nodes.filter(({catalog}) => catalog.version !== 2).map(({self}) => self.name);
 	}
 
 	afterEach(() => {
-		bench.dispose();
+		cluster.dispose();
 	});
 
 	/** Changes the configuration once the store is back, and then writes something else. */
@@ -87,7 +87,7 @@
 		await clock.advance(2500);
 		await restore(copy);
 		await clock.advance(pauseMs);
-		bench.configure(2);
+		cluster.configure(2);
 		write(writes);
 		await clock.advance(applyMs);
 	}
@@ -112,7 +112,7 @@
 	it('is not read by every node of a large fleet at its return', async () => {
 		const {store, clock} = await start(24);
 		const copy = store.takeSnapshot();
-		bench.register();
+		cluster.register();
 		await clock.advance(2500);
 		store.isUnavailable = true;
 		await clock.advance(2500);
@@ -128,7 +128,7 @@
 
 	it('has no write acknowledged at a primary whose replacement is on record no more', async () => {
 		const {store, clock, group} = await start(5);
-		const [cutOff, ...others] = bench.nodes;
+		const [cutOff, ...others] = cluster.nodes;
 		await others[0].session(databases.primary).send('WRITE x 0');
 		await clock.advance(100);
 		// Neither the old primary nor one replica hears of the promotion.
@@ -147,8 +147,8 @@
 		await writeUntilReplaced(others[0]);
 		await clock.advance(200);
 		await restore(copy);
-		bench.register();
-		for (const node of bench.nodes) {
+		cluster.register();
+		for (const node of cluster.nodes) {
 			node.connector.connectionFaults.clear();
 			node.isStoreUnreachable = false;
 		}
@@ -163,10 +163,10 @@
 		const copy = store.takeSnapshot();
 		await replacePrimary('i-1');
 		await restore(copy);
-		bench.register();
+		cluster.register();
 		await clock.advance(6000);
-		await replacePrimary(bench.group.instances.find(({isPrimary}) => isPrimary)!.id);
-		const epochs = bench.ordered.map(({epoch}) => epoch);
+		await replacePrimary(cluster.group.instances.find(({isPrimary}) => isPrimary)!.id);
+		const epochs = cluster.ordered.map(({epoch}) => epoch);
 		expect(epochs.length >= 2).toEqual(true);
 		expect(epochs).toEqual([...new Set(epochs)].toSorted((a, b) => a - b));
 	});
@@ -174,7 +174,7 @@
 	it('holds the registration of a node that joined a large fleet again', async () => {
 		const {store, clock} = await start(24);
 		const copy = store.takeSnapshot();
-		const {self} = bench.addNode();
+		const {self} = cluster.addNode();
 		await clock.advance(3000);
 		await restore(copy);
 		await clock.advance(writtenAgainMs);
@@ -185,20 +185,20 @@
 	it('holds every node\'s registration again', async () => {
 		const {store, clock} = await start(1);
 		const copy = store.takeSnapshot();
-		bench.addNode();
+		cluster.addNode();
 		await clock.advance(3000);
 		await restore(copy);
 		await clock.advance(writtenAgainMs);
 		const read = await clock.advanceUntil(store.read(nodeTable, ''));
 		const keys = new Set(read.unsafeCoerce().rows.map(({key}) => key));
-		expect(bench.nodes.map(({self}) => self.name).filter(name => !keys.has(name))).toEqual([]);
+		expect(cluster.nodes.map(({self}) => self.name).filter(name => !keys.has(name))).toEqual([]);
 	});
 
 	it('tells a node that starts later when it came back', async () => {
 		const {store, clock} = await start(3);
 		await restore(store.takeSnapshot());
 		await clock.advance(10_000);
-		const node = bench.addNode();
+		const node = cluster.addNode();
 		await clock.advance(500);
 		expect(node.logged('leaseStarted').length > 0).toEqual(true);
 	});
@@ -206,29 +206,29 @@
 	it('keeps a node that starts at once after it from every lease', async () => {
 		const {store, clock} = await start(1);
 		const copy = store.takeSnapshot();
-		bench.restartAll();
+		cluster.restartAll();
 		await restore(copy);
 		await clock.advance(writtenAgainMs);
-		expect(bench.nodes.flatMap(node => node.logged('leaseStarted'))).toEqual([]);
+		expect(cluster.nodes.flatMap(node => node.logged('leaseStarted'))).toEqual([]);
 		await clock.advance(2 * writtenAgainMs);
-		expect(bench.nodes.flatMap(node => node.logged('leaseStarted')).length > 0).toEqual(true);
+		expect(cluster.nodes.flatMap(node => node.logged('leaseStarted')).length > 0).toEqual(true);
 	});
 
 	it('lets nobody in with a key that was revoked in what it has lost', async () => {
-		bench = new LineTestCluster();
-		bench.organisations = [shop];
-		bench.keyRevocationMs = keyRevocationMs;
-		await bench.start(3);
-		const {store, clock, nodes: [node]} = bench;
+		cluster = new LineTestCluster();
+		cluster.organisations = [shop];
+		cluster.keyRevocationMs = keyRevocationMs;
+		await cluster.start(3);
+		const {store, clock, nodes: [node]} = cluster;
 		const copy = store.takeSnapshot();
 		node.isStoreUnreachable = true;
-		for (const {self} of bench.nodes) {
+		for (const {self} of cluster.nodes) {
 			node.unreachablePeers.add(self.name);
 		}
 
 		await clock.advance(1200);
-		bench.organisations = [{...shop, 'api-keys': []}];
-		bench.configure(2);
+		cluster.organisations = [{...shop, 'api-keys': []}];
+		cluster.configure(2);
 		const revokedAtMs = clock.nowMs();
 		await clock.advance(2000);
 		await restore(copy, 2000);
@@ -251,7 +251,7 @@
 		store.put(tables.instances, 'i-3', undefined);
 		await clock.advance(4000);
 		const copy = store.takeSnapshot();
-		bench.register('i-2');
+		cluster.register('i-2');
 		await clock.advance(500);
 		await restore(copy);
 		await clock.advance(1000);
@@ -267,7 +267,7 @@
 		await restore(copy);
 		await clock.advance(1000);
 		expect(node.registry.endpoint('i-3') === undefined).toEqual(true);
-		bench.register();
+		cluster.register();
 		await clock.advance(100);
 		expect(node.registry.endpoint('i-3') === undefined).toEqual(false);
 	});
@@ -275,24 +275,24 @@
 	it('makes no endpoint look as if it had started again', async () => {
 		const {store, clock, nodes} = await start(3);
 		const copy = store.takeSnapshot();
-		bench.register();
+		cluster.register();
 		await clock.advance(500);
 		await restore(copy);
 		await clock.advance(1000);
-		bench.register();
+		cluster.register();
 		await clock.advance(1000);
 		expect(nodes.flatMap(node => node.logged('endpointRestarted'))).toEqual([]);
 	});
 
 	/** Cuts every node off from the primary until another one leads. */
 	async function replacePrimary(id: string): Promise<void> {
-		for (const node of bench.nodes) {
+		for (const node of cluster.nodes) {
 			cutConnections(node, [id]);
 		}
 
-		await writeUntilReplaced(bench.nodes[0]);
-		await bench.clock.advance(300);
-		for (const node of bench.nodes) {
+		await writeUntilReplaced(cluster.nodes[0]);
+		await cluster.clock.advance(300);
+		for (const node of cluster.nodes) {
 			node.connector.connectionFaults.clear();
 		}
 	}
--- a/standins/platform/dynamo-service.ts
+++ b/standins/platform/dynamo-service.ts
@@ -36,7 +36,7 @@
 	readonly hosts: LaggedValues<AttributeMap>;
 };
 
-const longestLagMs = 10 * 60_000;
+const maximumLagMs = 10 * 60_000;
 /** Attribute with the time after which the platform deletes an item, in seconds since 1970. */
 const expiryAttribute = 'expiresAt';
 
@@ -84,7 +84,7 @@
 	createTable(name: string, partitionKey: string, sortKey: string): void {
 		if (!this._tables.has(name)) {
 			this._tables.set(name, {
-				name, partitionKey, sortKey, rows: new OrderedRows(), hosts: new LaggedValues(longestLagMs),
+				name, partitionKey, sortKey, rows: new OrderedRows(), hosts: new LaggedValues(maximumLagMs),
 			});
 		}
 	}
@@ -139,9 +139,9 @@
 	}
 
 	private _putItem(request: PutRequest): unknown {
-		const clash = this._clashOf(request);
-		if (clash) {
-			throw new DynamoError('ConditionalCheckFailedException', 'The conditional request failed', {fields: clash});
+		const failure = this._conditionFailure(request);
+		if (failure) {
+			throw new DynamoError('ConditionalCheckFailedException', 'The conditional request failed', {fields: failure});
 		}
 
 		this._store(request);
@@ -149,7 +149,7 @@
 	}
 
 	/** Undefined when the condition holds; else what the answer says about the current item. */
-	private _clashOf(request: PutRequest): {readonly Item?: AttributeMap} | undefined {
+	private _conditionFailure(request: PutRequest): {readonly Item?: AttributeMap} | undefined {
 		const current = this._get(request.TableName, request.Item);
 		if (request.ConditionExpression === undefined) {
 			return undefined;
@@ -178,9 +178,9 @@
 	}
 
 	private _transact(puts: readonly PutRequest[]): unknown {
-		const clashes = puts.map(put => this._clashOf(put));
-		if (clashes.some(clash => clash !== undefined)) {
-			const reasons = clashes.map(clash => clash ? {Code: 'ConditionalCheckFailed', ...clash} : {Code: 'None'});
+		const failures = puts.map(put => this._conditionFailure(put));
+		if (failures.some(clash => clash !== undefined)) {
+			const reasons = failures.map(clash => clash ? {Code: 'ConditionalCheckFailed', ...clash} : {Code: 'None'});
 			throw new DynamoError('TransactionCanceledException', 'Transaction cancelled', {fields: {CancellationReasons: reasons}});
 		}
 
--- a/standins/platform/memory-host-list.ts
+++ b/standins/platform/memory-host-list.ts
@@ -10,36 +10,36 @@
 import {LaggedValues} from './lagged-values.js';
 import type {InjectedFaults} from './settings.js';
 
-const longestLagMs = 10 * 60_000;
+const maximumLagMs = 10 * 60_000;
 
 /** Registrations that the clients of one host list share. */
 export type HostRegistrations = LaggedValues<Host>;
 
 /** Creates an empty host list. */
 export function createHostRegistrations(): HostRegistrations {
-	return new LaggedValues(longestLagMs);
+	return new LaggedValues(maximumLagMs);
 }
 
 /** One client's view of a host list. */
 export class MemoryHostList implements HostList {
 	private readonly _clock: Clock;
-	private readonly _gate: FaultInjector;
+	private readonly _faultInjector: FaultInjector;
 	private readonly _faults: InjectedFaults;
 	private readonly _registrations: HostRegistrations;
 
-	constructor(clock: Clock, gate: FaultInjector, faults: InjectedFaults, registrations = createHostRegistrations()) {
+	constructor(clock: Clock, faultInjector: FaultInjector, faults: InjectedFaults, registrations = createHostRegistrations()) {
 		this._clock = clock;
-		this._gate = gate;
+		this._faultInjector = faultInjector;
 		this._faults = faults;
 		this._registrations = registrations;
 	}
 
 	async read(): Promise<Either<PlatformFault, readonly Host[]>> {
-		return this._gate.run('read', () => Right(this._visible()));
+		return this._faultInjector.run('read', () => Right(this._visible()));
 	}
 
 	async register(host: Host): Promise<Either<PlatformFault, void>> {
-		return this._gate.run('write', () => {
+		return this._faultInjector.run('write', () => {
 			this._registrations.write(host.name, host, this._clock.nowMs());
 			return Right(undefined);
 		});
--- a/standins/platform/memory-objects.ts
+++ b/standins/platform/memory-objects.ts
@@ -19,20 +19,20 @@
 
 /** One client's view of an object store; clients of one store share its map. */
 export class MemoryObjects implements Objects {
-	private readonly _gate: FaultInjector;
+	private readonly _faultInjector: FaultInjector;
 	private readonly _objects: Map<string, StoredObject>;
 
-	constructor(gate: FaultInjector, objects = new Map<string, StoredObject>()) {
-		this._gate = gate;
+	constructor(faultInjector: FaultInjector, objects = new Map<string, StoredObject>()) {
+		this._faultInjector = faultInjector;
 		this._objects = objects;
 	}
 
 	async get(key: string): Promise<Either<PlatformFault, StoredObject | undefined>> {
-		return this._gate.run('read', () => Right(this._objects.get(key)));
+		return this._faultInjector.run('read', () => Right(this._objects.get(key)));
 	}
 
 	async put(key: string, body: string): Promise<Either<PlatformFault, {readonly etag: string}>> {
-		return this._gate.run('write', () => {
+		return this._faultInjector.run('write', () => {
 			const stored = {body, etag: etagOf(body)};
 			this._objects.set(key, stored);
 			return Right({etag: stored.etag});
--- a/standins/platform/memory-platform.ts
+++ b/standins/platform/memory-platform.ts
@@ -41,11 +41,11 @@
 	/** Connects one more client. */
 	connect(): PlatformClient {
 		const faults = makeInjectedFaults();
-		const gate = new FaultInjector(this._clock, this._random, [this.faults, faults], this.limits);
+		const faultInjector = new FaultInjector(this._clock, this._random, [this.faults, faults], this.limits);
 		return {
-			table: new MemoryTable(this._clock, gate, this._rows),
-			objects: new MemoryObjects(gate, this._objects),
-			hostList: new MemoryHostList(this._clock, gate, this.faults, this._registrations),
+			table: new MemoryTable(this._clock, faultInjector, this._rows),
+			objects: new MemoryObjects(faultInjector, this._objects),
+			hostList: new MemoryHostList(this._clock, faultInjector, this.faults, this._registrations),
 			faults,
 		};
 	}
--- a/standins/platform/memory-table.ts
+++ b/standins/platform/memory-table.ts
@@ -13,29 +13,29 @@
 /** One client's view of a table; clients of one table share its rows. */
 export class MemoryTable implements Table {
 	private readonly _clock: Clock;
-	private readonly _gate: FaultInjector;
+	private readonly _faultInjector: FaultInjector;
 	private readonly _rows: OrderedRows<TableItem>;
 
-	constructor(clock: Clock, gate: FaultInjector, rows = new OrderedRows<TableItem>()) {
+	constructor(clock: Clock, faultInjector: FaultInjector, rows = new OrderedRows<TableItem>()) {
 		this._clock = clock;
-		this._gate = gate;
+		this._faultInjector = faultInjector;
 		this._rows = rows;
 	}
 
 	async get(partition: string, sort: string): Promise<Either<PlatformFault, TableItem | undefined>> {
-		return this._gate.run('read', () => Right(this._current(partition, sort)));
+		return this._faultInjector.run('read', () => Right(this._current(partition, sort)));
 	}
 
 	async query(partition: string, afterSort: string, limit: number): Promise<Either<PlatformFault, readonly TableItem[]>> {
-		return this._gate.run('read', () => Right(this._after(partition, afterSort, limit)));
+		return this._faultInjector.run('read', () => Right(this._after(partition, afterSort, limit)));
 	}
 
 	async put(item: Omit<TableItem, 'revision'>, expectedRevision: number): Promise<Either<PlatformFault, TableItem>> {
-		return this._gate.run('write', () => this._put({item, expectedRevision}));
+		return this._faultInjector.run('write', () => this._put({item, expectedRevision}));
 	}
 
 	async putAll(writes: readonly Write[]): Promise<Either<PlatformFault, void>> {
-		return this._gate.run('write', () => this._putAll(writes), writes.length);
+		return this._faultInjector.run('write', () => this._putAll(writes), writes.length);
 	}
 
 	/** Time by the platform's clock. */
@@ -94,9 +94,9 @@
 			return Right(undefined);
 		}
 
-		const clash = writes.findIndex(({expectedRevision}, index) => (currents[index]?.revision ?? 0) !== expectedRevision);
-		if (clash !== -1) {
-			return conditionFailed(currents[clash]);
+		const failedIndex = writes.findIndex(({expectedRevision}, index) => (currents[index]?.revision ?? 0) !== expectedRevision);
+		if (failedIndex !== -1) {
+			return conditionFailed(currents[failedIndex]);
 		}
 
 		for (const write of writes) {
