--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -23,7 +23,7 @@
 };
 
 /** One operation behind the gate, in the words of one of the two protocols. */
-type GatedOperation = {
+type PlatformOperation = {
 	readonly access: AccessKind;
 	readonly count: number;
 	readonly run: () => Answer;
@@ -39,7 +39,7 @@
 export class PlatformServer implements Disposable {
 	readonly faults: InjectedFaults;
 	private readonly _settings: PlatformSettings;
-	private readonly _gate: FaultInjector;
+	private readonly _faultInjector: FaultInjector;
 	private readonly _dynamo: DynamoService;
 	private readonly _objects = new Map<string, StoredObject>();
 	private readonly _server: Server;
@@ -60,17 +60,17 @@
 		},
 		dynamo: async (request, response, body) => {
 			const operation = this._dynamoOperation(request, body);
-			await this._runGated(operation, response);
+			await this._runWithFaults(operation, response);
 		},
 		objects: async (request, response, body) => {
-			await this._runGated(this._objectOperation(request, body), response);
+			await this._runWithFaults(this._objectOperation(request, body), response);
 		},
 	};
 
 	constructor(settings: PlatformSettings, clock: Clock, random: Random) {
 		this._settings = settings;
 		this.faults = {...settings.faults};
-		this._gate = new FaultInjector(clock, random, [this.faults]);
+		this._faultInjector = new FaultInjector(clock, random, [this.faults]);
 		this._dynamo = new DynamoService(clock, this.faults, settings.hostsPartition);
 		this._dynamo.createTable(defaultTable.name, defaultTable.partitionKey, defaultTable.sortKey);
 		this._server = createServer((request, response) => {
@@ -80,7 +80,7 @@
 
 	/** Counters of what the platform was asked. */
 	get counts(): Readonly<Record<string, number>> {
-		return this._gate.limits.counts;
+		return this._faultInjector.limits.counts;
 	}
 
 	/** Starts to listen; resolves with the port. */
@@ -109,8 +109,8 @@
 		}
 	}
 
-	private async _runGated(operation: GatedOperation, response: ServerResponse): Promise<void> {
-		const admission: Admission = this._gate.admit(operation.access, operation.count);
+	private async _runWithFaults(operation: PlatformOperation, response: ServerResponse): Promise<void> {
+		const admission: Admission = this._faultInjector.admit(operation.access, operation.count);
 		if (admission === 'silent') {
 			return;
 		}
@@ -120,9 +120,9 @@
 			return;
 		}
 
-		await this._gate.wait(this._gate.drawLatencyMs());
+		await this._faultInjector.wait(this._faultInjector.drawLatencyMs());
 		const answer = operation.run();
-		if (operation.access === 'write' && this._gate.isAnswerLost()) {
+		if (operation.access === 'write' && this._faultInjector.isAnswerLost()) {
 			response.socket?.destroy();
 			return;
 		}
@@ -130,7 +130,7 @@
 		send(response, answer);
 	}
 
-	private _dynamoOperation(request: IncomingMessage, body: string): GatedOperation {
+	private _dynamoOperation(request: IncomingMessage, body: string): PlatformOperation {
 		const target = String(request.headers['x-amz-target']);
 		try {
 			const operation = this._dynamo.prepare(target.replace(dynamoTargetPrefix, ''), body);
@@ -143,7 +143,7 @@
 		}
 	}
 
-	private _objectOperation(request: IncomingMessage, body: string): GatedOperation {
+	private _objectOperation(request: IncomingMessage, body: string): PlatformOperation {
 		const key = decodeURIComponent(new URL(request.url ?? '/', 'http://host').pathname);
 		const put = (): Answer => {
 			const etag = `"${createHash('md5').update(body).digest('hex')}"`;
