--- a/src/common/lifecycle/timing.ts
+++ b/src/common/lifecycle/timing.ts
@@ -6,7 +6,7 @@
 import type {Event} from './emitter.js';
 
 /** Shortest sleep: a remainder that rounding left must not keep a task busy. */
-const shortestMs = 1;
+const minimumSleepMs = 1;
 
 /** One task's sleep: ends after its time, when woken, or when disposed. */
 export class WakeableSleep implements Disposable {
@@ -29,7 +29,7 @@
 
 		await new Promise<void>(resolve => {
 			this._resolve = resolve;
-			this._timer = this._clock.setTimer(Math.max(delayMs, shortestMs), () => {
+			this._timer = this._clock.setTimer(Math.max(delayMs, minimumSleepMs), () => {
 				this._end();
 			});
 		});
@@ -66,15 +66,15 @@
 }
 
 /** Waits for an event, at most for a time. */
-export async function waitForEvent(clock: Clock, event: Event<unknown>, longestMs: number): Promise<void> {
+export async function waitForEvent(clock: Clock, event: Event<unknown>, timeoutMs: number): Promise<void> {
 	await new Promise<void>(resolve => {
-		const timer = clock.setTimer(longestMs, () => {
-			watch.dispose();
+		const timer = clock.setTimer(timeoutMs, () => {
+			subscription.dispose();
 			resolve();
 		});
-		const watch = event(() => {
+		const subscription = event(() => {
 			timer.dispose();
-			watch.dispose();
+			subscription.dispose();
 			resolve();
 		});
 	});
--- a/src/common/line-sessions/line-session.ts
+++ b/src/common/line-sessions/line-session.ts
@@ -30,7 +30,7 @@
 	private readonly _marks = new Map<string, LogPosition>();
 	private _transaction: SessionTransaction | undefined;
 	private _idleTimer: Disposable | undefined;
-	private _isEnded = false;
+	private _mustCloseConnection = false;
 
 	private readonly _handlers: HandlersOf<CallerStatement, Answer | Promise<Answer>, [StatementMessage, number]> = {
 		begin: async ({isReadOnly}, message, arrivedAtMs) => this._begin(isReadOnly, arrivedAtMs),
@@ -39,13 +39,13 @@
 		read: async (statement, message, arrivedAtMs) => this._run(message, {access: 'read'}, arrivedAtMs),
 		write: async (statement, message, arrivedAtMs) => this._run(message, {access: 'write'}, arrivedAtMs),
 		execute: async (statement, message, arrivedAtMs) => this._execute(message, statement, arrivedAtMs),
-		set: ({name, value}) => this._local(() => {
+		set: ({name, value}) => this._runLocally(() => {
 			this._state.values.set(name, value);
 		}),
-		prepare: ({name, access, shape}) => this._local(() => {
+		prepare: ({name, access, shape}) => this._runLocally(() => {
 			this._state.prepared.set(name, {access, shape});
 		}),
-		deallocate: ({name}) => this._local(() => {
+		deallocate: ({name}) => this._runLocally(() => {
 			this._state.prepared.delete(name);
 		}),
 		unknown: () => this._refuse(new Refusal('malformedMessage', 'the statement is not known')),
@@ -65,7 +65,7 @@
 
 	/** Whether its caller may not come back to it: the connection ends after the answer. */
 	get mustCloseConnection(): boolean {
-		return this._isEnded;
+		return this._mustCloseConnection;
 	}
 
 	/** Whether its key was revoked. */
@@ -107,7 +107,7 @@
 			return this._refuse(new Refusal('malformedMessage', 'a transaction is open already'));
 		}
 
-		return this._withOperation((route, organisation) => {
+		return this._authorizeAndRun((route, organisation) => {
 			this._transaction = new SessionTransaction({
 				route, organisation, isReadOnly, arrivedAtMs,
 			}, this._services, this._runner);
@@ -121,7 +121,7 @@
 			return this._refuse(new Refusal('malformedMessage', 'no transaction is open'));
 		}
 
-		const refusal = await this._refusalWithin(transaction);
+		const refusal = await this._checkTransactionAccess(transaction);
 		if (refusal) {
 			return this._refuse(refusal);
 		}
@@ -161,11 +161,11 @@
 	): Promise<Answer> {
 		const transaction = this._transaction;
 		if (transaction) {
-			const refusal = await this._refusalWithin(transaction);
+			const refusal = await this._checkTransactionAccess(transaction);
 			return refusal ? this._refuse(refusal) : transaction.run(this._runnable(message, kind, transaction, arrivedAtMs));
 		}
 
-		return this._withOperation(async (route, organisation) => {
+		return this._authorizeAndRun(async (route, organisation) => {
 			const answer = await this._runner.run(this._runnable(message, kind, {route, organisation}, arrivedAtMs));
 			if (answer.mark) {
 				this._marks.set(route.service, answer.mark);
@@ -200,7 +200,7 @@
 	 * Each transaction and each single statement goes by the route in force when it comes, needs a
 	 * key that counts, and is one operation of its organisation.
 	 */
-	private async _withOperation(work: (route: Route, organisation: string | undefined) => Answer | Promise<Answer>): Promise<Answer> {
+	private async _authorizeAndRun(work: (route: Route, organisation: string | undefined) => Answer | Promise<Answer>): Promise<Answer> {
 		const {catalog, access, usage} = this._services;
 		const route = await catalog.findRoute(this._database);
 		if (!route) {
@@ -221,7 +221,7 @@
 	 * Why a statement of an open transaction may not run: each is a request of its own for the key
 	 * that it comes under. The transaction is rolled back.
 	 */
-	private async _refusalWithin({route, organisation}: SessionTransaction): Promise<Refusal | undefined> {
+	private async _checkTransactionAccess({route, organisation}: SessionTransaction): Promise<Refusal | undefined> {
 		const found = await this._services.access.organisation(route, this._credential);
 		if (found.isRight() && found.unsafeCoerce() === organisation) {
 			return undefined;
@@ -241,11 +241,11 @@
 
 	/** A caller without a key that counts is not kept; one that this node knows too little about may come back. */
 	private _noteDenied({kind}: Refusal): void {
-		this._isEnded ||= kind === 'authenticationFailed';
+		this._mustCloseConnection ||= kind === 'authenticationFailed';
 	}
 
 	/** What concerns the session alone is answered here, unless its transaction has failed. */
-	private _local(act: () => void): Answer {
+	private _runLocally(act: () => void): Answer {
 		if (this._transaction?.status === 'failed') {
 			return this._refuse(new Refusal('transactionFailed'));
 		}
--- a/src/common/line-sessions/session-transaction.ts
+++ b/src/common/line-sessions/session-transaction.ts
@@ -31,17 +31,17 @@
 	private readonly _services: LineSessionServices;
 	private readonly _runner: StatementRunner;
 	private _held: HeldTransaction | undefined;
-	private _place: StatementTarget | undefined;
+	private _target: StatementTarget | undefined;
 	/** Term of the primary that it began at; undefined at a replica. */
 	private _term: number | undefined;
 	private _hasWritten = false;
 	private _failure: Refusal | undefined;
 	/** Whether the endpoint's last answer counts; not after it lost its log. */
-	private _doesCount = true;
+	private _isAnswerValid = true;
 	/** Whether a statement is on its way; the connection must not be used for anything else then. */
 	private _isRunning = false;
 	/** Whether its session was told of the failure. */
-	private _isFailureTold = false;
+	private _isFailureReported = false;
 
 	constructor(beginning: TransactionStart, services: LineSessionServices, runner: StatementRunner) {
 		this.route = beginning.route;
@@ -54,7 +54,7 @@
 
 	/** State as the session knows it. */
 	get status(): TransactionStatus {
-		return this._isFailureTold ? 'failed' : 'open';
+		return this._isFailureReported ? 'failed' : 'open';
 	}
 
 	private get _group(): PrimaryTracker {
@@ -97,12 +97,12 @@
 	}
 
 	private async _run(statement: RunnableStatement): Promise<Answer> {
-		const refusal = this._failureToTell() ?? await this._ensureBegun(statement);
+		const refusal = this._failureToReport() ?? await this._ensureBegun(statement);
 		if (refusal) {
 			return this._fail(refusal);
 		}
 
-		const result = await this._runWithPatience(statement);
+		const result = await this._runWithBusyRetry(statement);
 		if (result.isLeft()) {
 			return this._onFault(result.extract());
 		}
@@ -112,21 +112,21 @@
 			this._hasWritten = true;
 		}
 
-		if (!this._doesCount) {
-			return this._fail(new Refusal('transactionLost', lostLogDetail(this._place!.pool.endpoint.id)));
+		if (!this._isAnswerValid) {
+			return this._fail(new Refusal('transactionLost', lostLogDetail(this._target!.pool.endpoint.id)));
 		}
 
 		return answer.error ? this._onError(answer) : this._onAnswer(answer);
 	}
 
 	private async _commit(statement: RunnableStatement): Promise<Answer> {
-		const refusal = this._failureToTell(new Refusal('transactionLost', 'the transaction had failed'))
+		const refusal = this._failureToReport(new Refusal('transactionLost', 'the transaction had failed'))
 			?? await this._ensureBegun(statement);
 		if (refusal) {
 			return this._fail(refusal);
 		}
 
-		const result = await this._runWithPatience(statement);
+		const result = await this._runWithBusyRetry(statement);
 		if (result.isLeft()) {
 			return this._onCommitFault(result.extract());
 		}
@@ -141,21 +141,21 @@
 		return this._acknowledge(statement, answer);
 	}
 
-	private _failureToTell(again = new Refusal('transactionFailed')): Refusal | undefined {
-		return this._isFailureTold ? again : this._failure;
+	private _failureToReport(again = new Refusal('transactionFailed')): Refusal | undefined {
+		return this._isFailureReported ? again : this._failure;
 	}
 
 	private async _ensureBegun(statement: RunnableStatement): Promise<Refusal | undefined> {
 		const refusedBy = new Set<string>();
 		let refusal: Refusal | undefined;
 		for (let tries = 0; !this._held && tries < this._services.options.maximumDetours; tries++) {
-			const place = await this._choosePlace(statement, refusedBy);
-			if (place instanceof Refusal) {
-				return refusal ?? place;
+			const target = await this._chooseTarget(statement, refusedBy);
+			if (target instanceof Refusal) {
+				return refusal ?? target;
 			}
 
-			refusal = await this._beginAt(place, statement);
-			refusedBy.add(place.pool.endpoint.id);
+			refusal = await this._beginAt(target, statement);
+			refusedBy.add(target.pool.endpoint.id);
 			if (this._failure) {
 				this.leave();
 				return this._failure;
@@ -165,13 +165,13 @@
 		return this._held ? undefined : refusal;
 	}
 
-	private async _choosePlace(statement: RunnableStatement, refusedBy: ReadonlySet<string>): Promise<StatementTarget | Refusal> {
+	private async _chooseTarget(statement: RunnableStatement, refusedBy: ReadonlySet<string>): Promise<StatementTarget | Refusal> {
 		const group = this._group;
 		group.noteUse();
 		if (this._isReadOnly && this.route.kind !== 'primary') {
-			const place = this._runner.targets.read(group, {...statement, arrivedAtMs: this._arrivedAtMs, refusedBy});
-			if (place) {
-				return place;
+			const target = this._runner.targets.read(group, {...statement, arrivedAtMs: this._arrivedAtMs, refusedBy});
+			if (target) {
+				return target;
 			}
 		}
 
@@ -183,12 +183,12 @@
 		return primary;
 	}
 
-	private async _beginAt(place: StatementTarget, statement: RunnableStatement): Promise<Refusal | undefined> {
+	private async _beginAt(target: StatementTarget, statement: RunnableStatement): Promise<Refusal | undefined> {
 		const group = this._group;
-		const endpointId = place.pool.endpoint.id;
-		const term = place.isPrimary ? group.primary?.term : undefined;
+		const endpointId = target.pool.endpoint.id;
+		const term = target.isPrimary ? group.primary?.term : undefined;
 		const sentAtMs = this._services.clock.nowMs();
-		const result = await place.pool.begin(this._runner.endpointStatement(statement, place.floor), this._isReadOnly);
+		const result = await target.pool.begin(this._runner.endpointStatement(statement, target.floor), this._isReadOnly);
 		if (result.isLeft()) {
 			const fault = result.extract();
 			this._runner.noteFault(group, endpointId, fault);
@@ -198,7 +198,7 @@
 		const begun = result.unsafeCoerce();
 		if ('held' in begun) {
 			this._held = begun.held;
-			this._place = place;
+			this._target = target;
 			this._term = term;
 			return undefined;
 		}
@@ -209,14 +209,14 @@
 	}
 
 	/** A statement that its endpoint had no room for is sent again: giving the transaction up costs more. */
-	private async _runWithPatience(statement: RunnableStatement): Promise<Either<StatementFault, TimedAnswer>> {
+	private async _runWithBusyRetry(statement: RunnableStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {options, clock} = this._services;
 		const group = this._group;
 		for (let tries = 1; ; tries++) {
 			const result = await this._held!.run(this._runner.endpointStatement(statement));
 			const timed = result.toMaybe().extract();
 			if (timed) {
-				this._doesCount = this._runner.noteAnswer(group, this._place!.pool.endpoint.id, timed);
+				this._isAnswerValid = this._runner.noteAnswer(group, this._target!.pool.endpoint.id, timed);
 			}
 
 			const isBusy = timed?.answer.error?.kind === 'busy' && timed.answer.status === 'open';
@@ -241,7 +241,7 @@
 	private _onError(answer: EndpointAnswer): Answer {
 		if (answer.status !== 'open') {
 			this._failure = new Refusal('transactionFailed');
-			this._isFailureTold = true;
+			this._isFailureReported = true;
 			this.leave();
 		}
 
@@ -262,7 +262,7 @@
 
 	private _noteFault(fault: StatementFault): void {
 		const group = this._group;
-		this._runner.noteFault(group, this._place!.pool.endpoint.id, fault);
+		this._runner.noteFault(group, this._target!.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			this._held?.close();
 			this._held = undefined;
@@ -277,7 +277,7 @@
 		}
 
 		const group = this._group;
-		if (!this._doesCount || !await this._runner.mayAcknowledge(statement, group, this._term, answer.position)) {
+		if (!this._isAnswerValid || !await this._runner.mayAcknowledge(statement, group, this._term, answer.position)) {
 			return this._refuse(new Refusal('outcomeUnknown', `committed in term ${this._term}, which is no longer proved to stand`));
 		}
 
@@ -286,7 +286,7 @@
 
 	private _fail(refusal: Refusal): Answer {
 		this._failure ??= refusal;
-		this._isFailureTold = true;
+		this._isFailureReported = true;
 		this.leave();
 		return this._refuse(refusal);
 	}
--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -36,11 +36,11 @@
 	readonly targets: StatementTargetSelector;
 	private readonly _services: LineSessionServices;
 	/** Bounds how many reads are sent again because no answer came. */
-	private readonly _repeats: RetryBudget;
+	private readonly _readRetries: RetryBudget;
 
 	constructor(services: LineSessionServices) {
 		this._services = services;
-		this._repeats = new RetryBudget(services.options.repeatShare, services.options.repeatBurst);
+		this._readRetries = new RetryBudget(services.options.repeatShare, services.options.repeatBurst);
 		this.targets = new StatementTargetSelector(services);
 	}
 
@@ -56,15 +56,15 @@
 
 	/** The primary's place, once it is proved that it still is the primary; else why not. */
 	async ensurePrimaryTarget(group: PrimaryTracker, {organisation, deadlineMs}: Pick<RunnableStatement, 'organisation' | 'deadlineMs'>): Promise<StatementTarget | Refusal> {
-		const place = this.targets.primary(group, organisation);
-		if (place && group.isLeased) {
-			return place;
+		const target = this.targets.primary(group, organisation);
+		if (target && group.isLeased) {
+			return target;
 		}
 
 		// A node that has just started is about to learn who leads: in the tenth of a second that
 		// takes, it would turn away who could still be answered in time.
 		const isKnown = group.primary !== undefined || group.hasEndpointReport;
-		if (!place && isKnown) {
+		if (!target && isKnown) {
 			return this._noPrimary(group);
 		}
 
@@ -116,12 +116,12 @@
 
 	/** Takes in what an answer says about its endpoint; resolves to whether the answer counts. */
 	noteAnswer(group: PrimaryTracker, endpointId: string, {answer, sentAtMs}: TimedAnswer): boolean {
-		const doesCount = group.noteAnswer(endpointId, answer.position, sentAtMs);
+		const isAnswerValid = group.noteAnswer(endpointId, answer.position, sentAtMs);
 		if (answer.error?.kind === 'readOnly') {
 			group.noteNotPrimary(endpointId);
 		}
 
-		return doesCount;
+		return isAnswerValid;
 	}
 
 	/** Takes in that an endpoint, or the node on the way to it, gave no answer. */
@@ -138,16 +138,16 @@
 	private async _write(progress: Progress): Promise<Answer> {
 		const {statement, group} = progress;
 		while (this._mayTry(progress)) {
-			const place = await this.ensurePrimaryTarget(group, statement);
-			if (place instanceof Refusal) {
-				return this._refuse(progress, place);
+			const target = await this.ensurePrimaryTarget(group, statement);
+			if (target instanceof Refusal) {
+				return this._refuse(progress, target);
 			}
 
 			const term = group.primary?.term ?? 0;
-			const result = await place.pool.run(this.endpointStatement(statement));
+			const result = await target.pool.run(this.endpointStatement(statement));
 			const answer = result.isLeft()
-				? this._onWriteFault(progress, place, result.extract())
-				: await this._onWriteAnswer(progress, place, result.unsafeCoerce(), term);
+				? this._onWriteFault(progress, target, result.extract())
+				: await this._onWriteAnswer(progress, target, result.unsafeCoerce(), term);
 			if (answer) {
 				return answer;
 			}
@@ -156,16 +156,16 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _onWriteAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer, term: number): Promise<AttemptResult> {
+	private async _onWriteAnswer(progress: Progress, target: StatementTarget, timed: TimedAnswer, term: number): Promise<AttemptResult> {
 		const {statement, group} = progress;
 		const {answer} = timed;
-		const doesCount = this.noteAnswer(group, place.pool.endpoint.id, timed);
+		const isAnswerValid = this.noteAnswer(group, target.pool.endpoint.id, timed);
 		if (answer.error) {
-			return this._onError(progress, place, answer);
+			return this._onError(progress, target, answer);
 		}
 
-		if (!doesCount) {
-			return this._refuse(progress, new Refusal('outcomeUnknown', lostLogDetail(place.pool.endpoint.id)));
+		if (!isAnswerValid) {
+			return this._refuse(progress, new Refusal('outcomeUnknown', lostLogDetail(target.pool.endpoint.id)));
 		}
 
 		if (!await this.mayAcknowledge(statement, group, term, answer.position)) {
@@ -175,29 +175,29 @@
 		return {text: answer.text, position: answer.position, mark: answer.position};
 	}
 
-	private _onWriteFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
-		this.noteFault(progress.group, place.pool.endpoint.id, fault);
+	private _onWriteFault(progress: Progress, target: StatementTarget, fault: StatementFault): AttemptResult {
+		this.noteFault(progress.group, target.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			return this._refuse(progress, new Refusal('outcomeUnknown', fault.refusal.detail));
 		}
 
-		return this._turnedAway(progress, place, fault.refusal);
+		return this._noteTurnedAway(progress, target, fault.refusal);
 	}
 
 	private async _read(progress: Progress): Promise<Answer> {
-		this._repeats.onRequest();
+		this._readRetries.onRequest();
 		while (this._mayTry(progress)) {
-			const place = await this._readPlace(progress);
-			if (place instanceof Refusal) {
-				return this._refuse(progress, place);
+			const target = await this._readTarget(progress);
+			if (target instanceof Refusal) {
+				return this._refuse(progress, target);
 			}
 
 			const {statement} = progress;
-			const silenceMs = this._silenceMs(progress, place);
-			const result = await place.pool.run({...this.endpointStatement(statement, place.floor), silenceMs});
+			const silenceMs = this._silenceMs(progress, target);
+			const result = await target.pool.run({...this.endpointStatement(statement, target.floor), silenceMs});
 			const answer = result.isLeft()
-				? this._onReadFault(progress, place, result.extract())
-				: this._onReadAnswer(progress, place, result.unsafeCoerce());
+				? this._onReadFault(progress, target, result.extract())
+				: this._onReadAnswer(progress, target, result.unsafeCoerce());
 			if (answer) {
 				return answer;
 			}
@@ -206,15 +206,15 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _readPlace(progress: Progress): Promise<StatementTarget | Refusal> {
+	private async _readTarget(progress: Progress): Promise<StatementTarget | Refusal> {
 		const {statement, group, refusedBy} = progress;
 		if (statement.route.kind === 'primary') {
 			return this.ensurePrimaryTarget(group, statement);
 		}
 
-		const place = this.targets.read(group, {...statement, refusedBy});
-		if (place) {
-			return place;
+		const target = this.targets.read(group, {...statement, refusedBy});
+		if (target) {
+			return target;
 		}
 
 		const primary = await this.ensurePrimaryTarget(group, statement);
@@ -225,34 +225,34 @@
 		return primary;
 	}
 
-	private _onReadAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer): AttemptResult {
+	private _onReadAnswer(progress: Progress, target: StatementTarget, timed: TimedAnswer): AttemptResult {
 		const {answer} = timed;
-		if (!this.noteAnswer(progress.group, place.pool.endpoint.id, timed)) {
-			return this._turnedAway(progress, place, new Refusal('noPrimary', lostLogDetail(place.pool.endpoint.id)));
+		if (!this.noteAnswer(progress.group, target.pool.endpoint.id, timed)) {
+			return this._noteTurnedAway(progress, target, new Refusal('noPrimary', lostLogDetail(target.pool.endpoint.id)));
 		}
 
 		if (answer.error) {
-			return this._onError(progress, place, answer);
+			return this._onError(progress, target, answer);
 		}
 
-		this._services.metrics.count('answeredRequestsTotal', {access: 'read', role: place.isPrimary ? 'primary' : 'replica'});
+		this._services.metrics.count('answeredRequestsTotal', {access: 'read', role: target.isPrimary ? 'primary' : 'replica'});
 		return {text: answer.text, position: answer.position};
 	}
 
 	/** A read that was not answered does no harm when it is sent again. */
-	private _onReadFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
-		this.noteFault(progress.group, place.pool.endpoint.id, fault);
+	private _onReadFault(progress: Progress, target: StatementTarget, fault: StatementFault): AttemptResult {
+		this.noteFault(progress.group, target.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			progress.attempts += 1;
-			this._repeats.tryRetry();
-			place.pool.closeIdle();
+			this._readRetries.tryRetry();
+			target.pool.closeIdle();
 		}
 
-		return this._turnedAway(progress, place, fault.refusal);
+		return this._noteTurnedAway(progress, target, fault.refusal);
 	}
 
 	/** An error in the endpoint's own words: tried elsewhere if nothing ran, passed on otherwise. */
-	private _onError(progress: Progress, place: StatementTarget, answer: EndpointAnswer): AttemptResult {
+	private _onError(progress: Progress, target: StatementTarget, answer: EndpointAnswer): AttemptResult {
 		const error = answer.error!;
 		const mayRepeat = notRunErrors.has(error.kind) || (progress.statement.access === 'read' && error.kind === 'failed');
 		if (!mayRepeat) {
@@ -263,17 +263,17 @@
 			progress.attempts += 1;
 		}
 
-		return this._turnedAway(progress, place, new Refusal(refusalKinds[error.kind] ?? 'endpointUnavailable', error.text));
+		return this._noteTurnedAway(progress, target, new Refusal(refusalKinds[error.kind] ?? 'endpointUnavailable', error.text));
 	}
 
-	private _turnedAway(progress: Progress, place: StatementTarget, refusal: Refusal): AttemptResult {
+	private _noteTurnedAway(progress: Progress, target: StatementTarget, refusal: Refusal): AttemptResult {
 		const {statement, refusedBy, group} = progress;
 		progress.detours += 1;
 		progress.lastRefusal = refusal;
-		refusedBy.add(place.pool.endpoint.id);
+		refusedBy.add(target.pool.endpoint.id);
 		this._services.log.event('statementTurnedAway', {
-			request: statement.id, endpoint: place.pool.endpoint.id, via: place.pool.via, isPrimary: place.isPrimary, kind: refusal.kind, detail: refusal.detail,
-			group: group.service, term: group.primary?.term, load: place.pool.load, detours: progress.detours, attempts: progress.attempts,
+			request: statement.id, endpoint: target.pool.endpoint.id, via: target.pool.via, isPrimary: target.isPrimary, kind: refusal.kind, detail: refusal.detail,
+			group: group.service, term: group.primary?.term, load: target.pool.load, detours: progress.detours, attempts: progress.attempts,
 		});
 		return undefined;
 	}
@@ -286,15 +286,15 @@
 	}
 
 	/** How long a read waits for an answer before it is sent elsewhere; undefined where it is not. */
-	private _silenceMs({statement, group, attempts}: Progress, place: StatementTarget): number | undefined {
+	private _silenceMs({statement, group, attempts}: Progress, target: StatementTarget): number | undefined {
 		const hasOther = statement.route.kind !== 'primary' && group.endpoints().length > 1;
-		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._repeats.isEmpty;
-		return mayRepeat ? place.pool.answerTimes.silenceThresholdMs : undefined;
+		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._readRetries.isEmpty;
+		return mayRepeat ? target.pool.answerTimes.silenceThresholdMs : undefined;
 	}
 
 	private _noPrimary(group: PrimaryTracker): Refusal {
-		const {primary, isLeased, promotionReason: loss} = group;
-		const detail = primary ? `${primary.endpointId} of term ${primary.term}, ${loss ?? (isLeased ? 'not reachable' : 'not proved')}` : 'none known';
+		const {primary, isLeased, promotionReason} = group;
+		const detail = primary ? `${primary.endpointId} of term ${primary.term}, ${promotionReason ?? (isLeased ? 'not reachable' : 'not proved')}` : 'none known';
 		return new Refusal('noPrimary', detail, {retryAfterMs: this._services.options.retryAfterMs});
 	}
 
--- a/src/common/line-sessions/statement-target-selector.ts
+++ b/src/common/line-sessions/statement-target-selector.ts
@@ -62,29 +62,29 @@
 	read(group: PrimaryTracker, request: ReadRequest): StatementTarget | undefined {
 		const {route, refusedBy, mark, arrivedAtMs, organisation} = request;
 		const proved = group.floor(arrivedAtMs, route.maximumAgeMs);
-		const places: StatementTarget[] = [];
+		const targets: StatementTarget[] = [];
 		if (proved) {
 			const floor = mark ? laterPosition(proved, mark) : proved;
 			for (const endpoint of group.replicas()) {
 				const pool = this._services.endpointPools.pool(endpoint, organisation);
 				if (!refusedBy.has(endpoint.id) && this._isEligible(group, {endpoint, pool, floor})) {
-					places.push({pool, isPrimary: false, floor});
+					targets.push({pool, isPrimary: false, floor});
 				}
 			}
 		}
 
 		const primary = this.primary(group, organisation);
 		if (primary && !refusedBy.has(primary.pool.endpoint.id) && (proved !== undefined || group.isLeased)) {
-			places.push(primary);
+			targets.push(primary);
 		}
 
-		return this._fastest(places, request);
+		return this._fastest(targets, request);
 	}
 
 	/** A pool knows the registration with which it was made: whether its endpoint leaves, the newest one says. */
 	private _isEligible(group: PrimaryTracker, {endpoint, pool, floor}: ReplicaChoice): boolean {
-		const {isAvoided, isOutOfConnections: isShutOut} = pool;
-		if (endpoint.isDraining || isAvoided || isShutOut) {
+		const {isAvoided, isOutOfConnections} = pool;
+		if (endpoint.isDraining || isAvoided || isOutOfConnections) {
 			return false;
 		}
 
@@ -93,15 +93,15 @@
 			|| this._services.clock.nowMs() - applied.atMs > this._services.options.positionOldMs;
 	}
 
-	private _fastest(places: readonly StatementTarget[], {route, organisation}: ReadRequest): StatementTarget | undefined {
-		const preferred = preferredReplica(places, organisation);
+	private _fastest(targets: readonly StatementTarget[], {route, organisation}: ReadRequest): StatementTarget | undefined {
+		const preferred = preferredReplica(targets, organisation);
 		let best: StatementTarget | undefined;
 		let bestMs = Number.POSITIVE_INFINITY;
-		for (const place of places) {
-			const strangeMs = preferred === undefined || place === preferred ? 0 : this._services.options.otherReplicaMs;
-			const costMs = this._expectedMs(place, route.priority) + strangeMs;
+		for (const target of targets) {
+			const otherReplicaCostMs = preferred === undefined || target === preferred ? 0 : this._services.options.otherReplicaMs;
+			const costMs = this._expectedMs(target, route.priority) + otherReplicaCostMs;
 			if (costMs < bestMs) {
-				best = place;
+				best = target;
 				bestMs = costMs;
 			}
 		}
@@ -111,10 +111,10 @@
 
 	private _expectedMs({pool, isPrimary}: StatementTarget, priority: number): number {
 		const {availabilityZone, options, random} = this._services;
-		const awayMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
-		const primaryMs = isPrimary ? options.primaryReadMs : 0;
+		const otherZoneCostMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
+		const primaryCostMs = isPrimary ? options.primaryReadMs : 0;
 		// A little chance keeps nodes that see the same times from choosing in step.
-		return (pool.estimateMs('read', priority) * (0.9 + (random.next() / 5))) + awayMs + primaryMs;
+		return (pool.estimateMs('read', priority) * (0.9 + (random.next() / 5))) + otherZoneCostMs + primaryCostMs;
 	}
 }
 
@@ -122,11 +122,11 @@
  * The replica on which an organisation's reads meet: each connection belongs to one organisation,
  * and an endpoint takes fewer than there are organisations.
  */
-function preferredReplica(places: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
+function preferredReplica(targets: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
 	if (organisation === undefined) {
 		return undefined;
 	}
 
-	const replicas = places.filter(({isPrimary}) => !isPrimary);
-	return highestWeight(replicas.map(place => ({name: place.pool.endpoint.id, hash: hashText(place.pool.endpoint.id), value: place})), organisation);
+	const replicas = targets.filter(({isPrimary}) => !isPrimary);
+	return highestWeight(replicas.map(target => ({name: target.pool.endpoint.id, hash: hashText(target.pool.endpoint.id), value: target})), organisation);
 }
--- a/src/common/node-core.ts
+++ b/src/common/node-core.ts
@@ -65,14 +65,14 @@
 	/** What the peer server calls. */
 	readonly peerHandlers: PeerHandlers;
 
-	private readonly _owned = new DisposableStore();
+	private readonly _disposables = new DisposableStore();
 
 	constructor(self: Host, services: NodeServices, options: NodeOptions = {}) {
-		this.membership = this._owned.register(new HostDirectory(self, services, options.membership));
-		this.peers = this._owned.register(services.createPeers(this.membership));
-		this.history = this._owned.register(new ChangeHistory(services.invariants, services.log));
-		this.configuration = this._owned.register(new LiveConfiguration(this.history));
-		this.changeLog = this._owned.register(new ConfigurationLog({
+		this.membership = this._disposables.register(new HostDirectory(self, services, options.membership));
+		this.peers = this._disposables.register(services.createPeers(this.membership));
+		this.history = this._disposables.register(new ChangeHistory(services.invariants, services.log));
+		this.configuration = this._disposables.register(new LiveConfiguration(this.history));
+		this.changeLog = this._disposables.register(new ConfigurationLog({
 			...services,
 			history: this.history,
 			currentPrimary: group => this._primaryOf(group),
@@ -83,25 +83,25 @@
 			peers: this.peers,
 			configuration: this.configuration,
 		};
-		this.sync = this._owned.register(new ConfigurationSync({
+		this.sync = this._disposables.register(new ConfigurationSync({
 			...shared,
 			history: this.history,
 			changeLog: this.changeLog,
 		}));
-		this.groups = this._owned.register(new MonitoredGroups(shared, options.groups));
-		this.homes = this._owned.register(new HomeService({
+		this.groups = this._disposables.register(new MonitoredGroups(shared, options.groups));
+		this.homes = this._disposables.register(new HomeService({
 			...shared,
 			groups: this.groups,
 			options: {...defaultHomeOptions, ...options.homes},
 		}));
-		this.router = this._owned.register(new StatementRouter({
+		this.router = this._disposables.register(new StatementRouter({
 			...shared,
 			groups: this.groups,
 			localExecutor: this.homes,
 			options: {...routingDefaults, ...options.routing},
 		}));
 		this.peerHandlers = this._makePeerHandlers();
-		this._askAgainWhenDue();
+		this._probeAgainWhenDue();
 	}
 
 	/**
@@ -109,11 +109,11 @@
 	 * `meetOthers` is waited for before this node takes endpoints up. Those that meet it may
 	 * send it work for endpoints from then on: it knows by the configuration who has them.
 	 */
-	async start(meetOthers?: () => Promise<void>): Promise<void> {
+	async start(joinPeers?: () => Promise<void>): Promise<void> {
 		this.membership.beginStartUp();
 		await this.membership.start();
 		this.sync.start();
-		await meetOthers?.();
+		await joinPeers?.();
 		this.membership.endStartUp();
 		await this.sync.loaded;
 	}
@@ -131,7 +131,7 @@
 	}
 
 	dispose(): void {
-		this._owned.dispose();
+		this._disposables.dispose();
 	}
 
 	private _makePeerHandlers(): PeerHandlers {
@@ -162,13 +162,13 @@
 	}
 
 	/** A suspected host is asked again, so that it is not passed over for longer than needed. */
-	private _askAgainWhenDue(): void {
-		this._owned.register(this.membership.onRetryDue(host => {
-			void this._askAgain(host);
+	private _probeAgainWhenDue(): void {
+		this._disposables.register(this.membership.onRetryDue(host => {
+			void this._probeAgain(host);
 		}));
 	}
 
-	private async _askAgain(host: Host): Promise<void> {
+	private async _probeAgain(host: Host): Promise<void> {
 		const answer = await this.peers.probe(host, probeTimeoutMs);
 		answer.ifRight(probe => {
 			this.membership.learn(probe.host);
--- a/src/common/organisations/access-control.ts
+++ b/src/common/organisations/access-control.ts
@@ -31,8 +31,8 @@
 	}
 
 	/** Takes in what a caller sent; a key is not kept. */
-	credential(word: string): Credential {
-		return {keyDigest: this._catalog.digestOf(word), caller: this._catalog.organisations ? anonymous : word};
+	credential(secret: string): Credential {
+		return {keyDigest: this._catalog.digestOf(secret), caller: this._catalog.organisations ? anonymous : secret};
 	}
 
 	/** The organisation whose connections a statement may use; undefined where none is needed. */
@@ -43,13 +43,13 @@
 		}
 
 		// The proof comes first: the question for it may bring a configuration that takes the key away.
-		const areKeysProved = await this._catalog.areKeysCurrent();
-		const holder = areKeysProved ? await this._catalog.findOrganisation(keyDigest) : undefined;
+		const areKeysCurrent = await this._catalog.areKeysCurrent();
+		const holder = areKeysCurrent ? await this._catalog.findOrganisation(keyDigest) : undefined;
 		if (holder) {
 			return Right(holder.name);
 		}
 
-		return Left(areKeysProved
+		return Left(areKeysCurrent
 			? new Refusal('authenticationFailed', 'the API key is not known')
 			: new Refusal('configurationUnproved', 'the store was not heard for too long'));
 	}
--- a/src/common/organisations/usage-budgets.ts
+++ b/src/common/organisations/usage-budgets.ts
@@ -27,7 +27,7 @@
 /** Whether a budget is kept as the first choice, or in place of nodes that do not answer. */
 export type HolderRole = 'firstChoice' | 'standIn';
 
-type KeptBudget = {
+type HeldBudget = {
 	readonly budget: UsageBudget;
 	readonly role: HolderRole;
 	/** Before this nothing is given out. */
@@ -39,12 +39,12 @@
 const msPerS = 1000;
 
 /** Longest time to come back that is told, in milliseconds: a limit may be raised meanwhile. */
-const longestRetryMs = 5000;
+const maximumRetryAfterMs = 5000;
 
 /** Gives operations out. */
 export class UsageBudgets {
 	private readonly _services: BudgetServices;
-	private readonly _kept = new Map<string, KeptBudget>();
+	private readonly _held = new Map<string, HeldBudget>();
 
 	constructor(services: BudgetServices) {
 		this._services = services;
@@ -57,7 +57,7 @@
 
 	/** Takes one operation; undefined where no limit of the organisation is known. */
 	take(organisation: string, role: HolderRole): UsageGrant | undefined {
-		return this._from(organisation, role, (budget, nowMs) => {
+		return this._withBudget(organisation, role, (budget, nowMs) => {
 			const waitMs = budget.take(nowMs);
 			return {operations: waitMs === 0 ? 1 : 0, retryAfterMs: waitMs};
 		});
@@ -66,42 +66,42 @@
 	/** Takes operations for the budget of another zone. */
 	lend(organisation: string, role: HolderRole): UsageGrant | undefined {
 		const {loanShare, loanRetryMs} = this._services.options;
-		return this._from(organisation, role, (budget, nowMs) => ({operations: budget.takeShare(loanShare, nowMs), retryAfterMs: loanRetryMs}));
+		return this._withBudget(organisation, role, (budget, nowMs) => ({operations: budget.takeShare(loanShare, nowMs), retryAfterMs: loanRetryMs}));
 	}
 
 	/** Adds what another zone lent, less the operation for which it was asked. */
 	addLoan(organisation: string, operations: number): void {
-		this._kept.get(organisation)?.budget.add(operations);
+		this._held.get(organisation)?.budget.add(operations);
 	}
 
-	private _from(organisation: string, role: HolderRole, take: (budget: UsageBudget, nowMs: number) => UsageGrant): UsageGrant | undefined {
+	private _withBudget(organisation: string, role: HolderRole, take: (budget: UsageBudget, nowMs: number) => UsageGrant): UsageGrant | undefined {
 		const limit = this._services.limitOf(organisation);
 		if (!limit) {
-			this._kept.delete(organisation);
+			this._held.delete(organisation);
 			return undefined;
 		}
 
 		const nowMs = this._services.clock.nowMs();
 		const {budget, fromMs} = this._budget(organisation, limit, role);
 		const {operations, retryAfterMs} = nowMs < fromMs ? {operations: 0, retryAfterMs: fromMs - nowMs} : take(budget, nowMs);
-		return {operations, retryAfterMs: Math.min(retryAfterMs, longestRetryMs)};
+		return {operations, retryAfterMs: Math.min(retryAfterMs, maximumRetryAfterMs)};
 	}
 
-	private _budget(organisation: string, limit: UsageLimit, role: HolderRole): KeptBudget {
+	private _budget(organisation: string, limit: UsageLimit, role: HolderRole): HeldBudget {
 		const {clock, rule, zones, membershipChangedAtMs, options} = this._services;
 		const nowMs = clock.nowMs();
-		const known = this._kept.get(organisation);
-		if (known?.role !== role || this._isForgotten(known)) {
+		const known = this._held.get(organisation);
+		if (known?.role !== role || this._isExpired(known)) {
 			const size = zoneBudget(limit, rule, zones, options.toleranceShare);
 			// Before the last change another node may have kept the budget, and given all of it out.
 			const sinceMs = nowMs - membershipChangedAtMs();
 			const kept = role === 'firstChoice'
 				? {left: Math.max(options.initialOperations, size.perS * sinceMs / msPerS), fromMs: nowMs}
 				: {left: 0, fromMs: nowMs + options.standInAfterMs};
-			const made: KeptBudget = {
+			const made: HeldBudget = {
 				role, limit, fromMs: kept.fromMs, askedAtMs: nowMs, budget: new UsageBudget(size, kept.left, kept.fromMs),
 			};
-			this._kept.set(organisation, made);
+			this._held.set(organisation, made);
 			return made;
 		}
 
@@ -115,7 +115,7 @@
 	}
 
 	/** A budget that nobody asked for a while counts no more if another node may have kept it meanwhile. */
-	private _isForgotten({role, askedAtMs}: KeptBudget): boolean {
+	private _isExpired({role, askedAtMs}: HeldBudget): boolean {
 		const {clock, membershipChangedAtMs, options} = this._services;
 		const isOld = clock.nowMs() - askedAtMs > options.standInKeptMs;
 		return isOld && (role === 'standIn' || membershipChangedAtMs() > askedAtMs);
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -67,7 +67,7 @@
 		const emptyForMs = (this._emptyUntilMs.get(organisation) ?? 0) - clock.nowMs();
 		if (emptyForMs > 0) {
 			metrics.count('usageDecisionsTotal', {outcome: 'knownEmpty'});
-			return overLimit(organisation, emptyForMs);
+			return overLimitRefusal(organisation, emptyForMs);
 		}
 
 		const grant = await this.ask({organisation, isLoan: false});
@@ -82,7 +82,7 @@
 		}
 
 		this._emptyUntilMs.set(organisation, clock.nowMs() + grant.retryAfterMs);
-		return overLimit(organisation, grant.retryAfterMs);
+		return overLimitRefusal(organisation, grant.retryAfterMs);
 	}
 
 	/** A new configuration may give an organisation more: who was over its limit is looked at again. */
@@ -107,7 +107,7 @@
 		for (const holder of ranked) {
 			if (holder.name === self.name) {
 				const role = ranked[0].name === self.name ? 'firstChoice' : 'standIn';
-				return isLoan ? this._lend(organisation, role) : this._takeHere(organisation, role);
+				return isLoan ? this._lend(organisation, role) : this._takeFromOwnBudget(organisation, role);
 			}
 
 			if (tried < options.holdersTried && holders.isReachable(holder.name)) {
@@ -141,7 +141,7 @@
 	}
 
 	/** Takes out of the budget that this node keeps; where that is empty, out of what other zones lend it. */
-	private async _takeHere(organisation: string, role: HolderRole): Promise<UsageGrant | undefined> {
+	private async _takeFromOwnBudget(organisation: string, role: HolderRole): Promise<UsageGrant | undefined> {
 		const {holders, budgets} = this._services;
 		const own = holders.hasRecentContact ? budgets.take(organisation, role) : undefined;
 		if (!own || own.operations > 0) {
@@ -184,6 +184,6 @@
 	}
 }
 
-function overLimit(organisation: string, retryAfterMs: number): Refusal {
+function overLimitRefusal(organisation: string, retryAfterMs: number): Refusal {
 	return new Refusal('callerLimited', `${organisation} has used what it may`, {retryAfterMs});
 }
--- a/src/common/organisations/usage-rule.ts
+++ b/src/common/organisations/usage-rule.ts
@@ -16,13 +16,13 @@
 };
 
 /** Least operations that a zone's budget holds: with less than one nothing could ever run. */
-const leastCapacity = 1;
+const minimumCapacity = 1;
 
 /** The budget of one zone among several. */
 export function zoneBudget({perS, burst}: UsageLimit, {windowS, overshootShare, slack}: UsageRule, zones: number, toleranceShare: number): BudgetSize {
 	const tolerated = (((perS * windowS) + burst) * overshootShare) + slack;
 	return {
 		perS: perS / zones,
-		capacity: Math.max(leastCapacity, (burst + (tolerated * toleranceShare)) / zones),
+		capacity: Math.max(minimumCapacity, (burst + (tolerated * toleranceShare)) / zones),
 	};
 }
--- a/src/common/pools/connection-session-state.ts
+++ b/src/common/pools/connection-session-state.ts
@@ -25,7 +25,7 @@
 
 	/** Whether a statement of the session needs nothing first. */
 	isAppliedFor(session: SessionState): boolean {
-		return this._values.size === session.values.size && this._differing(session).length === 0;
+		return this._values.size === session.values.size && this._differingValues(session).length === 0;
 	}
 
 	/**
@@ -42,7 +42,7 @@
 			this._prepared.clear();
 		}
 
-		for (const [name, value] of this._differing(session)) {
+		for (const [name, value] of this._differingValues(session)) {
 			statements.push({kind: 'set', name, value});
 			this._values.set(name, value);
 		}
@@ -56,7 +56,7 @@
 		return statements;
 	}
 
-	private _differing(session: SessionState): Array<[string, string]> {
+	private _differingValues(session: SessionState): Array<[string, string]> {
 		return [...session.values].filter(([name, value]) => this._values.get(name) !== value);
 	}
 }
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -37,7 +37,7 @@
 	busy: 'overloaded',
 };
 
-const causes: Record<ConnectionFault['kind'], StatementFault['cause']> = {
+const faultCauses: Record<ConnectionFault['kind'], StatementFault['cause']> = {
 	refused: 'refused',
 	silent: 'silent',
 	closed: 'closed',
@@ -54,7 +54,7 @@
 	readonly kept: number;
 };
 
-const limits: Record<ConnectionRole, (options: PoolOptions) => ConnectionLimits> = {
+const limitsByRole: Record<ConnectionRole, (options: PoolOptions) => ConnectionLimits> = {
 	forItself: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnections}),
 	forAll: options => ({held: options.heldConnectionsForAll, idle: options.idleConnectionsForAll, kept: options.keptConnections}),
 	forNone: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnectionsForNone}),
@@ -74,12 +74,12 @@
 	private readonly _services: PoolServices;
 	private readonly _queue: SlotQueue;
 	private readonly _connections: OpenConnections;
-	private readonly _modestUntilMs: number;
+	private readonly _halfShareUntilMs: number;
 	private _held = 0;
 	/** Connections that are being opened. */
 	private _opening = 0;
 	/** Statements without an answer whose slots others use. */
-	private _passedBy = 0;
+	private _overtaken = 0;
 	private _avoidedUntilMs = Number.NEGATIVE_INFINITY;
 	private _fullUntilMs = Number.NEGATIVE_INFINITY;
 
@@ -90,11 +90,11 @@
 		const {options} = services;
 		this.answerTimes = new AnswerTimes(services.clock, options);
 		this._connections = new OpenConnections(services.clock, options);
-		this._modestUntilMs = startedAtMs + options.modestAfterStartMs;
+		this._halfShareUntilMs = startedAtMs + options.modestAfterStartMs;
 		const queueServices = {...services, options: services.queueOptions};
 		const inFlight = Math.max(options.statementsInFlight, endpoint.slots);
 		this._queue = new SlotQueue(queueServices, endpoint.id, inFlight, beginsRunning =>
-			this._held + beginsRunning < Math.min(this._limits.held, Math.max(1, this._share - 1)));
+			this._held + beginsRunning < Math.min(this._limits.held, Math.max(1, this._maximumOpen - 1)));
 	}
 
 	/** Statements of this node that the endpoint has, and those that wait for it here. */
@@ -113,18 +113,18 @@
 	}
 
 	private get _limits(): ConnectionLimits {
-		const {connectionRole: holding, options, areConnectionsPerOrganisation: isByOrganisation} = this._services;
-		const kind = holding(this.endpoint);
-		return isByOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limits[kind](options);
+		const {connectionRole, options, areConnectionsPerOrganisation} = this._services;
+		const kind = connectionRole(this.endpoint);
+		return areConnectionsPerOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limitsByRole[kind](options);
 	}
 
 	/** How many connections this node may have open. */
-	private get _share(): number {
-		const {clock, options, connectionShare, areConnectionsPerOrganisation: isByOrganisation} = this._services;
+	private get _maximumOpen(): number {
+		const {clock, options, connectionShare, areConnectionsPerOrganisation} = this._services;
 		const all = connectionShare(this.endpoint);
 		// Homes that each filled the endpoint would shut each other out: all keep what they have.
-		const share = isByOrganisation() ? Math.floor(all * options.organisationsShare) : all;
-		return Math.max(1, clock.nowMs() < this._modestUntilMs ? Math.floor(share / 2) : share);
+		const share = areConnectionsPerOrganisation() ? Math.floor(all * options.organisationsShare) : all;
+		return Math.max(1, clock.nowMs() < this._halfShareUntilMs ? Math.floor(share / 2) : share);
 	}
 
 	/** Time until a new statement would be answered, by what is known here. */
@@ -136,14 +136,14 @@
 	/** Runs one statement on any connection. */
 	async run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		return this._withSlot(statement, statement.access, async () => {
-			const connection = await this._take(statement.deadlineMs, statement);
+			const connection = await this._acquire(statement.deadlineMs, statement);
 			if (connection.isLeft()) {
 				return connection;
 			}
 
 			const taken = connection.unsafeCoerce();
 			const answer = await this.runOn(taken, statement);
-			this._giveBack(taken);
+			this._releaseToPool(taken);
 			return answer;
 		});
 	}
@@ -154,7 +154,7 @@
 	 */
 	async begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>> {
 		return this._withSlot<BegunTransaction>(statement, 'begin', async () => {
-			const connection = await this._take(statement.deadlineMs, statement, this._services.options.leastWithTransaction);
+			const connection = await this._acquire(statement.deadlineMs, statement, this._services.options.leastWithTransaction);
 			if (connection.isLeft()) {
 				return connection;
 			}
@@ -164,7 +164,7 @@
 			const result = begun.mapLeft(fault => this._faultOf(fault, false));
 			const isBegun = result.map(({status}) => status === 'open').orDefault(false);
 			if (!isBegun) {
-				this._giveBack(taken);
+				this._releaseToPool(taken);
 				return result.map(answer => ({answer}));
 			}
 
@@ -197,7 +197,7 @@
 	/** Sends a statement of the node's own ahead of the queue; resolves with the endpoint's status. */
 	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const {clock, wire} = this._services;
-		const connection = await this._take(clock.nowMs() + timeoutMs);
+		const connection = await this._acquire(clock.nowMs() + timeoutMs);
 		if (connection.isLeft()) {
 			return connection;
 		}
@@ -205,7 +205,7 @@
 		const taken = connection.unsafeCoerce();
 		const sentAtMs = clock.nowMs();
 		const result = await taken.control(statement, timeoutMs);
-		this._giveBack(taken);
+		this._releaseToPool(taken);
 		return result
 			.mapLeft(fault => this._faultOf(fault, true))
 			.chain<StatementFault, ReportedStatus>(([{rows, error, position}]) => {
@@ -226,7 +226,7 @@
 			connection.dispose();
 		}
 
-		this._giveBack(connection);
+		this._releaseToPool(connection);
 		this._queue.serve();
 	}
 
@@ -266,7 +266,7 @@
 		}
 
 		const taken = grant.unsafeCoerce();
-		const watch = this._passOnWhenSilent(taken);
+		const watch = this._freeSlotWhenSilent(taken);
 		try {
 			return await work();
 		} finally {
@@ -279,19 +279,19 @@
 	 * Lets the next statement go while one waits for an answer that is probably lost. Such a
 	 * statement keeps its connection for the rest of its time, so only a few may be passed by.
 	 */
-	private _passOnWhenSilent(grant: Disposable): Disposable {
+	private _freeSlotWhenSilent(grant: Disposable): Disposable {
 		const {clock, options} = this._services;
-		let isPassedBy = false;
+		let isOvertaken = false;
 		const timer = clock.setTimer(this.answerTimes.silenceThresholdMs, () => {
-			if (this._passedBy < options.passedBy) {
-				isPassedBy = true;
-				this._passedBy += 1;
+			if (this._overtaken < options.passedBy) {
+				isOvertaken = true;
+				this._overtaken += 1;
 				grant.dispose();
 			}
 		});
 		return toDisposable(() => {
 			timer.dispose();
-			this._passedBy -= isPassedBy ? 1 : 0;
+			this._overtaken -= isOvertaken ? 1 : 0;
 		});
 	}
 
@@ -300,7 +300,7 @@
 	 * is given back: after a power loss the connections of the dead count for 3 s. On a day with
 	 * one, full endpoints turned statements away 304 times before nodes waited so.
 	 */
-	private async _take(untilMs: number, statement?: EndpointStatement, least = 1): Promise<Either<StatementFault, PooledConnection>> {
+	private async _acquire(untilMs: number, statement?: EndpointStatement, minimumOpen = 1): Promise<Either<StatementFault, PooledConnection>> {
 		const {clock, options} = this._services;
 		for (;;) {
 			const idle = this._connections.acquire(statement);
@@ -308,8 +308,8 @@
 				return Right(idle);
 			}
 
-			this._makeRoom(least);
-			const opened = await this._connectWithinShare(statement?.organisation, least);
+			this._evictIfFull(minimumOpen);
+			const opened = await this._connectWithinShare(statement?.organisation, minimumOpen);
 			const isFull = opened.isLeft() && opened.extract().refusal.kind === 'overloaded';
 			const leftMs = untilMs - clock.nowMs();
 			if (!isFull || this._connections.size + this._opening === 0 || leftMs <= 0) {
@@ -324,10 +324,10 @@
 	 * Closes the connection that was not used for longest where all are open: each belongs to one
 	 * organisation, and another one needs its place.
 	 */
-	private _makeRoom(least: number): void {
+	private _evictIfFull(minimumOpen: number): void {
 		const {clock, metrics} = this._services;
 		const isEndpointFull = clock.nowMs() < this._fullUntilMs;
-		const isShareUsed = this._connections.size + this._opening >= Math.max(least, this._share);
+		const isShareUsed = this._connections.size + this._opening >= Math.max(minimumOpen, this._maximumOpen);
 		if ((isEndpointFull || isShareUsed) && this._connections.closeLeastRecentlyUsed()) {
 			metrics.count('poolEvictionsTotal');
 			// What was closed leaves room at the endpoint for one.
@@ -335,8 +335,8 @@
 		}
 	}
 
-	private async _connectWithinShare(organisation: string | undefined, least: number): Promise<Either<StatementFault, PooledConnection>> {
-		if (this._connections.size + this._opening >= Math.max(least, this._share)) {
+	private async _connectWithinShare(organisation: string | undefined, minimumOpen: number): Promise<Either<StatementFault, PooledConnection>> {
+		if (this._connections.size + this._opening >= Math.max(minimumOpen, this._maximumOpen)) {
 			return Left({isSent: false, refusal: new Refusal('overloaded', `all connections to ${this.endpoint.id} are in use`)});
 		}
 
@@ -373,7 +373,7 @@
 			});
 	}
 
-	private _giveBack(connection: PooledConnection): void {
+	private _releaseToPool(connection: PooledConnection): void {
 		this._connections.release(connection, this._limits);
 	}
 
@@ -383,6 +383,6 @@
 
 	/** One connection that broke says nothing about the endpoint: the next attempt to connect does. */
 	private _faultOf(fault: ConnectionFault, isSent: boolean): StatementFault {
-		return {isSent, refusal: new Refusal(refusalKinds[fault.kind], `${this.endpoint.id}: ${fault.detail}`), cause: causes[fault.kind]};
+		return {isSent, refusal: new Refusal(refusalKinds[fault.kind], `${this.endpoint.id}: ${fault.detail}`), cause: faultCauses[fault.kind]};
 	}
 }
--- a/src/common/pools/open-connections.ts
+++ b/src/common/pools/open-connections.ts
@@ -20,7 +20,7 @@
 	readonly spareCloseMs: number;
 };
 
-type Waiting = () => void;
+type Waiter = () => void;
 
 /** Hands out connections one user at a time. */
 export class OpenConnections implements Disposable {
@@ -29,7 +29,7 @@
 	private readonly _open = new Set<PooledConnection>();
 	/** The last used is at the end and is used first. */
 	private readonly _idle: PooledConnection[] = [];
-	private readonly _waiting: Waiting[] = [];
+	private readonly _waiters: Waiter[] = [];
 	private _isDisposed = false;
 
 	constructor(clock: Clock, times: IdleTimes) {
@@ -68,16 +68,16 @@
 	/** Waits until a connection is given back or ends, at most for a time. */
 	async waitForRelease(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
-			const waiting: Waiting = () => {
+			const waiting: Waiter = () => {
 				timer.dispose();
 				resolve();
 			};
 
 			const timer = this._clock.setTimer(waitMs, () => {
-				this._waiting.splice(this._waiting.indexOf(waiting), 1);
+				this._waiters.splice(this._waiters.indexOf(waiting), 1);
 				resolve();
 			});
-			this._waiting.push(waiting);
+			this._waiters.push(waiting);
 		});
 	}
 
@@ -104,8 +104,8 @@
 			return;
 		}
 
-		this._keep(connection);
-		this._waiting.shift()?.();
+		this._addIdle(connection);
+		this._waiters.shift()?.();
 		if (this._idle.length > limits.idle) {
 			this.closeLeastRecentlyUsed();
 		}
@@ -133,13 +133,13 @@
 	dispose(): void {
 		this._isDisposed = true;
 		this.closeIdle();
-		for (const waiting of this._waiting.splice(0)) {
+		for (const waiting of this._waiters.splice(0)) {
 			waiting();
 		}
 	}
 
 	/** Puts a connection among those that nobody uses, in the order of their last use by statements. */
-	private _keep(connection: PooledConnection): void {
+	private _addIdle(connection: PooledConnection): void {
 		const later = this._idle.findIndex(({usedAtMs}) => usedAtMs > connection.usedAtMs);
 		this._idle.splice(later === -1 ? this._idle.length : later, 0, connection);
 	}
--- a/src/common/pools/pooled-connection.ts
+++ b/src/common/pools/pooled-connection.ts
@@ -28,7 +28,7 @@
 	private readonly _connection: LineConnection;
 	private readonly _wire: LineWire;
 	private readonly _clock: Clock;
-	private readonly _carried: ConnectionSessionState;
+	private readonly _sessionState: ConnectionSessionState;
 	private _isClosed = false;
 
 	constructor(connection: LineConnection, organisation: string | undefined, {wire, clock, maximumPrepared}: ConnectionServices) {
@@ -36,7 +36,7 @@
 		this.organisation = organisation;
 		this._wire = wire;
 		this._clock = clock;
-		this._carried = new ConnectionSessionState(maximumPrepared);
+		this._sessionState = new ConnectionSessionState(maximumPrepared);
 		this.usedAtMs = clock.nowMs();
 		connection.onClose(() => {
 			this._isClosed = true;
@@ -55,7 +55,7 @@
 
 	/** Whether it carries a session's state already. */
 	hasStateOf(statement: EndpointStatement): boolean {
-		return this._carried.isAppliedFor(statement.session);
+		return this._sessionState.isAppliedFor(statement.session);
 	}
 
 	/** Calls back when the connection has ended. */
@@ -68,12 +68,12 @@
 	 * Where no answer comes in time the connection is closed: what runs on it is not known.
 	 */
 	async run(statement: EndpointStatement, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
-		const own = this._carried.statementsToApply(statement.session, statement.call?.prepared);
+		const own = this._sessionState.statementsToApply(statement.session, statement.call?.prepared);
 		const requests = [...own.map(item => this._wire.encodeInternal(item)), this._encode(statement)];
 		const result = await this._exchange(requests, timeoutMs);
 		return result.chain(answers => {
 			const failed = answers.slice(0, -1).find(({error}) => error);
-			return failed ? this._brokenState(failed) : Right(answers.at(-1)!);
+			return failed ? this._failSessionState(failed) : Right(answers.at(-1)!);
 		});
 	}
 
@@ -110,7 +110,7 @@
 			: this._wire.encodeStatement(id, text, floor);
 	}
 
-	private _brokenState(failed: EndpointAnswer): Either<ConnectionFault, EndpointAnswer> {
+	private _failSessionState(failed: EndpointAnswer): Either<ConnectionFault, EndpointAnswer> {
 		this.dispose();
 		return Left({kind: 'protocol', detail: `session state was not taken: ${failed.error?.text ?? ''}`});
 	}
--- a/src/common/random/seeded-random.ts
+++ b/src/common/random/seeded-random.ts
@@ -6,7 +6,7 @@
 import type {Random} from '../services/services.js';
 
 /** Values that are left out at the start. */
-const skippedValues = 20;
+const discardedValues = 20;
 
 /** The same seed gives the same sequence. */
 export class SeededRandom implements Random {
@@ -15,7 +15,7 @@
 	constructor(seed: number) {
 		this._generator = xoroshiro128plus(seed);
 		// The first values of small seeds are nearly the same for all of them.
-		for (let index = 0; index < skippedValues; index++) {
+		for (let index = 0; index < discardedValues; index++) {
 			this.next();
 		}
 	}
--- a/src/common/testing/virtual-clock.ts
+++ b/src/common/testing/virtual-clock.ts
@@ -21,7 +21,7 @@
  * The next step of virtual time. Without steps a timer for the rest of a delay could come
  * due at the very time at which a rounding error still leaves a rest: an endless loop.
  */
-function onGrid(timeMs: number): number {
+function roundUpToStep(timeMs: number): number {
 	return Math.ceil(timeMs * stepsPerMs) / stepsPerMs;
 }
 
@@ -50,8 +50,8 @@
 
 	setTimer(delayMs: number, callback: () => void): Disposable {
 		this._timerCount++;
-		const timer: Timer = {dueMs: onGrid(this._nowMs + Math.max(0, delayMs)), number: this._timerCount, callback};
-		this._timers.splice(this._placeOf(timer), 0, timer);
+		const timer: Timer = {dueMs: roundUpToStep(this._nowMs + Math.max(0, delayMs)), number: this._timerCount, callback};
+		this._timers.splice(this._insertionIndexOf(timer), 0, timer);
 		return {
 			dispose: () => {
 				const index = this._timers.indexOf(timer);
@@ -64,7 +64,7 @@
 
 	/** Moves time forward, running each due timer and all that it sets off before the next. */
 	async advance(durationMs: number): Promise<void> {
-		const endMs = onGrid(this._nowMs + durationMs);
+		const endMs = roundUpToStep(this._nowMs + durationMs);
 		await settle();
 		while (this._timers.length > 0 && this._timers[0].dueMs <= endMs) {
 			this._runFirst();
@@ -111,7 +111,7 @@
 		timer.callback();
 	}
 
-	private _placeOf(timer: Timer): number {
+	private _insertionIndexOf(timer: Timer): number {
 		let low = 0;
 		let high = this._timers.length;
 		while (low < high) {
