--- a/src/common/line-sessions/constants.ts
+++ b/src/common/line-sessions/constants.ts
@@ -1,46 +1,49 @@
 /**
- * Options of sessions, in one table. Times are in milliseconds.
+ * Default options of caller sessions and of the choice of an endpoint for each statement. Times are
+ * in milliseconds.
  */
 
-/** Options of sessions and of placing their statements. */
+/** Default options of sessions and of the selection of endpoints for their statements. */
 export const lineSessionDefaults = {
-	/** Times that one statement may be turned away without having run before it is refused. */
+	/** Maximum number of attempts at one statement that are turned away or unanswered before it is refused. */
 	maximumDetours: 4,
-	/** Pause before a statement of a transaction is sent again that its endpoint had no room for. */
+	/** Pause before a transaction's statement is retried after its endpoint answered that it is busy; multiplied by the number of attempts. */
 	busyPauseMs: 10,
-	/** What crossing to another availability zone adds to a statement's expected time. */
+	/** Added to a statement's expected duration when the endpoint is in another availability zone. */
 	otherZoneMs: 3,
 	/**
-	 * What a read at the primary is charged when places are compared: only the primary can run
-	 * writes, which wait behind it.
+	 * Added to the expected duration of a read at the primary when targets are compared. Only the
+	 * primary can run writes, and they queue behind such reads.
 	 */
 	primaryReadMs: 30,
 	/**
-	 * What a read is charged anywhere but at the replica on which its organisation's reads meet: a
-	 * connection that must be opened first takes some 12 ms of a slot, and the one that is closed for
-	 * it as much again.
+	 * Added to the expected duration of a read at any endpoint except the preferred replica of its
+	 * organisation. Opening a connection there first occupies a slot for about 12 ms, and reopening
+	 * the connection that was closed to make room for it costs the same again.
 	 */
 	otherReplicaMs: 20,
-	/** A replica's position that is older than this may have moved on enough. */
+	/** Age of a replica's last known position above which the replica is tried although that position is too low: it may have caught up since. */
 	positionOldMs: 150,
 	/**
-	 * Silence of a primary, from the first question that failed, after which nothing more is sent
-	 * to it: each statement would wait for its whole time. It is asked every 100 ms meanwhile.
+	 * How long a primary may be silent, counted from the first status request that failed, before no
+	 * more statements are sent to it: each would wait until its deadline. Status requests go on every
+	 * 100 ms in the meantime.
 	 */
 	silentPrimaryMs: 300,
-	/** Time to come back after a refusal for want of a primary, when nothing better is known. */
+	/** Retry delay that is reported to the caller when a statement is refused because the group has no usable primary. */
 	retryAfterMs: 250,
-	/** Longest wait for the rollback of a transaction that its session left. */
+	/** Timeout for rolling back a transaction that its session has abandoned. */
 	rollbackTimeoutMs: 1000,
-	/** Least time that must be left for another attempt. */
+	/** Minimum time before the deadline that must be left for another attempt. */
 	leastAttemptMs: 20,
 	/**
-	 * Share of reads that may be sent elsewhere because no answer came, and how many at once. It
-	 * keeps slow endpoints from getting twice the work; lost answers stay far below.
+	 * Retry budget for reads that got no answer: their share of all reads, and the size of a burst.
+	 * It keeps retries from doubling the load of endpoints that are merely slow; the share of
+	 * answers that are really lost is far lower.
 	 */
 	repeatShare: 0.1,
 	repeatBurst: 20,
 } as const;
 
-/** Options of sessions, as they may be set. */
+/** Options of sessions, with every value set. */
 export type LineSessionOptions = {readonly [Name in keyof typeof lineSessionDefaults]: number};
--- a/src/common/line-sessions/line-session.ts
+++ b/src/common/line-sessions/line-session.ts
@@ -1,5 +1,6 @@
 /**
- * One caller's session: what it set, prepared and began, and the answers to its statements.
+ * One caller's session: its settings, prepared statements and open transaction, and the handling of
+ * its statements.
  */
 import type {HandlersOf} from '../dispatch.js';
 import {dispatch} from '../dispatch.js';
@@ -16,7 +17,7 @@
 import type {StatementRunner} from './statement-runner.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
-/** A message that holds a statement. */
+/** A caller's message that contains a statement. */
 export type StatementMessage = Extract<CallerMessage, {kind: 'statement'}>;
 
 /** Serves the statements of one session, one at a time. */
@@ -26,7 +27,7 @@
 	private readonly _database: string;
 	private readonly _credential: Credential;
 	private readonly _state: SessionState = emptySessionState();
-	/** Position of the session's last commit, by service. */
+	/** Position of the session's last acknowledged commit, by service. */
 	private readonly _marks = new Map<string, LogPosition>();
 	private _transaction: SessionTransaction | undefined;
 	private _idleTimer: Disposable | undefined;
@@ -58,23 +59,23 @@
 		this._runner = runner;
 	}
 
-	/** Whether the session is in no transaction. */
+	/** Whether the session has no open transaction. */
 	get isIdle(): boolean {
 		return this._transaction === undefined;
 	}
 
-	/** Whether its caller may not come back to it: the connection ends after the answer. */
+	/** Whether the connection must be closed after the current answer because the caller is no longer authenticated. */
 	get mustCloseConnection(): boolean {
 		return this._mustCloseConnection;
 	}
 
-	/** Whether its key was revoked. */
+	/** Whether the API key that the session began with has been revoked. */
 	get isKeyRevoked(): boolean {
 		const {access, catalog} = this._services;
 		return access.isRevoked(catalog.route(this._database), this._credential);
 	}
 
-	/** State that callers are told after each answer. */
+	/** Transaction status that is reported to the caller after each answer. */
 	get status(): TransactionStatus {
 		return this._transaction?.status ?? 'idle';
 	}
@@ -91,7 +92,7 @@
 		return answer.text + wire.encodeReady(this.status, answer.position);
 	}
 
-	/** Ends an open transaction from outside: its next statement learns why. */
+	/** Aborts the open transaction, if there is one; its next statement is answered with the refusal. */
 	abortTransaction(refusal: Refusal): void {
 		this._transaction?.abort(refusal);
 	}
@@ -197,8 +198,9 @@
 	}
 
 	/**
-	 * Each transaction and each single statement goes by the route in force when it comes, needs a
-	 * key that counts, and is one operation of its organisation.
+	 * Authorises one operation and runs it. Each transaction, and each statement outside of one, uses the
+	 * route that is in force when it arrives, needs a valid API key, and counts as one operation against
+	 * the usage limit of its organisation.
 	 */
 	private async _authorizeAndRun(work: (route: Route, organisation: string | undefined) => Answer | Promise<Answer>): Promise<Answer> {
 		const {catalog, access, usage} = this._services;
@@ -218,8 +220,9 @@
 	}
 
 	/**
-	 * Why a statement of an open transaction may not run: each is a request of its own for the key
-	 * that it comes under. The transaction is rolled back.
+	 * Checks the API key again for a statement inside an open transaction: the key may have been revoked
+	 * or given to another organisation since BEGIN. Resolves to the refusal, after rolling the
+	 * transaction back, or to undefined if the statement may run.
 	 */
 	private async _checkTransactionAccess({route, organisation}: SessionTransaction): Promise<Refusal | undefined> {
 		const found = await this._services.access.organisation(route, this._credential);
@@ -239,12 +242,12 @@
 		return this._refuse(refusal);
 	}
 
-	/** A caller without a key that counts is not kept; one that this node knows too little about may come back. */
+	/** The connection of a caller without a valid key is closed. It stays open where this node only could not prove that the key is valid: the caller may retry. */
 	private _noteDenied({kind}: Refusal): void {
 		this._mustCloseConnection ||= kind === 'authenticationFailed';
 	}
 
-	/** What concerns the session alone is answered here, unless its transaction has failed. */
+	/** Runs a statement that only changes the state of the session, without an endpoint; refuses it if the transaction has failed. */
 	private _runLocally(act: () => void): Answer {
 		if (this._transaction?.status === 'failed') {
 			return this._refuse(new Refusal('transactionFailed'));
--- a/src/common/line-sessions/session-transaction.ts
+++ b/src/common/line-sessions/session-transaction.ts
@@ -1,6 +1,6 @@
 /**
- * One transaction of a session. It begins at an endpoint with its first statement, and stays
- * on the connection on which it began.
+ * One transaction of a session. It is begun at an endpoint when its first statement arrives, and all
+ * its statements run on the connection on which it was begun.
  */
 import type {Either} from 'purify-ts';
 import {Refusal} from '../errors/error-kinds.js';
@@ -13,16 +13,16 @@
 import type {StatementRunner} from './statement-runner.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
-/** How a transaction began. */
+/** What is known of a transaction at its BEGIN. */
 export type TransactionStart = {
 	readonly route: Route;
-	/** Organisation on whose connections it runs. */
+	/** Organisation whose connections the transaction uses. */
 	readonly organisation: string | undefined;
 	readonly isReadOnly: boolean;
 	readonly arrivedAtMs: number;
 };
 
-/** A transaction from its BEGIN until it is committed, rolled back or left. */
+/** A transaction from its BEGIN until it is committed, rolled back or abandoned. */
 export class SessionTransaction {
 	readonly route: Route;
 	readonly organisation: string | undefined;
@@ -32,15 +32,15 @@
 	private readonly _runner: StatementRunner;
 	private _held: HeldTransaction | undefined;
 	private _target: StatementTarget | undefined;
-	/** Term of the primary that it began at; undefined at a replica. */
+	/** Term of the primary at which it was begun; undefined if it was begun at a replica. */
 	private _term: number | undefined;
 	private _hasWritten = false;
 	private _failure: Refusal | undefined;
-	/** Whether the endpoint's last answer counts; not after it lost its log. */
+	/** Whether the endpoint's last answer is valid; false once the endpoint has restarted without its log. */
 	private _isAnswerValid = true;
-	/** Whether a statement is on its way; the connection must not be used for anything else then. */
+	/** Whether a statement is in flight; the connection must not be used for anything else until it is answered. */
 	private _isRunning = false;
-	/** Whether its session was told of the failure. */
+	/** Whether the failure has been reported to the session. */
 	private _isFailureReported = false;
 
 	constructor(beginning: TransactionStart, services: LineSessionServices, runner: StatementRunner) {
@@ -52,7 +52,7 @@
 		this._runner = runner;
 	}
 
-	/** State as the session knows it. */
+	/** Transaction status as it has been reported to the session. */
 	get status(): TransactionStatus {
 		return this._isFailureReported ? 'failed' : 'open';
 	}
@@ -73,7 +73,7 @@
 		return answer;
 	}
 
-	/** Commits; the transaction has ended afterwards, whatever came of it. Never rejects. */
+	/** Commits; the transaction has ended afterwards, whatever the outcome. Never rejects. */
 	async commit(statement: RunnableStatement): Promise<Answer> {
 		this._isRunning = true;
 		const answer = await this._commit(statement);
@@ -82,7 +82,7 @@
 		return answer;
 	}
 
-	/** Ends the transaction from outside; the session learns why with its next statement. */
+	/** Aborts the transaction from outside the session; the session's next statement is answered with the refusal. */
 	abort(refusal: Refusal): void {
 		this._failure ??= refusal;
 		if (!this._isRunning) {
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Rolls back what was begun; the session has gone on or has gone. */
+	/** Rolls the transaction back without waiting for the answer: its session has abandoned it or is closed. */
 	leave(): void {
 		void this._held?.rollBack(this._services.options.rollbackTimeoutMs);
 		this._held = undefined;
@@ -208,7 +208,7 @@
 		return new Refusal(refusalKinds[answer.error?.kind ?? 'other'] ?? 'endpointUnavailable', answer.error?.text ?? 'did not begin a transaction');
 	}
 
-	/** A statement that its endpoint had no room for is sent again: giving the transaction up costs more. */
+	/** Runs a statement and retries it while the endpoint answers that it is busy: aborting the whole transaction would cost more. */
 	private async _runWithBusyRetry(statement: RunnableStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {options, clock} = this._services;
 		const group = this._group;
@@ -237,7 +237,7 @@
 		return this._fail(new Refusal('transactionLost', 'the endpoint left the transaction'));
 	}
 
-	/** The endpoint's own error: the transaction has failed there, or goes on. */
+	/** Passes on an error that the endpoint returned; the transaction has failed unless the endpoint reports it as still open. */
 	private _onError(answer: EndpointAnswer): Answer {
 		if (answer.status !== 'open') {
 			this._failure = new Refusal('transactionFailed');
@@ -248,7 +248,7 @@
 		return {text: answer.text, position: answer.position};
 	}
 
-	/** Nothing was committed: what ran is rolled back with its connection. */
+	/** The statement got no answer. Nothing was committed: the endpoint rolls the transaction back when its connection closes. */
 	private _onFault(fault: StatementFault): Answer {
 		this._noteFault(fault);
 		return this._fail(new Refusal('transactionLost', fault.refusal.detail));
--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs single statements: chooses a place, sends the statement there, and decides what a
- * failure means and whether another place may be tried.
+ * Runs statements outside of transactions: selects an endpoint, sends the statement there, and
+ * decides what a failure means and whether another endpoint may be tried.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {ErrorKind} from '../errors/error-kinds.js';
@@ -13,29 +13,29 @@
 import {StatementTargetSelector} from './statement-target-selector.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
-/** Errors of endpoints that say that nothing ran, so that another attempt is safe. */
+/** Errors by which an endpoint states that it ran nothing, so that a retry is safe. */
 export const notRunErrors: ReadonlySet<EndpointErrorKind> = new Set(['busy', 'unknownStatement', 'behind', 'readOnly']);
 
-/** One statement and what has been tried for it. */
+/** One statement and the attempts that were made to run it. */
 type Progress = {
 	readonly statement: RunnableStatement;
 	readonly group: PrimaryTracker;
 	readonly refusedBy: Set<string>;
-	/** Times that it was sent and may have run. */
+	/** How often it was sent and may have run. */
 	attempts: number;
-	/** Times that it was turned away without having run. */
+	/** How often an attempt failed, whether the statement was turned away or got no answer. */
 	detours: number;
 	lastRefusal: Refusal | undefined;
 };
 
-/** Outcome of one attempt: an answer, or undefined where another place may be tried. */
+/** Outcome of one attempt: an answer, or undefined if another endpoint may be tried. */
 type AttemptResult = Answer | undefined;
 
-/** Runs statements outside of transactions; one for all sessions of a node. */
+/** Runs statements outside of transactions; all sessions of a node share one instance. */
 export class StatementRunner {
 	readonly targets: StatementTargetSelector;
 	private readonly _services: LineSessionServices;
-	/** Bounds how many reads are sent again because no answer came. */
+	/** Limits how many reads are retried because no answer arrived. */
 	private readonly _readRetries: RetryBudget;
 
 	constructor(services: LineSessionServices) {
@@ -54,15 +54,15 @@
 		return statement.access === 'write' ? this._write(progress) : this._read(progress);
 	}
 
-	/** The primary's place, once it is proved that it still is the primary; else why not. */
+	/** Resolves to the primary as a target once a lease on its term is held, otherwise to the refusal that says why there is none. */
 	async ensurePrimaryTarget(group: PrimaryTracker, {organisation, deadlineMs}: Pick<RunnableStatement, 'organisation' | 'deadlineMs'>): Promise<StatementTarget | Refusal> {
 		const target = this.targets.primary(group, organisation);
 		if (target && group.isLeased) {
 			return target;
 		}
 
-		// A node that has just started is about to learn who leads: in the tenth of a second that
-		// takes, it would turn away who could still be answered in time.
+		// A node that has just started learns the primary of a group within about 100 ms. Refusing
+		// meanwhile would turn away statements that can still be answered before their deadline.
 		const isKnown = group.primary !== undefined || group.hasEndpointReport;
 		if (!target && isKnown) {
 			return this._noPrimary(group);
@@ -75,9 +75,10 @@
 	}
 
 	/**
-	 * Whether what a primary committed may be acknowledged: only if its term had not been
-	 * replaced when it committed. A moment is waited for a replica that has received it, so that
-	 * it outlasts the primary; without one it stands as long as the primary does.
+	 * Whether a commit of the primary may be acknowledged: only if its term had not been replaced
+	 * when it committed. This waits a short time for a replica to report that it has received the
+	 * commit, so that the commit survives the loss of the primary. If none does, the commit is
+	 * acknowledged all the same, and survives only as long as the primary does.
 	 */
 	async mayAcknowledge(statement: RunnableStatement, group: PrimaryTracker, term: number, position: LogPosition | undefined): Promise<boolean> {
 		const {clock, metrics} = this._services;
@@ -106,7 +107,7 @@
 		return mayAcknowledge;
 	}
 
-	/** A statement for an endpoint. */
+	/** Converts a session's statement into the form that pools run; `floor` is the position that the endpoint must have reached. */
 	endpointStatement(statement: RunnableStatement, floor?: LogPosition): EndpointStatement {
 		const {id, text, call, session, caller, organisation, access, deadlineMs} = statement;
 		return {
@@ -114,7 +115,7 @@
 		};
 	}
 
-	/** Takes in what an answer says about its endpoint; resolves to whether the answer counts. */
+	/** Records what an answer reveals about its endpoint; returns whether the answer is valid. */
 	noteAnswer(group: PrimaryTracker, endpointId: string, {answer, sentAtMs}: TimedAnswer): boolean {
 		const isAnswerValid = group.noteAnswer(endpointId, answer.position, sentAtMs);
 		if (answer.error?.kind === 'readOnly') {
@@ -124,7 +125,7 @@
 		return isAnswerValid;
 	}
 
-	/** Takes in that an endpoint, or the node on the way to it, gave no answer. */
+	/** Records that an endpoint, or the node that relays to it, gave no answer. */
 	noteFault(group: PrimaryTracker, endpointId: string, fault: StatementFault): void {
 		if (fault.refusal.kind === 'peerUnavailable') {
 			this._services.relays.forget(group.service);
@@ -239,7 +240,7 @@
 		return {text: answer.text, position: answer.position};
 	}
 
-	/** A read that was not answered does no harm when it is sent again. */
+	/** Handles a read that got no answer; it is safe to retry, because reads change nothing. */
 	private _onReadFault(progress: Progress, target: StatementTarget, fault: StatementFault): AttemptResult {
 		this.noteFault(progress.group, target.pool.endpoint.id, fault);
 		if (fault.isSent) {
@@ -251,7 +252,7 @@
 		return this._noteTurnedAway(progress, target, fault.refusal);
 	}
 
-	/** An error in the endpoint's own words: tried elsewhere if nothing ran, passed on otherwise. */
+	/** Handles an error that the endpoint returned: another endpoint is tried if a retry is safe, otherwise the error is passed on to the caller. */
 	private _onError(progress: Progress, target: StatementTarget, answer: EndpointAnswer): AttemptResult {
 		const error = answer.error!;
 		const mayRepeat = notRunErrors.has(error.kind) || (progress.statement.access === 'read' && error.kind === 'failed');
@@ -285,7 +286,7 @@
 			&& (detours === 0 || statement.deadlineMs - clock.nowMs() >= options.leastAttemptMs);
 	}
 
-	/** How long a read waits for an answer before it is sent elsewhere; undefined where it is not. */
+	/** How long a read waits for its answer before it is retried at another endpoint; undefined if it is not retried. */
 	private _silenceMs({statement, group, attempts}: Progress, target: StatementTarget): number | undefined {
 		const hasOther = statement.route.kind !== 'primary' && group.endpoints().length > 1;
 		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._readRetries.isEmpty;
@@ -303,12 +304,12 @@
 	}
 }
 
-/** Why an answer of a primary does not count whose log lacks what it had acknowledged. */
+/** Detail of the refusal when a primary's answer is invalid because the primary restarted without entries that it had acknowledged. */
 export function lostLogDetail(endpointId: string): string {
 	return `${endpointId} started again without its log`;
 }
 
-/** Kind of refusal that an endpoint's error becomes when no other place is left. */
+/** Kind of refusal for each endpoint error, used when no other endpoint is left to try. */
 export const refusalKinds: Partial<Record<EndpointErrorKind, ErrorKind>> = {
 	busy: 'overloaded',
 	behind: 'tooStale',
--- a/src/common/line-sessions/statement-target-selector.ts
+++ b/src/common/line-sessions/statement-target-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Where a read goes: the endpoint that should answer first, among those that are fresh
- * enough and have not turned it away.
+ * Selects the endpoint for a statement. A read goes to the endpoint with the lowest expected duration
+ * among those that are fresh enough and have not turned it away.
  */
 import type {StatementPool} from '../pools/types.js';
 import type {PrimaryTracker} from '../primacy/primary-tracker.js';
@@ -10,15 +10,15 @@
 import type {RegisteredEndpoint, Route} from '../services/services.js';
 import type {LineSessionServices} from './types.js';
 
-/** An endpoint for a statement. */
+/** An endpoint that was selected for a statement, and the pool through which it is reached. */
 export type StatementTarget = {
 	readonly pool: StatementPool;
 	readonly isPrimary: boolean;
-	/** Position that the endpoint must have for the answer to be fresh enough. */
+	/** Position that the endpoint must have applied for the answer to be fresh enough. */
 	readonly floor: LogPosition | undefined;
 };
 
-/** What the place of a read depends on. */
+/** What the selection of an endpoint for a read depends on. */
 export type ReadRequest = {
 	readonly route: Route;
 	readonly arrivedAtMs: number;
@@ -26,7 +26,7 @@
 	readonly mark: LogPosition | undefined;
 	/** Endpoints that turned the statement away. */
 	readonly refusedBy: ReadonlySet<string>;
-	/** Organisation on whose connections it runs. */
+	/** Organisation whose connections the read uses. */
 	readonly organisation: string | undefined;
 };
 
@@ -36,7 +36,7 @@
 	readonly floor: LogPosition;
 };
 
-/** Chooses places. */
+/** Selects an endpoint for each statement. */
 export class StatementTargetSelector {
 	private readonly _services: LineSessionServices;
 
@@ -44,7 +44,7 @@
 		this._services = services;
 	}
 
-	/** The primary's place; undefined when there is none that could be reached a moment ago. */
+	/** The primary as a target, through a relay if this node cannot reach it; undefined if no primary is known or it cannot be reached either way. */
 	primary(group: PrimaryTracker, organisation: string | undefined): StatementTarget | undefined {
 		const endpoint = group.primaryEndpoint;
 		if (!endpoint) {
@@ -58,7 +58,7 @@
 		return pool && {pool, isPrimary: true, floor: undefined};
 	}
 
-	/** The best place for a read that accepts data of some age; undefined when none is fresh enough. */
+	/** The target with the lowest expected duration for a read within its accepted staleness; undefined when no endpoint is known to be fresh enough. */
 	read(group: PrimaryTracker, request: ReadRequest): StatementTarget | undefined {
 		const {route, refusedBy, mark, arrivedAtMs, organisation} = request;
 		const proved = group.floor(arrivedAtMs, route.maximumAgeMs);
@@ -81,7 +81,7 @@
 		return this._fastest(targets, request);
 	}
 
-	/** A pool knows the registration with which it was made: whether its endpoint leaves, the newest one says. */
+	/** Draining is checked on the endpoint and not on the pool: a pool keeps the registration with which it was created, which may be older. */
 	private _isEligible(group: PrimaryTracker, {endpoint, pool, floor}: ReplicaChoice): boolean {
 		const {isAvoided, isOutOfConnections} = pool;
 		if (endpoint.isDraining || isAvoided || isOutOfConnections) {
@@ -113,14 +113,15 @@
 		const {availabilityZone, options, random} = this._services;
 		const otherZoneCostMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
 		const primaryCostMs = isPrimary ? options.primaryReadMs : 0;
-		// A little chance keeps nodes that see the same times from choosing in step.
+		// Jitter keeps nodes that measure the same times from all choosing the same endpoint at once.
 		return (pool.estimateMs('read', priority) * (0.9 + (random.next() / 5))) + otherZoneCostMs + primaryCostMs;
 	}
 }
 
 /**
- * The replica on which an organisation's reads meet: each connection belongs to one organisation,
- * and an endpoint takes fewer than there are organisations.
+ * The replica to which all nodes prefer to send an organisation's reads. Each connection belongs to
+ * one organisation, and an endpoint accepts fewer connections than there are organisations, so reads
+ * that were spread over all replicas would keep opening and closing connections.
  */
 function preferredReplica(targets: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
 	if (organisation === undefined) {
--- a/src/common/line-sessions/types.ts
+++ b/src/common/line-sessions/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types shared by the parts of sessions.
+ * Types shared by the modules of caller sessions.
  */
 import type {Refusal} from '../errors/error-kinds.js';
 import type {PreparedStatement, SessionState} from '../pools/session-state.js';
@@ -15,19 +15,19 @@
 } from '../services/services.js';
 import type {LineSessionOptions} from './constants.js';
 
-/** Ways to primaries that this node cannot reach itself. */
+/** Selects peers that relay statements to primaries which this node cannot reach itself. */
 export type PrimaryRelays = {
 	primaryPool(group: PrimaryTracker): StatementPool | undefined;
-	/** The way of a group did not serve. */
+	/** Drops the relay of a group after it failed to reach the primary. */
 	forget(service: string): void;
 };
 
-/** The ways that statements to endpoints take. */
+/** Selects the pool through which statements to an endpoint are sent. */
 export type EndpointPools = {
 	pool(endpoint: RegisteredEndpoint, organisation: string | undefined): StatementPool;
 };
 
-/** What sessions work with. */
+/** Services that sessions depend on. */
 export type LineSessionServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -49,27 +49,27 @@
 	readonly id: string;
 	readonly text: string;
 	readonly access: 'read' | 'write';
-	/** Prepared statement that it calls, and its parameters. */
+	/** Prepared statement that it executes, and its parameters. */
 	readonly call?: {readonly prepared: PreparedStatement; readonly parameters: string};
 	readonly route: Route;
 	readonly session: SessionState;
 	/** Name of the caller for logs and fair sharing; never an API key. */
 	readonly caller: string;
-	/** Organisation on whose connections it runs; undefined where callers need no key. */
+	/** Organisation whose connections it uses; undefined where callers need no API key. */
 	readonly organisation: string | undefined;
 	/** Position of the session's own last commit in the group. */
 	readonly mark: LogPosition | undefined;
 	readonly arrivedAtMs: number;
-	/** When it is given up on, on the node's clock. */
+	/** Deadline, on the node's clock. */
 	readonly deadlineMs: number;
 };
 
-/** An answer to a caller, but for the state that follows it. */
+/** An answer to a caller, without the ready line that reports the transaction status. */
 export type Answer = {
 	readonly text: string;
 	readonly position: LogPosition | undefined;
-	/** What it refuses, where it is a refusal of this node's. */
+	/** The refusal, if this node refused the statement. */
 	readonly refusal?: Refusal;
-	/** Position that includes what the statement committed. */
+	/** Position in the log that includes what the statement committed. */
 	readonly mark?: LogPosition;
 };
