--- a/src/common/pools/answer-times.ts
+++ b/src/common/pools/answer-times.ts
@@ -1,5 +1,5 @@
 /**
- * How long an endpoint takes to answer, averaged with more weight on recent answers.
+ * Exponentially weighted moving average of an endpoint's answer times.
  */
 import type {Clock} from '../services/services.js';
 import type {PoolOptions} from './constants.js';
@@ -20,14 +20,14 @@
 		this._notedAtMs = clock.nowMs();
 	}
 
-	/** What the next answer should take; an old average fades, so that an endpoint is tried again. */
+	/** Expected time of the next answer. An average without new answers decays towards the assumed time, so that a slow endpoint is tried again. */
 	get averageMs(): number {
 		const {assumedAnswerMs, answerTimeHalfLifeMs} = this._options;
 		const kept = 0.5 ** ((this._clock.nowMs() - this._notedAtMs) / answerTimeHalfLifeMs);
 		return assumedAnswerMs + ((this._averageMs - assumedAnswerMs) * kept);
 	}
 
-	/** Silence of a running statement after which its connection may be dead. */
+	/** Time without an answer after which the connection of a running statement is suspected to be dead. */
 	get silenceThresholdMs(): number {
 		return Math.max(this._options.leastSilenceMs, this.averageMs * this._options.silenceFactor);
 	}
--- a/src/common/pools/connection-session-state.test.ts
+++ b/src/common/pools/connection-session-state.test.ts
@@ -12,15 +12,15 @@
 	return state;
 }
 
-describe('CarriedState', () => {
-	it('sets only what differs', () => {
+describe('ConnectionSessionState', () => {
+	it('sets only the values that differ', () => {
 		const carried = new ConnectionSessionState(8);
 		expect(carried.statementsToApply(sessionWith({a: '1'}), undefined)).toEqual([{kind: 'set', name: 'a', value: '1'}]);
 		expect(carried.statementsToApply(sessionWith({a: '1'}), undefined)).toEqual([]);
 		expect(carried.statementsToApply(sessionWith({a: '1', b: '2'}), undefined)).toEqual([{kind: 'set', name: 'b', value: '2'}]);
 	});
 
-	it('clears what a session does not have', () => {
+	it('discards the state if it holds a value that the session does not have', () => {
 		const carried = new ConnectionSessionState(8);
 		carried.statementsToApply(sessionWith({a: '1', b: '2'}), undefined);
 		expect(carried.isAppliedFor(sessionWith({a: '1'}))).toEqual(false);
@@ -28,14 +28,14 @@
 		expect(carried.isAppliedFor(sessionWith({a: '1'}))).toEqual(true);
 	});
 
-	it('prepares a statement once, whatever sessions call it', () => {
+	it('prepares a statement once for all sessions that execute it', () => {
 		const carried = new ConnectionSessionState(8);
 		const statement = {access: 'read', shape: 'q1'} as const;
 		expect(carried.statementsToApply(emptySessionState(), statement)).toEqual([{kind: 'prepare', name: 'read_q1', ...statement}]);
 		expect(carried.statementsToApply(emptySessionState(), statement)).toEqual([]);
 	});
 
-	it('prepares again what a clearing removed, and bounds how much is kept', () => {
+	it('bounds the number of prepared statements and prepares again those that were discarded', () => {
 		const carried = new ConnectionSessionState(1);
 		const [one, two] = [{access: 'read', shape: 'q1'}, {access: 'write', shape: 'q1'}] as const;
 		carried.statementsToApply(emptySessionState(), one);
--- a/src/common/pools/connection-session-state.ts
+++ b/src/common/pools/connection-session-state.ts
@@ -1,9 +1,10 @@
 /**
- * What a connection to an endpoint carries of session state, and what it takes to make it
- * carry another session's.
+ * Session state that a connection to an endpoint holds, and the statements that replace it by the
+ * state of another session.
  *
- * Prepared statements are known to endpoints by names of this node's own, made of what they
- * are. So sessions that prepared the same thing share it, and none clashes with another's.
+ * Endpoints know prepared statements by names that this node derives from their access and shape.
+ * Sessions that prepared the same statement therefore share it, and names that sessions chose never
+ * collide.
  */
 import type {InternalStatement} from '../services/services.js';
 import type {PreparedStatement, SessionState} from './session-state.js';
@@ -13,7 +14,7 @@
 	return `${access}_${shape}`;
 }
 
-/** Follows one connection. */
+/** Tracks the session state of one connection. */
 export class ConnectionSessionState {
 	private readonly _values = new Map<string, string>();
 	private readonly _prepared = new Set<string>();
@@ -23,15 +24,15 @@
 		this._maximumPrepared = maximumPrepared;
 	}
 
-	/** Whether a statement of the session needs nothing first. */
+	/** Whether the connection already holds exactly the values of the session. */
 	isAppliedFor(session: SessionState): boolean {
 		return this._values.size === session.values.size && this._differingValues(session).length === 0;
 	}
 
 	/**
-	 * Statements that make the connection fit the session, to be sent in this order before
-	 * its statement. What they change is noted at once: a connection on which one of them
-	 * fails is not used again.
+	 * Statements that give the connection the state of the session, to be sent in this order before
+	 * the session's own statement. Their effect is recorded at once, before they are answered: a
+	 * connection on which one of them fails is closed.
 	 */
 	statementsToApply(session: SessionState, prepared: PreparedStatement | undefined): InternalStatement[] {
 		const statements: InternalStatement[] = [];
--- a/src/common/pools/constants.ts
+++ b/src/common/pools/constants.ts
@@ -1,70 +1,74 @@
 /**
- * Options of a node's own connections to endpoints, in one table. Times are in milliseconds.
+ * Default options of a node's own connection pools. Times are in milliseconds.
  */
 
-/** Options of the pools. */
+/** Default options of connection pools. */
 export const poolDefaults = {
-	/** Statements of this node that one endpoint runs or queues at one time. */
+	/** Minimum number of this node's statements that may be in flight at one endpoint; an endpoint with more slots gets as many as it has slots. */
 	statementsInFlight: 3,
 	/**
-	 * Statements whose answers are probably lost, and in whose place others run meanwhile. With
-	 * one answer in five lost at a primary, those that waited out their 800 ms filled all places.
+	 * Maximum number of statements whose answer is probably lost and whose slot is therefore given to
+	 * others. With one answer in five lost at a primary, statements that waited for their full 800 ms
+	 * occupied every slot.
 	 */
 	passedBy: 4,
-	/** Connections to one endpoint that open transactions may hold between their statements. */
+	/** Connections to one endpoint that open transactions may hold. */
 	heldConnections: 4,
 	/**
-	 * The same where two nodes hold an endpoint's connections for all: with what both run, ten
-	 * each fit into 36 connections beside those of the nodes that ask for states.
+	 * The same limit where two nodes hold an endpoint's connections for all nodes: ten each, with the
+	 * connections on which both run statements, fit into 36 connections beside those of the nodes that
+	 * send status requests.
 	 */
 	heldConnectionsForAll: 10,
-	/** Idle connections to one endpoint that are kept; more are closed at once. */
+	/** Maximum idle connections to one endpoint; any beyond it are closed at once. */
 	idleConnections: 3,
-	/** The same for nodes that hold connections for all. */
+	/** The same limit for nodes that hold an endpoint's connections for all nodes. */
 	idleConnectionsForAll: 10,
 	/**
-	 * Idle connections to one endpoint that a home keeps for long where each belongs to an
-	 * organisation. Endpoints count those of hosts that lost power for 3 s: with more, two homes
-	 * that start again find no room.
+	 * Maximum idle connections to one endpoint at a home where each connection belongs to an
+	 * organisation; all of them are kept for `idleCloseMs`. Endpoints count the connections of hosts
+	 * that lost power for another 3 s: with a higher limit, two homes that restart could open none.
 	 */
 	idleConnectionsByOrganisation: 5,
-	/** Share of an endpoint's connections that one of its two homes may open there; the rest is for questions and for homes that change. */
+	/** Share of an endpoint's connections that each of its two homes may open; the rest is left for status requests and for the time in which a home changes. */
 	organisationsShare: 0.4,
-	/** Idle connections that are kept for long. */
+	/** Idle connections to one endpoint that are kept for `idleCloseMs`; the others are closed after `spareCloseMs`. */
 	keptConnections: 1,
-	/** The same for nodes that leave an endpoint's connections to others. */
+	/** The same number for nodes that leave an endpoint's connections to other nodes. */
 	keptConnectionsForNone: 0,
-	/** Idle time after which these are closed, below the endpoints' own bound of a minute. */
+	/** Idle time after which the connections that are kept are closed; below the idle timeout of endpoints, which is one minute. */
 	idleCloseMs: 20_000,
 	/**
-	 * Idle time after which the others are closed. An endpoint counts the connections of hosts
-	 * that lost power for 3 s more: what all nodes keep must leave room for as many again.
+	 * Idle time after which the other idle connections are closed. An endpoint counts the connections
+	 * of hosts that lost power for another 3 s, so the idle connections of all nodes together must leave
+	 * room for as many again.
 	 */
 	spareCloseMs: 500,
 	/**
-	 * Time after this node's start in which it opens half of its share of connections: endpoints
-	 * count those of hosts that lost power for 3 s, and all nodes may have.
+	 * Time after the start of this node during which it opens at most half of its share of connections.
+	 * Endpoints count the connections of hosts that lost power for another 3 s, and all nodes may have
+	 * lost power at once.
 	 */
 	modestAfterStartMs: 3000,
-	/** Connections up to which a transaction may open one beyond the share: it keeps it between its statements. */
+	/** Number of connections that may always be opened to begin a transaction, even if the share of this node is lower: a transaction keeps its connection between its statements. */
 	leastWithTransaction: 2,
-	/** Time that an endpoint which could not be reached is passed over. */
+	/** Time for which an endpoint is avoided after it could not be reached. */
 	avoidMs: 400,
-	/** Time for which no further connections are opened after the endpoint had too many. */
+	/** Time for which no connections are opened after the endpoint refused one because it had too many. */
 	tooManyPauseMs: 300,
-	/** Statement names that a connection collects before it is cleared. */
+	/** Prepared statements that a connection may hold before its session state is discarded. */
 	preparedNames: 256,
 	/** Weight of the newest answer in the average answer time of an endpoint. */
 	answerTimeWeight: 0.15,
-	/** Time after which an average that got no new answers counts half. */
+	/** Half-life of an average that gets no new answers, in its decay towards `assumedAnswerMs`. */
 	answerTimeHalfLifeMs: 1500,
-	/** Answer time that is assumed of an endpoint before the first answer. */
+	/** Answer time that is assumed for an endpoint before its first answer. */
 	assumedAnswerMs: 15,
-	/** Silence of a running statement, in multiples of the average answer time, that is suspicious. */
+	/** Time without an answer, in multiples of the average answer time, after which an answer is suspected to be lost. */
 	silenceFactor: 8,
-	/** Least silence that is suspicious: above the longest work of most statements, about 60 ms, several times over. */
+	/** Minimum of that time: several times the duration of most long statements, which is about 60 ms. */
 	leastSilenceMs: 200,
 } as const;
 
-/** Options of the pools, as they may be set. */
+/** Options of connection pools, with every value set. */
 export type PoolOptions = {readonly [Name in keyof typeof poolDefaults]: number};
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -1,9 +1,9 @@
 /**
  * This node's connections to one endpoint, and the queue in front of them.
  *
- * Every node reaches every endpoint itself. The endpoint bounds what all of them open
- * together and refuses the rest before it has run anything, so that two nodes that take too
- * much cost a refusal and never a wrong answer.
+ * Every node connects to every endpoint itself. The endpoint limits the connections of all nodes
+ * together and refuses any beyond the limit before it runs anything, so two nodes that open too many
+ * cause refusals and never a wrong answer.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -26,7 +26,7 @@
 	BegunTransaction, EndpointStatement, ConnectionRole, PoolServices, ReportedStatus, StatementFault, StatementPool, TimedAnswer,
 } from './types.js';
 
-/** Kind of refusal for a connection that could not be had, by fault. */
+/** Kind of refusal for each fault of a connection. */
 const refusalKinds: Record<ConnectionFault['kind'], ErrorKind> = {
 	refused: 'endpointUnavailable',
 	silent: 'endpointUnavailable',
@@ -47,7 +47,7 @@
 	busy: 'full',
 };
 
-/** Connections to one endpoint: held by transactions, idle, and idle for long. */
+/** Maximum connections to one endpoint: held by transactions, idle, and idle but kept for `idleCloseMs`. */
 type ConnectionLimits = {
 	readonly held: number;
 	readonly idle: number;
@@ -60,7 +60,7 @@
 	forNone: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnectionsForNone}),
 };
 
-/** Where connections belong to organisations, one that is kept spares its organisation a new one. */
+/** Limits where connections belong to organisations. All idle ones are kept, because each saves its organisation from opening a new one. */
 function limitsByOrganisation(options: PoolOptions): ConnectionLimits {
 	return {held: options.heldConnectionsForAll, idle: options.idleConnectionsByOrganisation, kept: options.idleConnectionsByOrganisation};
 }
@@ -78,12 +78,12 @@
 	private _held = 0;
 	/** Connections that are being opened. */
 	private _opening = 0;
-	/** Statements without an answer whose slots others use. */
+	/** Statements still waiting for an answer whose slots were given to others. */
 	private _overtaken = 0;
 	private _avoidedUntilMs = Number.NEGATIVE_INFINITY;
 	private _fullUntilMs = Number.NEGATIVE_INFINITY;
 
-	/** The node started at `startedAtMs` on its clock. */
+	/** Creates the pool; `startedAtMs` is when this node started, on its own clock. */
 	constructor(endpoint: RegisteredEndpoint, services: PoolServices, startedAtMs: number) {
 		this.endpoint = endpoint;
 		this._services = services;
@@ -97,17 +97,17 @@
 			this._held + beginsRunning < Math.min(this._limits.held, Math.max(1, this._maximumOpen - 1)));
 	}
 
-	/** Statements of this node that the endpoint has, and those that wait for it here. */
+	/** Statements of this node that are in flight at the endpoint or queued for it here. */
 	get load(): number {
 		return this._queue.running + this._queue.length;
 	}
 
-	/** Whether it could not be reached a moment ago. */
+	/** Whether the endpoint is being avoided because it could not be reached within the last `avoidMs`. */
 	get isAvoided(): boolean {
 		return this._services.clock.nowMs() < this._avoidedUntilMs;
 	}
 
-	/** Whether the endpoint takes no connection of this node, which has none. */
+	/** Whether the endpoint currently refuses new connections and this node has none open. */
 	get isOutOfConnections(): boolean {
 		return this._services.clock.nowMs() < this._fullUntilMs && this._connections.size + this._opening === 0;
 	}
@@ -118,16 +118,16 @@
 		return areConnectionsPerOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limitsByRole[kind](options);
 	}
 
-	/** How many connections this node may have open. */
+	/** Maximum number of connections that this node may have open to the endpoint. */
 	private get _maximumOpen(): number {
 		const {clock, options, connectionShare, areConnectionsPerOrganisation} = this._services;
 		const all = connectionShare(this.endpoint);
-		// Homes that each filled the endpoint would shut each other out: all keep what they have.
+		// If each home could fill the endpoint, one would keep the others from connecting: homes keep the connections that they have.
 		const share = areConnectionsPerOrganisation() ? Math.floor(all * options.organisationsShare) : all;
 		return Math.max(1, clock.nowMs() < this._halfShareUntilMs ? Math.floor(share / 2) : share);
 	}
 
-	/** Time until a new statement would be answered, by what is known here. */
+	/** Estimated time in milliseconds until a new statement would be answered, from the queue of this node and the average answer time. */
 	estimateMs(access: 'read' | 'write', priority: number): number {
 		const waitMs = this._queue.estimateWaitMs({caller: '', priority, lane: access});
 		return waitMs + this.answerTimes.averageMs;
@@ -149,8 +149,8 @@
 	}
 
 	/**
-	 * Begins a transaction on a connection that is then the session's until it is given back.
-	 * Resolves with the endpoint's answer in place of a connection where it refuses.
+	 * Begins a transaction on a connection that belongs to the session until it is released.
+	 * Resolves with the endpoint's answer in place of a connection if the endpoint refuses.
 	 */
 	async begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>> {
 		return this._withSlot<BegunTransaction>(statement, 'begin', async () => {
@@ -178,7 +178,7 @@
 		return this._withSlot(statement, 'transaction', async () => this.runOn(connection, statement));
 	}
 
-	/** Runs a statement on a connection, within the statement's time. */
+	/** Runs a statement on a connection, with a timeout that ends at the statement's deadline. */
 	async runOn(connection: PooledConnection, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {clock} = this._services;
 		if (!connection.isOpen) {
@@ -194,7 +194,7 @@
 			.mapLeft(fault => ({...this._faultOf(fault, true), sinceMs: sentAtMs}));
 	}
 
-	/** Sends a statement of the node's own ahead of the queue; resolves with the endpoint's status. */
+	/** Sends an internal statement of the node, bypassing the queue; resolves with the endpoint's status. */
 	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const {clock, wire} = this._services;
 		const connection = await this._acquire(clock.nowMs() + timeoutMs);
@@ -219,7 +219,7 @@
 			});
 	}
 
-	/** Takes a held connection back: into the pool when it is clean, closed otherwise. */
+	/** Releases a held connection: it returns to the pool if it is clean, and is closed otherwise. */
 	release(connection: PooledConnection, isClean: boolean): void {
 		this._held -= 1;
 		if (!isClean) {
@@ -230,17 +230,17 @@
 		this._queue.serve();
 	}
 
-	/** Closes idle connections: they may have fallen silent together. */
+	/** Closes all idle connections: after a lost answer on one connection, the others may be dead too. */
 	closeIdle(): void {
 		this._connections.closeIdle();
 	}
 
-	/** Closes connections that nobody has used for a while; the last one is kept longer. */
+	/** Closes connections that have been idle for too long; the most recently used ones are kept longer. */
 	closeUnused(): void {
 		this._connections.closeUnused(this._limits);
 	}
 
-	/** Passes the endpoint over for a while. */
+	/** Avoids the endpoint for `avoidMs`. */
 	avoid(): void {
 		this._avoidedUntilMs = this._services.clock.nowMs() + this._services.options.avoidMs;
 	}
@@ -276,8 +276,9 @@
 	}
 
 	/**
-	 * Lets the next statement go while one waits for an answer that is probably lost. Such a
-	 * statement keeps its connection for the rest of its time, so only a few may be passed by.
+	 * Frees the slot of a statement whose answer is probably lost, so that the next statement can run.
+	 * Such a statement occupies its connection until its timeout, so only a few may be overtaken at
+	 * once. Disposing the result ends the watch.
 	 */
 	private _freeSlotWhenSilent(grant: Disposable): Disposable {
 		const {clock, options} = this._services;
@@ -296,9 +297,10 @@
 	}
 
 	/**
-	 * A connection: an idle one, else a new one. Where the endpoint takes no more, the next that
-	 * is given back: after a power loss the connections of the dead count for 3 s. On a day with
-	 * one, full endpoints turned statements away 304 times before nodes waited so.
+	 * Acquires an idle connection, or opens a new one. If the endpoint accepts no more, this waits until
+	 * one of this node's connections is released: after a power loss the endpoint still counts the
+	 * connections of the lost hosts for 3 s. Without this wait, full endpoints turned statements away
+	 * 304 times in a day with one power loss.
 	 */
 	private async _acquire(untilMs: number, statement?: EndpointStatement, minimumOpen = 1): Promise<Either<StatementFault, PooledConnection>> {
 		const {clock, options} = this._services;
@@ -321,8 +323,8 @@
 	}
 
 	/**
-	 * Closes the connection that was not used for longest where all are open: each belongs to one
-	 * organisation, and another one needs its place.
+	 * Closes the least recently used idle connection if no more may be opened: each connection belongs
+	 * to one organisation, and another organisation needs one.
 	 */
 	private _evictIfFull(minimumOpen: number): void {
 		const {clock, metrics} = this._services;
@@ -330,7 +332,7 @@
 		const isShareUsed = this._connections.size + this._opening >= Math.max(minimumOpen, this._maximumOpen);
 		if ((isEndpointFull || isShareUsed) && this._connections.closeLeastRecentlyUsed()) {
 			metrics.count('poolEvictionsTotal');
-			// What was closed leaves room at the endpoint for one.
+			// Closing a connection makes room for a new one at the endpoint.
 			this._fullUntilMs = Number.NEGATIVE_INFINITY;
 		}
 	}
@@ -381,7 +383,7 @@
 		return Math.max(1, statement.deadlineMs - this._services.clock.nowMs());
 	}
 
-	/** One connection that broke says nothing about the endpoint: the next attempt to connect does. */
+	/** Converts a connection's fault. It does not make the pool avoid the endpoint: one broken connection proves nothing about it, but a failed attempt to connect does. */
 	private _faultOf(fault: ConnectionFault, isSent: boolean): StatementFault {
 		return {isSent, refusal: new Refusal(refusalKinds[fault.kind], `${this.endpoint.id}: ${fault.detail}`), cause: faultCauses[fault.kind]};
 	}
--- a/src/common/pools/held-connection.ts
+++ b/src/common/pools/held-connection.ts
@@ -1,5 +1,5 @@
 /**
- * A connection of this node's own inside a session's transaction.
+ * A connection from this node's pool that a session's transaction holds.
  */
 import type {Either} from 'purify-ts';
 import type {EndpointPool} from './endpoint-pool.js';
@@ -8,7 +8,7 @@
 	EndpointStatement, HeldTransaction, StatementFault, TimedAnswer,
 } from './types.js';
 
-/** A connection inside a session's transaction. */
+/** A pooled connection that belongs to one transaction until it is released. */
 export class HeldConnection implements HeldTransaction {
 	private readonly _pool: EndpointPool;
 	private readonly _connection: PooledConnection;
@@ -23,12 +23,12 @@
 		return this._pool.runHeld(this._connection, statement);
 	}
 
-	/** Gives the connection back after the transaction has ended. */
+	/** Returns the connection to the pool after the transaction has ended. */
 	release(): void {
 		this._end(true);
 	}
 
-	/** Rolls the transaction back and gives the connection back; closes it when that is not answered. */
+	/** Rolls the transaction back and returns the connection to the pool; closes it if the rollback fails or is not answered in time. */
 	async rollBack(timeoutMs: number): Promise<void> {
 		if (this._isReleased) {
 			return;
@@ -40,7 +40,7 @@
 		this._pool.release(this._connection, isClean);
 	}
 
-	/** Closes the connection; the endpoint rolls back what it carried. */
+	/** Closes the connection; the endpoint rolls its transaction back. */
 	close(): void {
 		this._end(false);
 	}
--- a/src/common/pools/open-connections.ts
+++ b/src/common/pools/open-connections.ts
@@ -1,17 +1,17 @@
 /**
- * The open connections of a node to one endpoint: those that nobody uses, and who waits for
- * the next that is given back.
+ * The open connections of a node to one endpoint, the idle ones among them, and the waiters for the
+ * next connection that is released.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Clock} from '../services/services.js';
 import type {PooledConnection} from './pooled-connection.js';
 import type {EndpointStatement} from './types.js';
 
-/** How many idle connections are kept, and for how long. */
+/** Maximum numbers of idle connections. */
 export type IdleLimits = {
-	/** More are closed at once. */
+	/** Any idle connections beyond this number are closed at once. */
 	readonly idle: number;
-	/** Those that are kept for `idleCloseMs`. */
+	/** This many are kept for `idleCloseMs`; the others are closed after `spareCloseMs`. */
 	readonly kept: number;
 };
 
@@ -22,12 +22,12 @@
 
 type Waiter = () => void;
 
-/** Hands out connections one user at a time. */
+/** Lends each connection to one user at a time. */
 export class OpenConnections implements Disposable {
 	private readonly _clock: Clock;
 	private readonly _times: IdleTimes;
 	private readonly _open = new Set<PooledConnection>();
-	/** The last used is at the end and is used first. */
+	/** Ordered by last use; the most recently used connection is at the end and is handed out first. */
 	private readonly _idle: PooledConnection[] = [];
 	private readonly _waiters: Waiter[] = [];
 	private _isDisposed = false;
@@ -37,12 +37,12 @@
 		this._times = times;
 	}
 
-	/** Connections that are open, those in use included. */
+	/** Number of open connections, including those in use. */
 	get size(): number {
 		return this._open.size;
 	}
 
-	/** Takes in a new connection, which its opener uses. */
+	/** Adds a new connection that is in use by whoever opened it. */
 	add(connection: PooledConnection): void {
 		this._open.add(connection);
 		connection.onClose(() => {
@@ -51,8 +51,9 @@
 	}
 
 	/**
-	 * An idle connection on which a statement may run: one that fits its session before any other.
-	 * Statements of the node's own run on any: on one of its own, else on the one that is least missed.
+	 * Takes an idle connection on which a statement may run, preferably one that already holds the state
+	 * of its session. An internal statement of the node, for which `statement` is left out, may run on any
+	 * connection: preferably one that belongs to the node, otherwise the least recently used.
 	 */
 	acquire(statement?: EndpointStatement): PooledConnection | undefined {
 		if (!statement) {
@@ -65,7 +66,7 @@
 		return index === -1 ? undefined : this._idle.splice(index, 1)[0];
 	}
 
-	/** Waits until a connection is given back or ends, at most for a time. */
+	/** Resolves once a connection is released, or after `waitMs` at the latest. */
 	async waitForRelease(waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const waiting: Waiter = () => {
@@ -81,7 +82,7 @@
 		});
 	}
 
-	/** Closes the idle connection that was not used for longest; whether there was one. */
+	/** Closes the least recently used idle connection; returns whether there was one. */
 	closeLeastRecentlyUsed(): boolean {
 		const [least] = this._idle;
 		if (!least) {
@@ -92,7 +93,7 @@
 		return true;
 	}
 
-	/** Takes a connection back from its user. */
+	/** Returns a connection from its user; closes the least recently used idle one if there are too many. */
 	release(connection: PooledConnection, limits: IdleLimits): void {
 		if (!connection.isOpen) {
 			this._forget(connection);
@@ -111,14 +112,14 @@
 		}
 	}
 
-	/** Closes idle connections: they may have fallen silent together. */
+	/** Closes all idle connections: after a lost answer on one connection, the others may be dead too. */
 	closeIdle(): void {
 		for (const connection of this._idle.splice(0)) {
 			this._close(connection);
 		}
 	}
 
-	/** Closes connections that nobody has used for a while; those that are kept, later. */
+	/** Closes connections that have been idle for too long; the `kept` most recently used ones have the longer limit. */
 	closeUnused({kept}: IdleLimits): void {
 		const nowMs = this._clock.nowMs();
 		const {idleCloseMs, spareCloseMs} = this._times;
@@ -138,7 +139,7 @@
 		}
 	}
 
-	/** Puts a connection among those that nobody uses, in the order of their last use by statements. */
+	/** Adds a connection to the idle ones, which are ordered by their last use by a statement. */
 	private _addIdle(connection: PooledConnection): void {
 		const later = this._idle.findIndex(({usedAtMs}) => usedAtMs > connection.usedAtMs);
 		this._idle.splice(later === -1 ? this._idle.length : later, 0, connection);
@@ -149,7 +150,7 @@
 		this._forget(connection);
 	}
 
-	/** A connection that ended is neither handed out nor counted. */
+	/** Removes a closed connection, so that it is neither handed out nor counted. */
 	private _forget(connection: PooledConnection): void {
 		this._open.delete(connection);
 		const index = this._idle.indexOf(connection);
--- a/src/common/pools/pool-set.ts
+++ b/src/common/pools/pool-set.ts
@@ -1,15 +1,15 @@
 /**
- * The pools of this node, one for each endpoint that is registered.
+ * The connection pools of this node, one for each registered endpoint.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {RegisteredEndpoint} from '../services/services.js';
 import {EndpointPool} from './endpoint-pool.js';
 import type {PoolServices} from './types.js';
 
-/** Time between two looks for connections that nobody uses. */
+/** Interval between two sweeps that close unused connections. */
 const sweepMs = 250;
 
-/** Makes pools on demand and drops those of endpoints that are gone. */
+/** Creates pools on demand and disposes those of endpoints that are no longer registered. */
 export class PoolSet implements Disposable {
 	private readonly _services: PoolServices;
 	private readonly _pools = new Map<string, EndpointPool>();
@@ -22,7 +22,7 @@
 		this._sweep = this._sweepLater();
 	}
 
-	/** The pool of an endpoint; a new one when it registered at another address, or started again. */
+	/** The pool of an endpoint; replaced by a new pool when the endpoint restarted or registered with another address. */
 	pool(endpoint: RegisteredEndpoint): EndpointPool {
 		const known = this._pools.get(endpoint.id);
 		if (known && isSameProcess(known.endpoint, endpoint)) {
@@ -35,7 +35,7 @@
 		return pool;
 	}
 
-	/** Drops the pools of a service's endpoints that are not among those registered. */
+	/** Disposes the pools of a service's endpoints that are missing from `endpoints`, the registered ones. */
 	disposeUnregistered(service: string, endpoints: readonly RegisteredEndpoint[]): void {
 		const present = new Set(endpoints.map(({id}) => id));
 		for (const [id, pool] of this._pools) {
--- a/src/common/pools/pooled-connection.ts
+++ b/src/common/pools/pooled-connection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection of a pool: what it carries, and how a statement is run on it.
+ * One connection of a pool: the session state that it holds, and how a statement is run on it.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -18,11 +18,11 @@
 	readonly maximumPrepared: number;
 };
 
-/** A connection together with the state that it carries. */
+/** A connection together with the session state that it holds. */
 export class PooledConnection implements Disposable {
-	/** Organisation that it belongs to; undefined where it is this node's. */
+	/** Organisation that the connection belongs to; undefined if it belongs to this node. */
 	readonly organisation: string | undefined;
-	/** Last use by a statement, on the node's clock. */
+	/** When a statement last used the connection, on the node's clock; control statements count only on connections of the node itself. */
 	usedAtMs: number;
 
 	private readonly _connection: LineConnection;
@@ -43,29 +43,30 @@
 		});
 	}
 
-	/** Whether it can take a statement. */
+	/** Whether the connection is open, so that a statement can be sent on it. */
 	get isOpen(): boolean {
 		return !this._isClosed;
 	}
 
-	/** Whether a statement may run on it: an endpoint is told the organisation when a connection begins. */
+	/** Whether a statement may run on it. It must belong to the same organisation, which the endpoint is told once, when the connection is opened. */
 	isUsableFor({organisation}: EndpointStatement): boolean {
 		return this.organisation === organisation;
 	}
 
-	/** Whether it carries a session's state already. */
+	/** Whether the connection already holds the state of the statement's session. */
 	hasStateOf(statement: EndpointStatement): boolean {
 		return this._sessionState.isAppliedFor(statement.session);
 	}
 
-	/** Calls back when the connection has ended. */
+	/** Calls the listener when the connection has closed. */
 	onClose(listener: () => void): void {
 		this._connection.onClose(listener);
 	}
 
 	/**
-	 * Runs a statement, after what makes the connection fit its session, all in one write.
-	 * Where no answer comes in time the connection is closed: what runs on it is not known.
+	 * Runs a statement, preceded by the statements that give the connection the state of its session,
+	 * all sent in one write. If no answer arrives in time the connection is closed, because it is not
+	 * known what is still running on it.
 	 */
 	async run(statement: EndpointStatement, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
 		const own = this._sessionState.statementsToApply(statement.session, statement.call?.prepared);
@@ -78,15 +79,15 @@
 	}
 
 	/**
-	 * Begins a transaction. Its first statement must not be on the way before this is answered:
-	 * an endpoint that refuses to begin would run it outside of any transaction.
+	 * Begins a transaction. The first statement must not be sent before this is answered: an endpoint
+	 * that refuses to begin would run the statement outside of any transaction.
 	 */
 	async begin(isReadOnly: boolean, floor: LogPosition | undefined, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
 		const result = await this.runInternal([{kind: 'begin', isReadOnly, floor}], timeoutMs);
 		return result.map(answers => answers[0]);
 	}
 
-	/** Asks for the endpoint's state, or changes it: no use that keeps an organisation's connection. */
+	/** Sends a control statement, which reads or changes the endpoint's state. It does not count as a use that keeps an organisation's connection open. */
 	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
 		const {usedAtMs} = this;
 		const result = await this.runInternal([statement], timeoutMs);
@@ -94,7 +95,7 @@
 		return result;
 	}
 
-	/** Runs statements of the node's own. */
+	/** Runs internal statements of the node. */
 	async runInternal(statements: readonly InternalStatement[], timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
 		return this._exchange(statements.map(item => this._wire.encodeInternal(item)), timeoutMs);
 	}
@@ -112,7 +113,7 @@
 
 	private _failSessionState(failed: EndpointAnswer): Either<ConnectionFault, EndpointAnswer> {
 		this.dispose();
-		return Left({kind: 'protocol', detail: `session state was not taken: ${failed.error?.text ?? ''}`});
+		return Left({kind: 'protocol', detail: `endpoint refused to set the session state: ${failed.error?.text ?? ''}`});
 	}
 
 	private async _exchange(requests: readonly string[], timeoutMs: number): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
--- a/src/common/pools/session-state.ts
+++ b/src/common/pools/session-state.ts
@@ -1,5 +1,6 @@
 /**
- * What belongs to a session and follows it over connections: values and prepared statements.
+ * State of a session that is applied to every connection on which its statements run: values and
+ * prepared statements.
  */
 
 /** A statement that a session has prepared. */
--- a/src/common/pools/types.ts
+++ b/src/common/pools/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types shared by the pools.
+ * Types shared by the modules of connection pools.
  */
 import type {Either} from 'purify-ts';
 import type {HomeOptions} from '../homes/constants.js';
@@ -12,7 +12,7 @@
 import type {PoolOptions} from './constants.js';
 import type {PreparedStatement, SessionState} from './session-state.js';
 
-/** What a pool works with. */
+/** Services that a pool depends on. */
 export type PoolServices = {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -22,7 +22,7 @@
 	readonly connector: LineConnector;
 	readonly wire: LineWire;
 	readonly connectionRole: (endpoint: RegisteredEndpoint) => ConnectionRole;
-	/** This node's share of the connections that an endpoint accepts; no bound where that is not known. */
+	/** Number of the endpoint's connections that this node may use; infinite if the endpoint's limit is not known. */
 	readonly connectionShare: (endpoint: RegisteredEndpoint) => number;
 	/** Whether connections belong to organisations. */
 	readonly areConnectionsPerOrganisation: () => boolean;
@@ -31,91 +31,92 @@
 };
 
 /**
- * For whom a node holds connections to an endpoint: for itself, as every node does; for all
- * nodes, as one of a few; or for none but a question now and then, where others hold them.
+ * For whom a node holds connections to an endpoint: for itself (`forItself`); for all nodes, as one of
+ * a few that do (`forAll`); or for none, apart from an occasional status request, because other nodes
+ * hold them (`forNone`).
  */
 export type ConnectionRole = 'forItself' | 'forAll' | 'forNone';
 
-/** One statement on its way to an endpoint. */
+/** A statement to be run at an endpoint. */
 export type EndpointStatement = {
 	readonly id: string;
 	readonly text: string;
-	/** Prepared statement that the text calls, and its parameters; undefined for a plain text. */
+	/** Prepared statement that the text executes, and its parameters; undefined for any other text. */
 	readonly call?: {readonly prepared: PreparedStatement; readonly parameters: string};
 	readonly session: SessionState;
 	/** Name of the caller for fair sharing. */
 	readonly caller: string;
-	/** Organisation whose connections it may use; undefined where callers need no key. */
+	/** Organisation whose connections it uses; undefined where callers need no API key. */
 	readonly organisation: string | undefined;
 	readonly priority: number;
 	readonly access: 'read' | 'write';
-	/** Position that the endpoint's log must hold. */
+	/** Position that the endpoint must have reached before it runs the statement. */
 	readonly floor?: LogPosition;
-	/** When the statement is given up on, on the node's clock. */
+	/** Deadline, on the node's clock. */
 	readonly deadlineMs: number;
-	/** Longest wait for its answer once it was sent, where it may be sent again elsewhere. */
+	/** Timeout in milliseconds for the answer after sending, if the statement may be retried at another endpoint. */
 	readonly silenceMs?: number;
 };
 
-/** Why a statement has no answer of its endpoint. */
+/** Why a statement got no answer from its endpoint. */
 export type StatementFault = {
 	/** Whether the endpoint may have run it. */
 	readonly isSent: boolean;
 	readonly refusal: Refusal;
-	/** How the endpoint could not be reached, where it could not. */
+	/** Why the endpoint could not be reached; undefined if the fault lies elsewhere. */
 	readonly cause?: 'refused' | 'silent' | 'closed' | 'full';
-	/** When what failed had been sent, on the node's clock. */
+	/** When the failed statement was sent, on the node's clock. */
 	readonly sinceMs?: number;
-	/** Whether it was another node, on the way to the endpoint, that gave no answer. */
+	/** Whether the relaying peer, and not the endpoint, gave no answer. */
 	readonly isPeerLost?: boolean;
 };
 
-/** An answer, and when its statement was handed to the connection. */
+/** An answer, and when its statement was sent on the connection. */
 export type TimedAnswer = {
 	readonly answer: EndpointAnswer;
 	readonly sentAtMs: number;
 };
 
-/** A state that an endpoint reported, and when it was asked. */
+/** A status that an endpoint reported, and when the request was sent. */
 export type ReportedStatus = {
 	readonly status: EndpointStatus;
-	/** Position that its reads included. */
+	/** Position that the endpoint had applied. */
 	readonly applied: LogPosition | undefined;
 	readonly sentAtMs: number;
 };
 
-/** Where statements for one endpoint are run: this node's own connections, or another node's. */
+/** Runs statements at one endpoint, over the connections of this node or of a peer. */
 export type StatementPool = {
 	readonly endpoint: RegisteredEndpoint;
 	readonly answerTimes: AnswerTimes;
-	/** Name of the node over which it goes; undefined where this node connects itself. */
+	/** Name of the peer that relays; undefined if this node connects to the endpoint itself. */
 	readonly via: string | undefined;
-	/** Statements of this node that are on their way to the endpoint. */
+	/** Statements of this node for the endpoint, queued or in flight. */
 	readonly load: number;
-	/** Whether it could not be reached a moment ago. */
+	/** Whether the endpoint is currently avoided because it could not be reached. */
 	readonly isAvoided: boolean;
-	/** Whether the endpoint takes no connection of this node, which has none. */
+	/** Whether the endpoint currently refuses new connections and this node has none open. */
 	readonly isOutOfConnections: boolean;
-	/** Time until a new statement would be answered, by what is known here. */
+	/** Estimated time in milliseconds until a new statement would be answered. */
 	estimateMs(access: 'read' | 'write', priority: number): number;
 	/** Runs one statement. */
 	run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
-	/** Begins a transaction; resolves with the endpoint's answer where it refuses. */
+	/** Begins a transaction; resolves with the endpoint's answer if the endpoint refuses. */
 	begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>>;
-	/** Closes idle connections: they may have fallen silent together. */
+	/** Closes all idle connections: after a lost answer on one connection, the others may be dead too. */
 	closeIdle(): void;
 };
 
 /** A transaction that its session holds, or the endpoint's refusal to begin one. */
 export type BegunTransaction = {readonly held: HeldTransaction} | {readonly answer: EndpointAnswer};
 
-/** The connection of a transaction, for as long as its session holds it. */
+/** The connection of a transaction, which belongs to the session until it is released or closed. */
 export type HeldTransaction = {
 	run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
-	/** Gives the connection back after the transaction has ended. */
+	/** Returns the connection to the pool after the transaction has ended. */
 	release(): void;
-	/** Rolls the transaction back and gives the connection back. */
+	/** Rolls the transaction back and returns the connection to the pool. */
 	rollBack(timeoutMs: number): Promise<void>;
-	/** Closes the connection; the endpoint rolls back what it carried. */
+	/** Closes the connection; the endpoint rolls its transaction back. */
 	close(): void;
 };
