--- a/src/common/organisations/access-control.ts
+++ b/src/common/organisations/access-control.ts
@@ -1,9 +1,9 @@
 /**
- * Who a caller is, and whether it may have a statement run: what its key says under the newest
- * configuration.
+ * Identifies callers by their API key and decides, by the configuration in force, whether a statement
+ * may run.
  *
- * The key decides at every statement, not at the start of a session: it may be revoked at any
- * moment, and a statement that is sent long enough afterwards must not run on any node.
+ * The key is checked for every statement and not only at the start of a session: it may be revoked at
+ * any moment, and a statement that is sent long enough afterwards must not run on any node.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -11,18 +11,18 @@
 import {Refusal} from '../errors/error-kinds.js';
 import type {Route} from '../services/services.js';
 
-/** What a caller showed when its session began. */
+/** What a caller sent to identify itself when its session began. */
 export type Credential = {
-	/** Digest of the word that it sent. */
+	/** Digest of the user name that it sent, which may be an API key. */
 	readonly keyDigest: string;
-	/** The word itself where callers need no key when the session begins. */
+	/** The user name itself if callers needed no API key when the session began; otherwise the name for anonymous callers. */
 	readonly caller: string;
 };
 
-/** Name for logs of who has no organisation. */
+/** Name in logs for callers without an organisation. */
 const anonymous = 'anonymous';
 
-/** Decides by the configuration in force. */
+/** Checks API keys against the configuration in force. */
 export class AccessControl {
 	private readonly _catalog: RouteCatalog;
 
@@ -30,19 +30,19 @@
 		this._catalog = catalog;
 	}
 
-	/** Takes in what a caller sent; a key is not kept. */
+	/** Makes a credential of the user name that a caller sent; an API key is kept only as its digest. */
 	credential(secret: string): Credential {
 		return {keyDigest: this._catalog.digestOf(secret), caller: this._catalog.organisations ? anonymous : secret};
 	}
 
-	/** The organisation whose connections a statement may use; undefined where none is needed. */
+	/** Resolves to the organisation whose connections a statement uses, to undefined if it needs none, or to the refusal if its key is not valid. */
 	async organisation(route: Route, {keyDigest}: Credential): Promise<Either<Refusal, string | undefined>> {
 		const {organisations} = this._catalog;
 		if (!organisations || route.isPublic) {
 			return Right(organisations?.holder(keyDigest)?.name);
 		}
 
-		// The proof comes first: the question for it may bring a configuration that takes the key away.
+		// Prove first that the keys are current: the request for that may bring a configuration that revokes this key.
 		const areKeysCurrent = await this._catalog.areKeysCurrent();
 		const holder = areKeysCurrent ? await this._catalog.findOrganisation(keyDigest) : undefined;
 		if (holder) {
@@ -51,19 +51,19 @@
 
 		return Left(areKeysCurrent
 			? new Refusal('authenticationFailed', 'the API key is not known')
-			: new Refusal('configurationUnproved', 'the store was not heard for too long'));
+			: new Refusal('configurationUnproved', 'the configuration store has not answered for too long'));
 	}
 
 	/**
-	 * Who a caller is at this moment, for logs and fair sharing. A word that was taken for a name is
-	 * shown no more once organisations are named: it may be a key.
+	 * Current name of a caller, for logs and fair sharing. A user name is no longer shown once the
+	 * configuration has organisations: it may be an API key.
 	 */
 	nameOf({keyDigest, caller}: Credential): string {
 		const {organisations} = this._catalog;
 		return organisations ? organisations.holder(keyDigest)?.name ?? anonymous : caller;
 	}
 
-	/** Whether a key that let a caller in does so no more. */
+	/** Whether the key of a connected caller is no longer valid for the route. */
 	isRevoked(route: Route | undefined, {keyDigest}: Credential): boolean {
 		const {organisations} = this._catalog;
 		return organisations !== undefined && route?.isPublic === false && organisations.holder(keyDigest) === undefined;
--- a/src/common/organisations/constants.ts
+++ b/src/common/organisations/constants.ts
@@ -1,40 +1,40 @@
 /**
- * Options of organisations' usage limits, in one table. Times are in milliseconds.
+ * Default options of organisations' usage limits. Times are in milliseconds.
  */
 
-/** Options of usage limits. */
+/** Default options of usage limits. */
 export const usageDefaults = {
-	/** Longest wait for the node that keeps a budget: as long as for other questions to a peer. */
+	/** Timeout of a request to the holder of a budget; the same as for other unary requests to a peer. */
 	askTimeoutMs: 200,
-	/** Nodes of the zone that are asked, one after the other, before an operation is refused. */
+	/** Maximum number of the zone's nodes that are asked, one after the other, before an operation is refused. */
 	holdersTried: 2,
-	/** Time to come back after a refusal because no node that keeps budgets answered. */
+	/** Retry delay that is reported to the caller when an operation is refused because no holder answered. */
 	unansweredRetryMs: 250,
-	/** Longest wait of a node that has just started for the list of the others: alone it would keep every budget. */
+	/** Timeout for the initial peer discovery of a node that has just started: until it knows its peers, it would consider itself the holder of every budget. */
 	lookTimeoutMs: 300,
 	/**
-	 * Share of what the rule tolerates beyond rate and burst that budgets give out. The rest is for
-	 * a node that takes a budget over while the one before it still answers some.
+	 * Share of the rule's tolerance beyond rate and burst that budgets may give out. The rest covers the
+	 * time in which a node takes a budget over while the previous holder still grants operations.
 	 */
 	toleranceShare: 0.7,
-	/** Operations with which a first choice begins to keep a budget at least. */
+	/** Minimum number of operations in a budget when the first-choice holder creates it. */
 	initialOperations: 1,
-	/** Share of a zone's budget that it lends at one time to a zone whose own is empty. */
+	/** Share of a zone's remaining budget that it lends, per request, to a zone whose own budget is empty. */
 	loanShare: 0.5,
-	/** Time for which a zone that had nothing to lend is not asked again. */
+	/** Time for which a zone that had nothing to lend is not asked again for that organisation. */
 	loanRetryMs: 250,
-	/** Time for which a zone that did not answer is asked for no loan. */
+	/** Time for which a zone that did not answer is not asked for loans. */
 	silentZoneMs: 2000,
-	/** Time since another node was last heard after which this one gives nothing out: it may be cut off alone. */
+	/** Time without contact to any other node after which this node grants nothing: it may be partitioned from all others. */
 	touchMs: 550,
 	/**
-	 * Time after which a node stands in for a first choice that does not answer. Longer than it takes
-	 * a node to notice that it is cut off, so that such a one never does.
+	 * Time after which a node stands in for a first-choice holder that does not answer. It is longer
+	 * than a node takes to notice that it is partitioned, so that a partitioned node never stands in.
 	 */
 	standInAfterMs: 600,
-	/** Time without a question after which a stand-in, or a first choice that may have changed meanwhile, begins anew. */
+	/** Time without a request after which a stand-in's budget expires, or that of a first-choice holder if the membership has changed since. */
 	standInKeptMs: 2000,
 } as const;
 
-/** Options of usage limits, as they may be set. */
+/** Options of usage limits, with every value set. */
 export type UsageOptions = {readonly [Name in keyof typeof usageDefaults]: number};
--- a/src/common/organisations/organisations.ts
+++ b/src/common/organisations/organisations.ts
@@ -1,9 +1,9 @@
 /**
- * The organisations of one version of the configuration, by name and by key.
+ * Index of the organisations in one version of the configuration, by name and by API key.
  */
 import type {Organisation} from '../services/services.js';
 
-/** Finds organisations. */
+/** Looks organisations up. */
 export class Organisations {
 	private readonly _byName: ReadonlyMap<string, Organisation>;
 	private readonly _byDigest: ReadonlyMap<string, Organisation>;
@@ -13,12 +13,12 @@
 		this._byDigest = new Map(organisations.flatMap(organisation => organisation.keyDigests.map(digest => [digest, organisation] as const)));
 	}
 
-	/** The organisation of a name. */
+	/** The organisation with a name; undefined if there is none. */
 	findByName(name: string): Organisation | undefined {
 		return this._byName.get(name);
 	}
 
-	/** The organisation that holds the key of a digest. */
+	/** The organisation that has the API key with this digest; undefined if no organisation has it. */
 	holder(keyDigest: string): Organisation | undefined {
 		return this._byDigest.get(keyDigest);
 	}
--- a/src/common/organisations/usage-budget.test.ts
+++ b/src/common/organisations/usage-budget.test.ts
@@ -9,36 +9,36 @@
 const size = {perS: 10, capacity: 5};
 
 describe('UsageBudget', () => {
-	it('gives out what it holds, then what is added', () => {
+	it('gives out its initial operations, then those added over time', () => {
 		const budget = new UsageBudget(size, 2, 0);
 		expect([budget.take(0), budget.take(0)]).toEqual([0, 0]);
 		expect(budget.take(0)).toEqual(100);
 		expect(budget.take(100)).toEqual(0);
 	});
 
-	it('holds no more than its capacity, also of what was lent', () => {
+	it('never exceeds its capacity, not even through loans', () => {
 		const budget = new UsageBudget(size, 0, 0);
 		budget.add(50);
 		expect(budget.takeShare(1, 10_000)).toEqual(5);
 	});
 
-	it('lends whole operations, one at least where it has one', () => {
+	it('lends whole operations, and at least one if it has one', () => {
 		const budget = new UsageBudget(size, 1.5, 0);
 		expect(budget.takeShare(0.5, 0)).toEqual(1);
 		expect(budget.takeShare(0.5, 0)).toEqual(0);
 	});
 
-	it('loses what a lower limit does not allow', () => {
+	it('drops the operations beyond the capacity of a lower limit', () => {
 		const budget = new UsageBudget(size, 5, 0);
 		budget.resize({perS: 1, capacity: 1}, 0);
 		expect([budget.take(0), budget.take(0)]).toEqual([0, 1000]);
 	});
 
-	it('never says that there will be room where there is none', () => {
+	it('reports an infinite wait if no operations are ever added', () => {
 		expect(new UsageBudget({perS: 0, capacity: 1}, 0, 0).take(0)).toEqual(Number.POSITIVE_INFINITY);
 	});
 
-	it('gives out at most its capacity and what was added, in any span', () => {
+	it('gives out at most its capacity and what was added since, at any time', () => {
 		const steps = array(record({afterMs: integer({min: 0, max: 400}), asked: integer({min: 0, max: 9})}), {maxLength: 60});
 		assert(property(steps, double({min: 0.1, max: 50, noNaN: true}), double({min: 1, max: 30, noNaN: true}), (asks, perS, capacity) => {
 			const budget = new UsageBudget({perS, capacity}, capacity, 0);
--- a/src/common/organisations/usage-budget.ts
+++ b/src/common/organisations/usage-budget.ts
@@ -1,18 +1,18 @@
 /**
- * How many operations of an organisation may run: a token bucket.
+ * Token bucket that limits the operations of an organisation.
  */
 
-/** What a budget is made of. */
+/** Rate and capacity of a budget. */
 export type BudgetSize = {
-	/** Operations that are added in a second. */
+	/** Operations that are added per second. */
 	readonly perS: number;
-	/** Operations that it holds at the most. */
+	/** Maximum number of operations that it holds. */
 	readonly capacity: number;
 };
 
 const msPerS = 1000;
 
-/** In any span of time it gives out at most its capacity and what was added meanwhile. */
+/** Gives out, in any span of time, at most its capacity plus what was added during the span. */
 export class UsageBudget {
 	private _size: BudgetSize;
 	private _remaining: number;
@@ -24,14 +24,14 @@
 		this._refilledAtMs = nowMs;
 	}
 
-	/** Follows a change of the limit; what is left beyond a lower one is lost. */
+	/** Applies a changed limit; operations beyond the new capacity are lost. */
 	resize(size: BudgetSize, nowMs: number): void {
 		this._refill(nowMs);
 		this._size = size;
 		this._remaining = Math.min(this._remaining, size.capacity);
 	}
 
-	/** Takes one operation; returns zero, or the time in milliseconds until there will be one. */
+	/** Takes one operation; returns zero on success, otherwise the time in milliseconds until one is available. */
 	take(nowMs: number): number {
 		this._refill(nowMs);
 		if (this._remaining >= 1) {
@@ -43,7 +43,7 @@
 		return perS > 0 && capacity >= 1 ? (1 - this._remaining) / perS * msPerS : Number.POSITIVE_INFINITY;
 	}
 
-	/** Takes a share of what is left, in whole operations; one at least where there is one. */
+	/** Takes a share of the remaining operations and returns their whole number; at least one if there is one. */
 	takeShare(share: number, nowMs: number): number {
 		this._refill(nowMs);
 		const taken = this._remaining >= 1 ? Math.max(1, Math.floor(this._remaining * share)) : 0;
@@ -51,7 +51,7 @@
 		return taken;
 	}
 
-	/** Adds operations that another budget gave out; what it cannot hold is lost. */
+	/** Adds operations that another budget lent; those beyond the capacity are lost. */
 	add(operations: number): void {
 		this._remaining = Math.min(this._size.capacity, this._remaining + operations);
 	}
--- a/src/common/organisations/usage-budgets.test.ts
+++ b/src/common/organisations/usage-budgets.test.ts
@@ -38,24 +38,24 @@
 		return taken;
 	}
 
-	it('give nothing out for an organisation without a limit', () => {
+	it('have no budget for an organisation without a limit', () => {
 		expect(budgetsOf(undefined).budgets.take('shop', 'firstChoice')).toEqual(undefined);
 	});
 
-	it('begin in full as the first choice of nodes that have not changed for long', () => {
+	it('begin full at the first-choice holder if the membership has been stable for long', () => {
 		// Zone capacity: (20 + 0.7 x (0.1 x (100 + 20) + 20)) / 2 = 21.2.
 		const {budgets} = budgetsOf({perS: 20, burst: 20});
 		expect(takeAll(budgets, 'firstChoice')).toEqual(21);
 	});
 
-	it('begin with what was added since the nodes changed, and with one operation at least', async () => {
-		// Process soak, seed 932: in a rolling restart each new first choice gave three quarters of a zone's
-		// budget out anew, 417 operations in 5 s where 416 were allowed.
+	it('begin with what was added since the membership changed, and with at least one operation', async () => {
+		// Guards against over-granting in a rolling restart: if each new first-choice holder began with three
+		// quarters of a zone's budget, 417 operations ran in 5 s where 416 were allowed.
 		expect(takeAll(budgetsOf({perS: 20, burst: 20}, 500).budgets, 'firstChoice')).toEqual(5);
 		expect(takeAll(budgetsOf({perS: 20, burst: 20}, 0).budgets, 'firstChoice')).toEqual(1);
 	});
 
-	it('count no more as the first choice once nobody asked for a while and the nodes changed', async () => {
+	it('expire at the first-choice holder after a time without requests in which the membership changed', async () => {
 		const {budgets, clock, changeMembership} = budgetsOf({perS: 20, burst: 20});
 		takeAll(budgets, 'firstChoice');
 		await clock.advance(usageDefaults.standInKeptMs);
@@ -64,7 +64,7 @@
 		expect(takeAll(budgets, 'firstChoice')).toEqual(1);
 	});
 
-	it('give nothing out as a stand-in before a cut-off node would have noticed, then begin empty', async () => {
+	it('grant nothing as a stand-in until a partitioned node would have noticed the partition, then begin empty', async () => {
 		const {budgets, clock} = budgetsOf({perS: 20, burst: 20});
 		expect(budgets.take('shop', 'standIn')).toEqual({operations: 0, retryAfterMs: usageDefaults.standInAfterMs});
 		await clock.advance(usageDefaults.standInAfterMs);
@@ -73,7 +73,7 @@
 		expect(takeAll(budgets, 'standIn')).toEqual(10);
 	});
 
-	it('wait anew once a stand-in was not asked for a while, and once a first choice takes over again', async () => {
+	it('make a stand-in wait again after a time without requests, and after the first choice has taken over', async () => {
 		const {budgets, clock} = budgetsOf({perS: 20, burst: 20});
 		budgets.take('shop', 'standIn');
 		await clock.advance(usageDefaults.standInKeptMs + 1);
@@ -82,7 +82,7 @@
 		expect(budgets.take('shop', 'standIn')?.operations).toEqual(0);
 	});
 
-	it('follow a lower limit at once', () => {
+	it('apply a lower limit at once', () => {
 		const {budgets, setLimit} = budgetsOf({perS: 100, burst: 100});
 		budgets.take('shop', 'firstChoice');
 		setLimit({perS: 1, burst: 1});
@@ -90,14 +90,14 @@
 		expect(takeAll(budgets, 'firstChoice')).toEqual(7);
 	});
 
-	it('lend half of what is left, and nothing of an empty budget', () => {
+	it('lend half of the remaining operations, and nothing from an empty budget', () => {
 		const {budgets} = budgetsOf({perS: 20, burst: 20});
 		expect(budgets.lend('shop', 'firstChoice')?.operations).toEqual(10);
 		takeAll(budgets, 'firstChoice');
 		expect(budgets.lend('shop', 'firstChoice')).toEqual({operations: 0, retryAfterMs: usageDefaults.loanRetryMs});
 	});
 
-	it('tell nobody to come back later than a while, whatever the limit', () => {
+	it('bound the reported retry delay for every limit', () => {
 		const {budgets} = budgetsOf({perS: 0, burst: 0});
 		takeAll(budgets, 'firstChoice');
 		expect(budgets.take('shop', 'firstChoice')).toEqual({operations: 0, retryAfterMs: 5000});
--- a/src/common/organisations/usage-budgets.ts
+++ b/src/common/organisations/usage-budgets.ts
@@ -1,9 +1,10 @@
 /**
- * The budgets that this node keeps for its availability zone.
+ * The usage budgets that this node holds for its availability zone.
  *
- * One node of the zone is the first choice for an organisation. Another one takes its budget over
- * when nobody reaches it, and only after a time in which a node that lost touch itself notices so:
- * else each of many lone nodes would give out a share of its own.
+ * One node of the zone is the first-choice holder of an organisation's budget. Another node stands in
+ * when the first choice cannot be reached, but only after a delay in which a node that is itself
+ * partitioned notices so. Without the delay, each of many isolated nodes would give out a budget of
+ * its own.
  */
 import type {Clock, UsageGrant, UsageLimit} from '../services/services.js';
 import type {UsageOptions} from './constants.js';
@@ -11,26 +12,26 @@
 import {zoneBudget} from './usage-rule.js';
 import type {UsageRule} from './usage-rule.js';
 
-/** What budgets are made by. */
+/** Services and settings that budgets depend on. */
 export type BudgetServices = {
 	readonly clock: Clock;
-	/** The limit of an organisation in force; undefined where it has none or is not known. */
+	/** The limit in force of an organisation; undefined if the organisation has none or is unknown. */
 	readonly limitOf: (organisation: string) => UsageLimit | undefined;
 	readonly rule: UsageRule;
 	/** Number of availability zones that share each limit. */
 	readonly zones: number;
-	/** When a node was last learned of or left, on this node's clock; its own start at the latest. */
+	/** When the membership last changed, on this node's clock; the start of this node if it has not changed since. */
 	readonly membershipChangedAtMs: () => number;
 	readonly options: UsageOptions;
 };
 
-/** Whether a budget is kept as the first choice, or in place of nodes that do not answer. */
+/** Whether a budget is held as the first choice, or in place of nodes that do not answer. */
 export type HolderRole = 'firstChoice' | 'standIn';
 
 type HeldBudget = {
 	readonly budget: UsageBudget;
 	readonly role: HolderRole;
-	/** Before this nothing is given out. */
+	/** Nothing is granted before this time. */
 	readonly fromMs: number;
 	limit: UsageLimit;
 	askedAtMs: number;
@@ -38,10 +39,10 @@
 
 const msPerS = 1000;
 
-/** Longest time to come back that is told, in milliseconds: a limit may be raised meanwhile. */
+/** Maximum retry delay that is reported, in milliseconds: the limit may be raised in the meantime. */
 const maximumRetryAfterMs = 5000;
 
-/** Gives operations out. */
+/** Grants operations out of the budgets that this node holds. */
 export class UsageBudgets {
 	private readonly _services: BudgetServices;
 	private readonly _held = new Map<string, HeldBudget>();
@@ -50,12 +51,12 @@
 		this._services = services;
 	}
 
-	/** Whether an organisation's usage is bounded. */
+	/** Whether an organisation's usage is limited. */
 	isLimited(organisation: string): boolean {
 		return this._services.limitOf(organisation) !== undefined;
 	}
 
-	/** Takes one operation; undefined where no limit of the organisation is known. */
+	/** Takes one operation; undefined if no limit of the organisation is known. */
 	take(organisation: string, role: HolderRole): UsageGrant | undefined {
 		return this._withBudget(organisation, role, (budget, nowMs) => {
 			const waitMs = budget.take(nowMs);
@@ -63,13 +64,13 @@
 		});
 	}
 
-	/** Takes operations for the budget of another zone. */
+	/** Lends operations to the budget of another zone; undefined if no limit of the organisation is known. */
 	lend(organisation: string, role: HolderRole): UsageGrant | undefined {
 		const {loanShare, loanRetryMs} = this._services.options;
 		return this._withBudget(organisation, role, (budget, nowMs) => ({operations: budget.takeShare(loanShare, nowMs), retryAfterMs: loanRetryMs}));
 	}
 
-	/** Adds what another zone lent, less the operation for which it was asked. */
+	/** Adds operations that another zone lent, without the one for which the loan was requested. */
 	addLoan(organisation: string, operations: number): void {
 		this._held.get(organisation)?.budget.add(operations);
 	}
@@ -93,7 +94,7 @@
 		const known = this._held.get(organisation);
 		if (known?.role !== role || this._isExpired(known)) {
 			const size = zoneBudget(limit, rule, zones, options.toleranceShare);
-			// Before the last change another node may have kept the budget, and given all of it out.
+			// Another node may have held the budget until the last membership change, and given all of it out.
 			const sinceMs = nowMs - membershipChangedAtMs();
 			const kept = role === 'firstChoice'
 				? {left: Math.max(options.initialOperations, size.perS * sinceMs / msPerS), fromMs: nowMs}
@@ -114,7 +115,7 @@
 		return known;
 	}
 
-	/** A budget that nobody asked for a while counts no more if another node may have kept it meanwhile. */
+	/** Whether a budget has had no requests for so long that another node may have held it since. */
 	private _isExpired({role, askedAtMs}: HeldBudget): boolean {
 		const {clock, membershipChangedAtMs, options} = this._services;
 		const isOld = clock.nowMs() - askedAtMs > options.standInKeptMs;
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -1,6 +1,6 @@
 /**
- * Whether an operation of an organisation may run: asked of the node of the zone that keeps the
- * organisation's budget, before the operation waits anywhere.
+ * Enforces the usage limits of organisations. An operation takes its share from the node of the zone
+ * that holds the organisation's budget, before it enters any queue.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {Event} from '../lifecycle/emitter.js';
@@ -11,24 +11,24 @@
 import type {UsageOptions} from './constants.js';
 import type {HolderRole, UsageBudgets} from './usage-budgets.js';
 
-/** Who keeps budgets, as far as the choice matters here. */
+/** Selects the nodes that hold budgets, and tracks which of them answer. */
 export type UsageHolders = {
-	/** Whether this node knows who else is there. */
+	/** Whether the initial discovery of peers is done. */
 	readonly isDiscoveryDone: boolean;
 	readonly onDiscoveryDone: Event<void>;
-	/** Whether another node was heard a moment ago, or there is none in the zone. */
+	/** Whether this node has had recent contact with another one, or is the only one in the zone. */
 	readonly hasRecentContact: boolean;
-	/** The nodes of the zone in the order in which they keep an organisation's budget. */
+	/** Nodes of the zone in order of preference as holders of an organisation's budget. */
 	rankedHolders(organisation: string): readonly PeerNode[];
-	/** One node of each other zone that keeps its budget and answers. */
+	/** For each other zone, the reachable node that holds the organisation's budget there. */
 	inOtherZones(organisation: string): readonly PeerNode[];
-	/** Whether a node answered lately, or was not asked. */
+	/** Whether a node answered its latest requests, or has not been asked. */
 	isReachable(name: string): boolean;
-	/** Notes whether a node answered. */
+	/** Records whether a node answered. */
 	reportReachability(name: string, isAnswered: boolean): void;
 };
 
-/** What limits are kept with. */
+/** Services that usage limits depend on. */
 export type UsageLimitServices = {
 	readonly clock: Clock;
 	readonly log: Log;
@@ -40,24 +40,24 @@
 	readonly options: UsageOptions;
 };
 
-/** Reason of a peer that answers, and keeps no budget of the organisation that it may give out. */
+/** Reason that a peer reports if it has no budget of the organisation from which it may grant. */
 export const noBudgetHere = 'the peer may give nothing out, or does not know the organisation';
 
-/** Keeps organisations within their limits. */
+/** Takes operations out of budgets, on this node or on a peer, and refuses those beyond the limit. */
 export class UsageLimits {
 	private readonly _services: UsageLimitServices;
 	/** Until when an organisation's budget is known to be empty. */
 	private readonly _emptyUntilMs = new Map<string, number>();
-	/** Until when a keeper of another zone has nothing to lend, by organisation and node. */
+	/** Until when a holder in another zone has nothing to lend, by organisation and node. */
 	private readonly _lentOutUntilMs = new Map<string, number>();
-	/** Until when a zone that did not answer is asked for no loan. */
+	/** Until when a zone that did not answer is not asked for loans. */
 	private readonly _silentUntilMs = new Map<string, number>();
 
 	constructor(services: UsageLimitServices) {
 		this._services = services;
 	}
 
-	/** Takes one operation out of the budget; the refusal says when there is room again. */
+	/** Takes one operation out of the budget; resolves to a refusal with a retry delay if there is none. */
 	async take(organisation: string): Promise<Refusal | undefined> {
 		const {clock, metrics, budgets} = this._services;
 		if (!budgets.isLimited(organisation)) {
@@ -73,7 +73,7 @@
 		const grant = await this.ask({organisation, isLoan: false});
 		if (!grant) {
 			metrics.count('usageDecisionsTotal', {outcome: 'unanswered'});
-			return new Refusal('callerLimited', `nobody says what ${organisation} has left`, {retryAfterMs: this._services.options.unansweredRetryMs});
+			return new Refusal('callerLimited', `no node that may hold the budget of ${organisation} answered`, {retryAfterMs: this._services.options.unansweredRetryMs});
 		}
 
 		metrics.count('usageDecisionsTotal', {outcome: grant.operations > 0 ? 'granted' : 'empty'});
@@ -85,16 +85,16 @@
 		return overLimitRefusal(organisation, grant.retryAfterMs);
 	}
 
-	/** A new configuration may give an organisation more: who was over its limit is looked at again. */
+	/** Forgets which budgets are empty, because a new configuration may have raised limits. */
 	onLimitsChanged(): void {
 		this._emptyUntilMs.clear();
 		this._lentOutUntilMs.clear();
 	}
 
 	/**
-	 * Asks the nodes that may keep the budget, in their order, up to this node itself; undefined where
-	 * none says anything. A node that others ask does the same first: what one of them cannot reach,
-	 * this one may.
+	 * Asks the possible holders of the budget in order of preference, up to this node itself; resolves to
+	 * undefined if none of them grants or denies. A node that receives such a request from a peer does the
+	 * same before it answers: it may reach a preferred holder that the peer cannot reach.
 	 */
 	async ask({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {clock, self, holders, options} = this._services;
@@ -140,7 +140,7 @@
 		return holders.hasRecentContact ? budgets.lend(organisation, role) : undefined;
 	}
 
-	/** Takes out of the budget that this node keeps; where that is empty, out of what other zones lend it. */
+	/** Takes an operation out of the budget that this node holds; if that is empty, borrows from other zones. */
 	private async _takeFromOwnBudget(organisation: string, role: HolderRole): Promise<UsageGrant | undefined> {
 		const {holders, budgets} = this._services;
 		const own = holders.hasRecentContact ? budgets.take(organisation, role) : undefined;
@@ -157,7 +157,7 @@
 		return {operations: 1, retryAfterMs: 0};
 	}
 
-	/** Asks one zone after the other; resolves with what the first gives that has something. */
+	/** Asks one zone after the other for a loan; resolves to the operations that the first of them lends, or to zero. */
 	private async _borrow(organisation: string): Promise<number> {
 		const {clock, holders, options} = this._services;
 		for (const holder of holders.inOtherZones(organisation)) {
@@ -175,7 +175,7 @@
 			if (grant) {
 				this._lentOutUntilMs.set(key, clock.nowMs() + grant.retryAfterMs);
 			} else {
-				// A zone that is cut off answers on none of its nodes: operations must not wait for one after the other.
+				// None of the nodes in a partitioned zone answers: operations must not wait for one node after the other.
 				this._silentUntilMs.set(holder.availabilityZone, clock.nowMs() + options.silentZoneMs);
 			}
 		}
@@ -185,5 +185,5 @@
 }
 
 function overLimitRefusal(organisation: string, retryAfterMs: number): Refusal {
-	return new Refusal('callerLimited', `${organisation} has used what it may`, {retryAfterMs});
+	return new Refusal('callerLimited', `${organisation} has reached its usage limit`, {retryAfterMs});
 }
--- a/src/common/organisations/usage-rule.ts
+++ b/src/common/organisations/usage-rule.ts
@@ -1,8 +1,8 @@
 /**
- * What an availability zone may give out of an organisation's limit.
+ * Divides an organisation's usage limit among the availability zones.
  *
- * Zones share a limit in equal parts and never ask each other, so that a zone that is cut off goes
- * on with its part, and no two zones together run more than the rule allows.
+ * Each zone has an equal part of the limit, which it may use without the others. A partitioned zone
+ * therefore goes on with its part, and all zones together never run more than the rule allows.
  */
 import type {UsageLimit} from '../services/services.js';
 import type {BudgetSize} from './usage-budget.js';
@@ -15,10 +15,10 @@
 	readonly slack: number;
 };
 
-/** Least operations that a zone's budget holds: with less than one nothing could ever run. */
+/** Minimum capacity of a zone's budget, in operations: with less than one, nothing could ever run. */
 const minimumCapacity = 1;
 
-/** The budget of one zone among several. */
+/** Rate and capacity of the budget of one zone, for a number of zones that share the limit. */
 export function zoneBudget({perS, burst}: UsageLimit, {windowS, overshootShare, slack}: UsageRule, zones: number, toleranceShare: number): BudgetSize {
 	const tolerated = (((perS * windowS) + burst) * overshootShare) + slack;
 	return {
