--- a/src/common/services/configuration-services.ts
+++ b/src/common/services/configuration-services.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration in force on a node.
+ * Interfaces of the configuration in force on a node.
  */
 import type {Event} from '../lifecycle/emitter.js';
 import type {EndpointAddress} from './endpoint-services.js';
@@ -15,13 +15,13 @@
 /** One endpoint of a group. */
 export type EndpointDefinition = EndpointAddress & {
 	readonly labels: Readonly<Record<string, string>>;
-	/** Statements that may run at one time. */
+	/** Statements that may run at the endpoint at one time. */
 	readonly slots: number;
-	/** Connections the endpoint accepts, control connections included. */
+	/** Connections that the endpoint accepts, including control connections. */
 	readonly connections: number;
 };
 
-/** Who sends a statement. */
+/** What is known about the sender of a statement. */
 export type CallerDescription = {
 	readonly user: string;
 	readonly applicationName: string;
@@ -29,24 +29,24 @@
 	readonly labels: Readonly<Record<string, string>>;
 };
 
-/** What the rules say for one caller and one group, defaults filled in. */
+/** Policy for one caller and one group after the rules and the defaults were applied. */
 export type CallerPolicy = {
-	/** Where certain reads may go. */
+	/** Where statements that are certain to be reads may run. */
 	readonly reads: 'replicas' | 'primary';
-	/** Largest acceptable age of reads; undefined where only the session's own token bounds them. */
+	/** Maximum acceptable staleness of reads; undefined if only the session's token bounds it. */
 	readonly maximumAgeMs?: number;
 	/** Lower is served first. */
 	readonly priority: number;
 	/** Statements of this caller that may be in progress at one time on one node. */
 	readonly maximumInProgress: number;
-	/** Time a statement has when the caller states none. */
+	/** Time that a statement has if the caller states no deadline. */
 	readonly deadlineMs: number;
-	/** Times the proxy may send again what certainly did not run. */
+	/** Maximum number of times that the proxy may retry a statement that certainly did not run. */
 	readonly maximumRetries: number;
 	readonly transactionIdleMs: number;
 };
 
-/** What the rules say for one endpoint. */
+/** Policy for one endpoint after the rules were applied. */
 export type EndpointPolicy = {
 	readonly isDraining: boolean;
 	readonly acceptsReads: boolean;
@@ -56,7 +56,7 @@
 	readonly isOrderedPrimary: boolean;
 };
 
-/** The configuration in force on this node. Versions only go up. */
+/** The configuration in force on this node. Its version never decreases. */
 export type Configuration = {
 	readonly version: number;
 	readonly onChange: Event<number>;
--- a/src/common/services/direct-services.ts
+++ b/src/common/services/direct-services.ts
@@ -1,6 +1,6 @@
 /**
- * What a node needs where every node reaches every endpoint itself: a text protocol towards
- * callers and endpoints, a versioned row store, and the platform's call that promotes.
+ * Interfaces of a node that connects to every endpoint itself: the text protocol towards callers and
+ * endpoints, the versioned row store, and the platform's promotion call.
  */
 import type {Either} from 'purify-ts';
 import type {ErrorKind, Refusal} from '../errors/error-kinds.js';
@@ -13,41 +13,41 @@
 /** How fresh the reads of a route must be. */
 export type RouteKind = 'primary' | 'boundedAge' | 'sessionBounded';
 
-/** Where the sessions of one database go, and under which limits. */
+/** How the sessions of one database are routed, and under which limits. */
 export type Route = {
 	readonly name: string;
 	readonly database: string;
 	readonly service: string;
 	readonly kind: RouteKind;
-	/** Longest time of one statement. */
+	/** Timeout of one statement. */
 	readonly statementTimeoutMs: number;
 	/** Lower is served first. */
 	readonly priority: number;
-	/** Times that one statement may be sent to an endpoint. */
+	/** Maximum number of times that one statement may be sent to an endpoint. */
 	readonly maximumAttempts: number;
-	/** Largest age of what a read may show; zero where only the newest will do. */
+	/** Maximum staleness of reads; zero if they must see the newest data. */
 	readonly maximumAgeMs: number;
 	/** Whether callers without an API key may use it. */
 	readonly isPublic: boolean;
 };
 
-/** How many operations an organisation may run, over all nodes. */
+/** Limit on the operations of an organisation, over all nodes together. */
 export type UsageLimit = {
 	readonly perS: number;
-	/** Operations beyond the rate that may come at one time. */
+	/** Operations beyond the rate that may arrive at once. */
 	readonly burst: number;
 };
 
-/** An organisation whose callers show API keys. */
+/** An organisation, whose callers identify themselves with API keys. */
 export type Organisation = {
 	readonly name: string;
-	/** Digests of its keys; the keys themselves are kept nowhere. */
+	/** Digests of its API keys; the keys themselves are not stored. */
 	readonly keyDigests: readonly string[];
-	/** Undefined where there is no bound. */
+	/** Undefined if usage is not limited. */
 	readonly usageLimit: UsageLimit | undefined;
 };
 
-/** One version of the routes in full. */
+/** One complete version of the configuration of routes. */
 export type RouteTable = {
 	readonly version: number;
 	readonly routes: readonly Route[];
@@ -55,49 +55,49 @@
 	readonly transactionIdleMs: number;
 	/** Connections that each endpoint of a service accepts from all nodes together, by service. */
 	readonly connectionLimits: ReadonlyMap<string, number>;
-	/** Organisations whose keys let callers in; undefined where callers need no key. */
+	/** Organisations whose API keys are accepted; undefined if callers need no key. */
 	readonly organisations: readonly Organisation[] | undefined;
 };
 
-/** What an endpoint says of itself in the store. */
+/** Registration that an endpoint writes to the store. */
 export type EndpointRegistration = {
 	readonly id: string;
 	readonly service: string;
 	readonly availabilityZone: string;
 	readonly host: string;
 	readonly port: number;
-	/** Statements that it runs at one time. */
+	/** Statements that the endpoint runs at one time. */
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** How it sees itself; lags behind what it says when asked. */
+	/** Whether the endpoint considers itself primary; lags behind its status. */
 	readonly claimsPrimary: boolean;
-	/** When it started, on its host's time of day; tells its starts under one id apart. */
+	/** When the endpoint started, by its host's wall clock; distinguishes restarts under one id. */
 	readonly startedAtMs: number | undefined;
-	/** Counts what it says of itself, anew after each start. */
+	/** Number of this registration; counting begins anew after each start of the endpoint. */
 	readonly reportNumber: number;
 };
 
-/** An endpoint as this node knows it from its registration. */
+/** An endpoint as this node knows it from its latest registration. */
 export type RegisteredEndpoint = Omit<EndpointRegistration, 'startedAtMs' | 'reportNumber'> & {
-	/** Counts its starts under this id that this node has noticed. */
+	/** Number of restarts of the endpoint under this id that this node has noticed. */
 	readonly incarnation: number;
 };
 
-/** What an endpoint says about itself when asked. */
+/** Status that an endpoint reports on request. */
 export type EndpointStatus = {
 	readonly isPrimary: boolean;
-	/** Term that it leads or follows. */
+	/** Term that the endpoint leads as primary or follows as replica. */
 	readonly term: number;
-	/** End of its log, applied or not. */
+	/** End of its log, including entries that are not applied yet. */
 	readonly received: LogPosition;
-	/** Term for which it stopped receiving; zero when it receives. */
+	/** Term for which the replica was fenced, which stopped it from receiving; zero if it receives. */
 	readonly fencedForTerm: number;
 	readonly lagMs: number;
 	readonly busySlots: number;
 	readonly connections: number;
 };
 
-/** A caller's statement, as far as its handling depends on it. */
+/** The parts of a caller's statement that its handling depends on. */
 export type CallerStatement
 	= | {readonly kind: 'begin'; readonly isReadOnly: boolean}
 		| {readonly kind: 'commit' | 'rollback' | 'read' | 'write' | 'unknown'}
@@ -108,13 +108,13 @@
 
 /** One message of a caller. */
 export type CallerMessage
-	/** `user` is an API key where the configuration names organisations. */
+	/** `user` is an API key if the configuration has organisations. */
 	= | {readonly kind: 'startUp'; readonly database: string; readonly user: string}
 		| {readonly kind: 'statement'; readonly id: string; readonly text: string; readonly statement: CallerStatement}
 		| {readonly kind: 'terminate'}
 		| {readonly kind: 'malformed'; readonly reason: string};
 
-/** Errors in an endpoint's own words. */
+/** Kinds of errors that endpoints return. */
 export type EndpointErrorKind = 'busy' | 'unknownStatement' | 'behind' | 'readOnly' | 'failed' | 'timeout'
 	| 'aborted' | 'wrongEndpoint' | 'tooManyConnections' | 'other';
 
@@ -125,7 +125,7 @@
 		| {readonly kind: 'error'; readonly error: EndpointErrorKind; readonly text: string}
 		| {readonly kind: 'ready'; readonly status: TransactionStatus; readonly position: LogPosition | undefined};
 
-/** Statements that a node issues itself. */
+/** Internal statements, which a node sends on its own behalf. */
 export type InternalStatement
 	= | {readonly kind: 'begin'; readonly isReadOnly: boolean; readonly floor?: LogPosition}
 		| {readonly kind: 'rollback' | 'discard' | 'status' | 'resume'}
@@ -133,30 +133,30 @@
 		| {readonly kind: 'set'; readonly name: string; readonly value: string}
 		| {readonly kind: 'prepare'; readonly name: string; readonly access: 'read' | 'write'; readonly shape: string};
 
-/** The text protocol. Lines are strings of one character a byte, without their end. */
+/** Encoding and decoding of the text protocol. Lines are strings with one character per byte, without the line end. */
 export type LineWire = {
-	/** Longest line. */
+	/** Maximum length of a line in bytes. */
 	readonly maximumLineBytes: number;
 	decodeCaller(line: string): CallerMessage;
 	decodeAnswer(line: string): AnswerLine;
 	decodeStatus(row: string): EndpointStatus | undefined;
 	encodeStartUp(service: string, user: string, endpointId: string): string;
-	/** A caller's statement, unchanged but for a position that the endpoint's log must hold first. */
+	/** Encodes a caller's statement, unchanged except for a position that the endpoint must have reached before it runs the statement. */
 	encodeStatement(id: string, text: string, floor?: LogPosition): string;
-	/** A caller's call of a prepared statement, under the name that the connection knows it by. */
+	/** Encodes the execution of a prepared statement, under the name by which the connection knows it. */
 	encodeExecute(id: string, name: string, parameters: string, floor?: LogPosition): string;
 	encodeInternal(statement: InternalStatement): string;
 	encodeReady(status: TransactionStatus, position?: LogPosition): string;
-	/** Answer to a statement that the node carried out itself. */
+	/** Encodes the answer to a statement that the node ran itself, without an endpoint. */
 	encodeCompletion(): string;
 	encodeRefusal(refusal: Refusal): string;
-	/** Kinds whose answers promise that nothing of the request is kept. */
+	/** Whether answers of this kind guarantee that the request had no effect. */
 	guaranteesNoEffect(kind: ErrorKind): boolean;
 };
 
 /** One answer of an endpoint. */
 export type EndpointAnswer = {
-	/** Its lines up to, but without, the last one, each with its line end. */
+	/** All lines except the last one, each with its line end. */
 	readonly text: string;
 	readonly rows: readonly string[];
 	readonly error?: {readonly kind: EndpointErrorKind; readonly text: string};
@@ -170,16 +170,16 @@
 	readonly detail: string;
 };
 
-/** One connection to one endpoint. One exchange at a time. */
+/** One connection to one endpoint. Only one exchange may be in flight. */
 export type LineConnection = Disposable & {
 	readonly onClose: Event<void>;
-	/** Sends requests in one write; resolves with one answer each, in order. */
+	/** Sends requests in one write; resolves with one answer for each, in order. */
 	exchange(requests: readonly string[]): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>>;
 };
 
 /** Opens connections to endpoints. */
 export type LineConnector = {
-	/** A connection belongs to an organisation, or to this node where that is undefined; endpoints are told so. */
+	/** Opens a connection that belongs to an organisation, or to this node if that is undefined; the endpoint is told which. */
 	connect(endpoint: RegisteredEndpoint, organisation: string | undefined): Promise<Either<ConnectionFault, LineConnection>>;
 };
 
@@ -187,62 +187,63 @@
 export type StoredRow = {
 	readonly table: string;
 	readonly key: string;
-	/** Undefined where the row was removed. */
+	/** Undefined if the row was removed. */
 	readonly value: string | undefined;
 	/** The store's version at the row's last write. */
 	readonly version: number;
 };
 
-/** Rows of one moment, or the changes up to it. */
+/** A snapshot of a table, or the changes up to one version of the store. */
 export type StoredRows = {
 	readonly rows: readonly StoredRow[];
-	/** Rises with each transaction, and when the store comes back from an older copy. */
+	/** Version of the store; increases with each transaction and when the store is restored from an older snapshot. */
 	readonly version: number;
-	/** The store's own steady clock. */
+	/** The store's own monotonic clock. */
 	readonly storeNowMs: number;
-	/** Whether changes since the asked version are not known, or it names no moment of this store any more; the table must be read anew. */
+	/** Whether the changes since the requested version are not known, or that version no longer exists in this era of the store; the table must be read again in full. */
 	readonly isHistoryGone: boolean;
 	/**
-	 * When nothing newer existed, in milliseconds after the question was sent: later where a peer
-	 * held the question back, earlier where what the peer knew was older. Zero where left out, as
-	 * the store answers by what it holds when it is asked or later.
+	 * When the rows were proved to be the newest, in milliseconds after the request was sent. Positive if
+	 * a peer delayed its answer until something changed, negative if what the peer knew was older than
+	 * the request. Zero if left out: the store answers by what it holds at the time of the request or
+	 * later.
 	 */
 	readonly provedAfterMs?: number;
 };
 
-/** A write that takes effect only while the row is as expected. */
+/** A write that takes effect only if the row has the expected version. */
 export type ConditionalWrite = {
 	readonly table: string;
 	readonly partition: string;
 	readonly key: string;
 	readonly value: string;
-	/** Version that the row must have; zero: it must not exist. */
+	/** Version that the row must have; zero if it must not exist. */
 	readonly expectedVersion: number;
 };
 
 /** The platform's store of versioned rows. */
 export type RowStore = {
 	read(table: string, partition: string): Promise<Either<PlatformFault, StoredRows>>;
-	/** Waits for changes after a version, at most for a time. */
+	/** Resolves with the changes after a version as soon as there are any, or after `waitMs` at the latest. */
 	follow(table: string, afterVersion: number, waitMs: number): Promise<Either<PlatformFault, StoredRows>>;
 	/** Resolves with the row's new version, or with `conditionFailed`. */
 	write(write: ConditionalWrite): Promise<Either<PlatformFault, {readonly version: number; readonly storeNowMs: number}>>;
 };
 
-/** The platform's order to an endpoint to lead its group. */
+/** The platform's call that promotes an endpoint to primary of its group. */
 export type PromotionCalls = {
 	promote(service: string, endpointId: string, holder: string, epoch: number): Promise<Either<PlatformFault, void>>;
 };
 
-/** Reads rows that others wrote; undefined where a row cannot be read. */
+/** Decodes rows of the store; the decoders return undefined for rows that are not valid. */
 export type RowFormats = {
 	readonly configurationTable: string;
 	readonly configurationKey: string;
 	readonly endpointTable: string;
 	decodeRoutes(value: string): RouteTable | undefined;
-	/** A configuration with digests in place of API keys, as nodes keep it and tell it to each other. */
+	/** Replaces API keys in a configuration by their digests; nodes keep and exchange only this form. */
 	redactKeys(value: string): string;
-	/** The digest by which an API key is known. */
+	/** The digest that identifies an API key. */
 	digestOf(key: string): string;
 	decodeEndpoint(key: string, value: string): EndpointRegistration | undefined;
 };
--- a/src/common/services/endpoint-services.ts
+++ b/src/common/services/endpoint-services.ts
@@ -1,12 +1,12 @@
 /**
- * What a database group offers: endpoints, connections, control of instances.
+ * Interfaces of a database group: its endpoints, connections to them, and control of its instances.
  */
 import type {Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Event} from '../lifecycle/emitter.js';
 import type {LogPosition} from '../positions/log-position.js';
 
-/** Where an endpoint is reached, as the configuration in force says. */
+/** Address of an endpoint in the configuration in force. */
 export type EndpointAddress = {
 	readonly name: string;
 	readonly group: string;
@@ -17,16 +17,16 @@
 
 export type InstanceRole = 'primary' | 'replica' | 'rebuilding';
 
-/** What an instance of a database group says about itself. */
+/** State that an instance of a database group reports. */
 export type InstanceState = {
 	readonly role: InstanceRole;
-	/** Highest term it promised to follow; it refuses the log of every lower term. */
+	/** Highest term that the instance promised to follow; it refuses the log of every lower term. */
 	readonly promisedTerm: number;
-	/** Claim that the promised term was raised by; empty in the first term. */
+	/** Claim by which the promised term was raised; empty in the first term. */
 	readonly claimId: string;
-	/** End of its log: what it would keep through a promotion. */
+	/** End of its log; the instance would keep the entries up to here if it were promoted. */
 	readonly received: LogPosition;
-	/** What its reads see. Equal to `received` on a primary. */
+	/** Position that its reads see; equal to `received` on a primary. */
 	readonly applied: LogPosition;
 	/** Whether a replica's replication stream is alive; true on a primary. */
 	readonly isStreaming: boolean;
@@ -37,7 +37,7 @@
 	/** False only when no byte of the request can have reached the endpoint. */
 	readonly mayHaveReached: boolean;
 	readonly detail: string;
-	/** SQLSTATE when the endpoint refused in its own words. */
+	/** SQLSTATE of the error, if the endpoint returned one. */
 	readonly sqlState?: string;
 };
 
@@ -48,16 +48,16 @@
 
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
-/** How one request cycle ended at an endpoint. */
+/** Result of one request cycle at an endpoint. */
 export type ExchangeEnd = {
 	readonly transactionStatus: TransactionStatus;
-	/** The endpoint's applied position after the cycle, from its own report. */
+	/** Position that the endpoint reported as applied after the cycle. */
 	readonly position: LogPosition;
 	/** SQLSTATE of the first ErrorResponse of the cycle, if there was one. */
 	readonly errorSqlState?: string;
 };
 
-/** One work connection to one endpoint. One exchange at a time. */
+/** One work connection to one endpoint. Only one exchange may be in flight. */
 export type EndpointConnection = Disposable & {
 	readonly onClose: Event<void>;
 	/**
@@ -65,24 +65,24 @@
 	 * messages up to, but without, that ReadyForQuery.
 	 */
 	exchange(frames: Uint8Array, sink: AnswerSink): Promise<Either<EndpointFault, ExchangeEnd>>;
-	/** Asks the endpoint to cancel what runs on this connection; best effort. */
+	/** Asks the endpoint to cancel the statement that runs on this connection; best effort. */
 	cancel(): void;
 };
 
-/** What a control order answered. */
+/** Answer of an instance to a control command. */
 export type TermClaim = {
 	readonly isAccepted: boolean;
 	readonly state: InstanceState;
 };
 
-/** One control connection to one instance, outside its slots. */
+/** One control connection to one instance; its commands occupy no slot. */
 export type InstanceControl = Disposable & {
 	readonly onClose: Event<void>;
-	/** Fires on every report, also the spontaneous ones; coalesced by the instance. */
+	/** Fires on every state report, requested or spontaneous; the instance coalesces spontaneous reports. */
 	readonly onState: Event<InstanceState>;
-	/** Asks for the state; the answer was made after the call. */
+	/** Requests the state; the instance determines it after the call. */
 	readState(): Promise<Either<EndpointFault, InstanceState>>;
-	/** Raises the promised term; accepted only if higher, or the same with the same claim. */
+	/** Raises the promised term; accepted only if the term is higher, or equal with the same claim. */
 	raiseTerm(term: number, claimId: string): Promise<Either<EndpointFault, TermClaim>>;
 	/** Makes the instance primary of the term that it promised to this claim. */
 	promote(term: number, claimId: string): Promise<Either<EndpointFault, TermClaim>>;
@@ -93,7 +93,7 @@
 	 * other home; with `isForced` it closes the other home's connections first.
 	 */
 	attach(homeId: string, isForced: boolean): Promise<Either<EndpointFault, {isAttached: boolean; holder: string}>>;
-	/** Gives the claim up. */
+	/** Releases the claim of a home on the work connections. */
 	detach(homeId: string): Promise<Either<EndpointFault, void>>;
 };
 
--- a/src/common/services/group-services.ts
+++ b/src/common/services/group-services.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions of a group, and what watches over them.
+ * Interfaces for monitoring a group and promoting its instances, for the audit trail and for invariants.
  */
 import type {Either} from 'purify-ts';
 import type {Refusal} from '../errors/error-kinds.js';
@@ -18,31 +18,31 @@
 	readonly group: string;
 	readonly onChange: Event<GroupView>;
 	view(): GroupView;
-	/** Resolves once a majority of instances holds the position in its own term; refuses `outcomeUnknown` when the term has been replaced or the time is over. */
+	/** Resolves once a majority of instances holds the position in its own term; refuses with `outcomeUnknown` if the term has been replaced or the timeout has expired. */
 	confirm(position: LogPosition, timeoutMs: number): Promise<Either<Refusal, void>>;
 	/**
 	 * Proves, by a majority that answered after the call, which term and primary position
-	 * the group has. Calls made while one proof is on its way share the next one.
+	 * the group has. Calls made while a proof is in flight share the next one.
 	 */
 	prove(timeoutMs: number): Promise<Either<Refusal, LogPosition>>;
-	/** Upper bound on the age of what an endpoint's reads see; undefined when not known. */
+	/** Upper bound on the staleness of an endpoint's reads in milliseconds; undefined if it is not known. */
 	ageMs(endpoint: string): number | undefined;
-	/** Moves the primary to an endpoint, or to the best one, without waiting for a failure. */
+	/** Promotes an endpoint, or the best candidate, without a failure of the primary. */
 	orderPromotion(endpoint?: string): Promise<Either<Refusal, GroupView>>;
-	/** Control connection to an instance while it lasts. */
+	/** Control connection to an instance; undefined while there is none. */
 	control(endpoint: string): InstanceControl | undefined;
-	/** Takes in what another node says about the group's primary. */
+	/** Applies another node's announcement of the group's primary. */
 	learnPrimary(announcement: PrimaryAnnouncement): void;
 };
 
-/** The monitors of this node; kept for the groups that it serves an endpoint of. */
+/** The group monitors of this node, one for each group of which it serves an endpoint. */
 export type Groups = Disposable & {
 	monitor(group: string): GroupMonitor;
-	/** The monitor if this node keeps one. */
+	/** The monitor of a group; undefined if this node has none. */
 	existing(group: string): GroupMonitor | undefined;
 };
 
-/** An act that the audit trail records. */
+/** An action that the audit trail records. */
 export type AuditEntry = {
 	readonly actor: string;
 	readonly act: string;
@@ -51,14 +51,14 @@
 	readonly outcome: string;
 };
 
-/** Keeps the audit trail in the platform's service; buffers within bounds while it is down. */
+/** Records the audit trail in the platform's service; buffers a bounded number of entries while the service is unavailable. */
 export type Audit = {
 	record(entry: AuditEntry): void;
 };
 
-/** Checks invariants inside the program. */
+/** Checks invariants at run time. */
 export type Invariants = {
-	/** Counts and logs a broken invariant; throws where the program runs under test. Returns the condition. */
+	/** Counts and logs a violated invariant; throws if the program runs under test. Returns the condition. */
 	check(name: InvariantName, condition: boolean, detail: () => string): boolean;
 };
 export type InvariantName = keyof typeof invariants;
--- a/src/common/services/host-services.ts
+++ b/src/common/services/host-services.ts
@@ -1,5 +1,5 @@
 /**
- * Time, randomness, logs and metrics: what every part may use of its host.
+ * Interfaces of the services that every module may use of its host: time, randomness, logs and metrics.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {logEvents} from '../observability/log-events.js';
@@ -9,7 +9,7 @@
 export type Clock = {
 	/** Monotonic milliseconds with an arbitrary origin. */
 	nowMs(): number;
-	/** Wall-clock time for people and audit entries; decisions only compare its steps with those of the monotonic clock. */
+	/** Wall-clock time for display and audit entries. Decisions use it only to compare how far it and the monotonic clock have advanced. */
 	wallClockMs(): number;
 	/** Calls back once after a delay. */
 	setTimer(delayMs: number, callback: () => void): Disposable;
--- a/src/common/services/node-services.ts
+++ b/src/common/services/node-services.ts
@@ -1,5 +1,5 @@
 /**
- * Requests between nodes, who the nodes are, and how they reach each other.
+ * Interfaces for requests between nodes, for membership, and for connections to peers.
  */
 import type {Either} from 'purify-ts';
 import type {Refusal, ViewCorrection} from '../errors/error-kinds.js';
@@ -8,14 +8,14 @@
 import type {LogPosition} from '../positions/log-position.js';
 import type {AnswerSink, InstanceState, TransactionStatus} from './endpoint-services.js';
 
-/** What a request does to transaction state, as far as the entry node can tell. */
+/** Effect of a request on the transaction state, as far as the entry node can tell. */
 export type TransactionStep = 'none' | 'begin' | 'commit' | 'rollback';
 
-/** A request cycle on its way to the home of an endpoint. */
+/** A request cycle that is sent to the home of an endpoint. */
 export type HomeRequest = {
 	readonly group: string;
 	readonly endpoint: string;
-	/** Identifies the caller's session on its entry node; pins transactions. */
+	/** Identifies the caller's session on its entry node; a transaction is bound to it. */
 	readonly sessionId: string;
 	/** Name of the caller for limits and priorities. */
 	readonly caller: string;
@@ -23,13 +23,13 @@
 	readonly frames: Uint8Array;
 	readonly access: 'read' | 'write';
 	readonly step: TransactionStep;
-	/** Whether the session holds a transaction on this home already. */
+	/** Whether the session already holds a transaction on this home. */
 	readonly isInTransaction: boolean;
-	/** Whether running it twice does no harm, by the caller's word. */
+	/** Whether the caller declared the request idempotent. */
 	readonly isIdempotent: boolean;
-	/** The endpoint must have applied this much. */
+	/** Position that the endpoint must have applied. */
 	readonly minimumPosition: LogPosition;
-	/** Largest acceptable age of the data; undefined for none stated. */
+	/** Maximum acceptable staleness of the data; undefined if none is stated. */
 	readonly maximumAgeMs?: number;
 	/**
 	 * The answer must be as fresh as the group's current primary: the home proves by a
@@ -38,24 +38,24 @@
 	readonly isFreshnessProved: boolean;
 	/** Time left when the request was handed over. */
 	readonly timeLeftMs: number;
-	/** Lower is served first among those waiting. */
+	/** Among queued requests, a lower value is served first. */
 	readonly priority: number;
-	/** Longest idle time of a transaction before the home rolls it back. */
+	/** Idle time after which the home rolls a transaction back. */
 	readonly transactionIdleMs: number;
 };
 
-/** How a request ended at the home. */
+/** Result of a request at the home. */
 export type HomeEnd = {
 	readonly transactionStatus: TransactionStatus;
 	readonly position: LogPosition;
-	/** Whether the session's connection is still held for it. */
+	/** Whether the home still holds a connection for the session. */
 	readonly isHeld: boolean;
 	readonly errorSqlState?: string;
-	/** Time spent in the home's queue. */
+	/** Time that the request spent in the home's queue. */
 	readonly queuedMs: number;
-	/** Age of the data, where the home knows a bound. */
+	/** Upper bound on the staleness of the data, if the home knows one. */
 	readonly ageMs?: number;
-	/** The group as the home sees it, so that the asker's view follows. */
+	/** The group as the home knows it, so that the requester can correct its view. */
 	readonly correction?: ViewCorrection;
 };
 
@@ -66,7 +66,7 @@
 	 * `outcomeUnknown`; before it, its kind tells whether the request ran.
 	 */
 	execute(request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>>;
-	/** Ends what the session holds: rolls its transaction back and frees its connection. */
+	/** Releases what the session holds: rolls its transaction back and frees its connection. */
 	release(group: string, endpoint: string, sessionId: string): void;
 };
 
@@ -88,7 +88,7 @@
 	readonly state?: InstanceState;
 };
 
-/** A host of the system, as the platform's list or a peer says. */
+/** A host of the system, as reported by the platform's host list or by a peer. */
 export type Host = {
 	readonly name: string;
 	readonly availabilityZone: string;
@@ -101,40 +101,40 @@
 	readonly incarnation: string;
 };
 
-/** Who is there. Only a hint: a wrong belief costs a refusal or a detour. */
+/** The hosts that this node knows. This is only a hint: wrong information costs a refusal or a retry. */
 export type Membership = {
 	readonly self: Host;
 	readonly onChange: Event<void>;
-	/** Hosts believed to be there, leaving ones included. */
+	/** Hosts that are believed to exist, including those that are leaving. */
 	hosts(): readonly Host[];
 	host(name: string): Host | undefined;
-	/** Home of an endpoint by rendezvous hashing over its zone's hosts that are not leaving. */
+	/** Home of an endpoint, by rendezvous hashing over the hosts of its zone that are not leaving. */
 	homeOf(endpoint: {readonly name: string; readonly availabilityZone: string}): Host | undefined;
-	/** Notes that a peer did not answer, or did. */
+	/** Records whether a peer answered. */
 	reportReachability(name: string, isReachable: boolean): void;
-	/** Notes what a peer said about itself. */
+	/** Records what a peer reported about itself. */
 	learn(host: Host): void;
 	/** Announces that this host is leaving. */
 	leave(): void;
 };
 
-/** Reaches peers. Connections are opened on demand and closed when idle. */
+/** Sends requests to peers. Connections are opened on demand and closed when idle. */
 export type Peers = Disposable & {
-	/** Executes on a peer; the refusal is `peerUnavailable` when it certainly did not arrive. */
+	/** Executor that runs requests on a peer; refuses with `peerUnavailable` if a request certainly did not arrive. */
 	executorOf(host: Host): HomeExecutor;
-	/** What the peer knows of a group. */
+	/** Requests the peer's view of a group. */
 	groupView(host: Host, group: string, timeoutMs: number): Promise<Either<Refusal, GroupView>>;
-	/** Asks whether the peer lives, and what it sees of a group's primary. */
+	/** Checks whether the peer is alive, and returns its host entry and configuration version. */
 	probe(host: Host, timeoutMs: number): Promise<Either<Refusal, PeerProbe>>;
 	/** Tells a peer that a group has a new primary. */
 	announcePrimary(host: Host, announcement: PrimaryAnnouncement): void;
-	/** Asks for changes after a number; answers with at most a bounded count. */
+	/** Fetches configuration changes after a version; the number of changes per answer is bounded. */
 	fetchChanges(host: Host, afterNumber: number, timeoutMs: number): Promise<Either<Refusal, ChangeBatch>>;
-	/** Tells a peer that changes up to this number exist. */
+	/** Announces to a peer that configuration changes up to this version exist. */
 	announceVersion(host: Host, version: number): void;
-	/** Asks a former home to let an endpoint go: it finishes what runs and detaches. */
+	/** Asks the previous home of an endpoint to hand it over: the peer finishes running statements and detaches. */
 	handOver(host: Host, endpoint: string, timeoutMs: number): Promise<Either<Refusal, void>>;
-	/** Tells a peer that this host is leaving. */
+	/** Announces to a peer that this host is leaving. */
 	announceLeaving(host: Host): void;
 };
 
@@ -153,11 +153,11 @@
 	readonly version: number;
 	/** JSON of each change, in order. */
 	readonly changes: readonly string[];
-	/** JSON of a snapshot that the changes come after, when the asker was too far behind. */
+	/** JSON of a snapshot that precedes the changes, if the requester was too far behind. */
 	readonly snapshot?: string;
 };
 
-/** What peers ask of this node; the peer server calls these. */
+/** Handlers for requests of peers; the peer server calls them. */
 export type PeerHandlers = {
 	readonly executor: HomeExecutor;
 	groupView(group: string): GroupView;
@@ -167,6 +167,6 @@
 	onVersionAnnounced(from: string, version: number): void;
 	handOver(endpoint: string): Promise<void>;
 	onLeavingAnnounced(name: string): void;
-	/** Ends what a lost peer's sessions hold on this node. */
+	/** Releases what the sessions of a lost peer hold on this node. */
 	onPeerLost(name: string): void;
 };
--- a/src/common/services/peer-services.ts
+++ b/src/common/services/peer-services.ts
@@ -1,5 +1,5 @@
 /**
- * What nodes that reach every endpoint themselves ask of each other.
+ * Interfaces for requests between nodes that connect to every endpoint themselves.
  */
 import type {Either} from 'purify-ts';
 import type {Disposable} from '../lifecycle/disposable.js';
@@ -9,7 +9,7 @@
 } from '../pools/types.js';
 import type {EndpointAnswer, StoredRows} from './direct-services.js';
 
-/** A node as others reach it. */
+/** A node, with the address at which its peers reach it. */
 export type PeerNode = {
 	readonly name: string;
 	readonly availabilityZone: string;
@@ -17,90 +17,90 @@
 	readonly port: number;
 	/** Differs between two starts of the same name. */
 	readonly incarnation: string;
-	/** Processor cores that it may use, fractions included. */
+	/** Processor cores that the node may use; may be a fraction. */
 	readonly cores: number;
 };
 
-/** What a node knows about a group; ages were counted when it answered. */
+/** What a node knows about a group; ages are counted up to the time of its answer. */
 export type GroupOverview = {
 	readonly service: string;
 	readonly primaryId: string;
 	readonly term: number;
-	/** Since the primary last said anything to the node. */
+	/** Time since the node last heard from the primary. */
 	readonly heardAgoMs: number | undefined;
-	/** Since a replica was asked that proved the term. */
+	/** Time since the request was sent to the replica that proved the term. */
 	readonly provedAgoMs: number | undefined;
 	/**
-	 * The highest term that somebody had begun to replace, by the store's word, when the store was
-	 * asked, and its version then where that is known.
+	 * The highest term whose replacement had begun according to the store, how long ago the store was
+	 * asked, and the version of the store at that time if it is known.
 	 */
 	readonly replacement: {readonly begunTerm: number; readonly agoMs: number; readonly version?: number} | undefined;
-	/** A position that the primary was proved to have, and when it was asked. */
+	/** A position that the primary was proved to have reached, and how long ago it was asked. */
 	readonly sample: {readonly position: LogPosition; readonly agoMs: number} | undefined;
 };
 
-/** Something that nodes tell each other. */
+/** A notice that a node sends to its peers. */
 export type PeerNotice
 	= | {readonly kind: 'joined'; readonly node: PeerNode}
 		| {readonly kind: 'left'; readonly name: string}
 		| {readonly kind: 'primary'; readonly service: string; readonly endpointId: string; readonly term: number}
 		| {readonly kind: 'fence'; readonly service: string; readonly term: number; readonly isFenced: boolean; readonly holder: string; readonly epoch: number};
 
-/** Calls to other nodes. A fault is the reason as text. */
+/** Requests to other nodes. A failed request resolves to the reason as text. */
 export type PeerCalls = Disposable & {
-	/** Resolves with the told node itself once it has taken the notice in. */
+	/** Sends a notice; resolves with the description of the peer once the peer has processed it. */
 	tell(peer: PeerNode, notice: PeerNotice, timeoutMs: number): Promise<Either<string, PeerNode>>;
-	/** What a node knows of one group, or of all with an empty name. */
+	/** Requests what a peer knows of one group, or of all groups if `service` is empty. */
 	overview(peer: PeerNode, service: string, timeoutMs: number): Promise<Either<string, readonly GroupOverview[]>>;
-	/** What an endpoint that the peer connects to says of itself; counted from this call. */
+	/** Requests the status of an endpoint over the peer; its `sentAtMs` is the time of this call. */
 	status(peer: PeerNode, endpointId: string, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>>;
-	/** Changes of a table that the peer follows, once there are some or the time is over; all rows after version zero. */
+	/** Requests the changes of a table that the peer follows; resolves once there are any or after `waitMs`. Version zero requests all rows. */
 	rows(peer: PeerNode, table: string, afterVersion: number, waitMs: number): Promise<Either<string, StoredRows>>;
-	/** Runs a statement at an endpoint that the peer reaches. */
+	/** Runs a statement at an endpoint over the peer's connections. */
 	run(peer: PeerNode, endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
-	/** Begins a transaction there; it stays at the peer until it is ended. */
+	/** Begins a transaction at an endpoint; the peer holds its connection until `end`. */
 	begin(peer: PeerNode, endpointId: string, statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, ForwardedBegin>>;
 	runHeld(peer: PeerNode, heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(peer: PeerNode, heldId: number, manner: EndManner): Promise<void>;
-	/** Asks a node that keeps an organisation's budget for operations. */
+	/** Asks a holder of an organisation's budget for operations. */
 	takeUsage(peer: PeerNode, ask: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>>;
 };
 
-/** A question for operations of an organisation. */
+/** A request for operations out of an organisation's budget. */
 export type BudgetRequest = {
 	readonly organisation: string;
-	/** Whether it comes from the keeper of another zone's budget, which may get several; else for one. */
+	/** Whether the holder of another zone's budget asks for a loan, which may be several operations; otherwise the request is for one operation. */
 	readonly isLoan: boolean;
 };
 
-/** What a budget gave out. */
+/** What a budget granted. */
 export type UsageGrant = {
-	/** Zero where the budget is empty. */
+	/** Number of operations; zero if the budget is empty. */
 	readonly operations: number;
-	/** When an empty budget has room again. */
+	/** Time in milliseconds after which an empty budget has operations again. */
 	readonly retryAfterMs: number;
 };
 
-/** How a transaction's connection is given back. */
+/** How the connection of a transaction is released. */
 export type EndManner = 'release' | 'rollBack' | 'close';
 
 /** A transaction that a peer holds, or its endpoint's refusal to begin one. */
 export type ForwardedBegin = {readonly heldId: number} | {readonly answer: EndpointAnswer};
 
-/** What a node answers its peers. */
+/** Handlers for requests of peers. */
 export type PeerRequestHandlers = {
 	self(): PeerNode;
 	onNotice(notice: PeerNotice): void;
-	/** Of one group, after a look whether its primary answers; of all with an empty name. */
+	/** Overview of one group, after checking whether its primary answers; of all groups if `service` is empty. */
 	overview(service: string): Promise<readonly GroupOverview[]>;
 	status(endpointId: string, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>>;
-	/** Undefined where the table is not followed at the moment. */
+	/** Undefined if this node does not follow the table at present. */
 	rows(table: string, afterVersion: number, waitMs: number): Promise<StoredRows | undefined>;
 	run(endpointId: string, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	begin(endpointId: string, statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, ForwardedBegin>>;
 	runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(heldId: number, manner: EndManner): Promise<void>;
-	/** Undefined where this node does not know the organisation, or may give nothing out. */
+	/** Undefined if this node does not know the organisation or may not grant anything. */
 	takeUsage(ask: BudgetRequest): Promise<UsageGrant | undefined>;
 };
 
--- a/src/common/services/platform-services.ts
+++ b/src/common/services/platform-services.ts
@@ -1,12 +1,12 @@
 /**
- * The platform: table, object store and host list.
+ * Interfaces of the platform: table, object store and host list.
  */
 import type {Either} from 'purify-ts';
 import type {Host} from './node-services.js';
 
-/** Why the platform did not answer as asked. */
+/** Why a request to the platform failed. */
 export type PlatformFault = {
-	/** `conditionFailed`: certainly not applied. `unavailable`: the outcome may be either. `throttled`: not applied. */
+	/** `conditionFailed`: certainly not applied. `unavailable`: may or may not have been applied. `throttled`: not applied. */
 	readonly kind: 'conditionFailed' | 'unavailable' | 'throttled' | 'invalid';
 	readonly detail: string;
 };
@@ -15,12 +15,12 @@
 export type TableItem = {
 	readonly partition: string;
 	readonly sort: string;
-	/** Grows by one with every write of the item. */
+	/** Increases by one with every write of the item. */
 	readonly revision: number;
-	/** Identity of the change that wrote it; finds the outcome of a lost answer by reading. */
+	/** Identity of the change that wrote the item; after a lost answer, reading it shows whether the write took effect. */
 	readonly changeId: string;
 	readonly body: string;
-	/** Time on the platform's clock after which the platform may delete the item; undefined keeps it. */
+	/** Time on the platform's clock after which the platform may delete the item; undefined if it does not expire. */
 	readonly expiresAtMs?: number;
 };
 
@@ -34,7 +34,7 @@
 	 * the same change identity that took effect before counts as done.
 	 */
 	put(item: Omit<TableItem, 'revision'>, expectedRevision: number): Promise<Either<PlatformFault, TableItem>>;
-	/** Writes several items, all or none. */
+	/** Writes several items atomically. */
 	putAll(items: ReadonlyArray<{readonly item: Omit<TableItem, 'revision'>; readonly expectedRevision: number}>): Promise<Either<PlatformFault, void>>;
 };
 
@@ -44,9 +44,9 @@
 	put(key: string, body: string): Promise<Either<PlatformFault, {readonly etag: string}>>;
 };
 
-/** The platform's list of live and leaving hosts; it lags. */
+/** The platform's list of live and leaving hosts, which lags behind their real state. */
 export type HostList = {
 	read(): Promise<Either<PlatformFault, readonly Host[]>>;
-	/** Registers this host; the platform keeps the registration while it is renewed. */
+	/** Registers this host; the platform removes the registration if it is not renewed. */
 	register(host: Host): Promise<Either<PlatformFault, void>>;
 };
--- a/src/common/services/routing-services.ts
+++ b/src/common/services/routing-services.ts
@@ -1,5 +1,5 @@
 /**
- * Sessions, their requests, and the homes of endpoints.
+ * Interfaces for sessions, for routing their requests, and for the homes of endpoints.
  */
 import type {Either} from 'purify-ts';
 import type {Refusal} from '../errors/error-kinds.js';
@@ -9,44 +9,44 @@
 import type {AnswerSink, TransactionStatus} from './endpoint-services.js';
 import type {HomeExecutor, TransactionStep} from './node-services.js';
 
-/** Highest positions that a session wrote or read, per group. */
+/** Highest position that a session wrote or read in each group. */
 export type SessionMarks = {
-	/** Whether the session brought or was given a token, so that its marks are complete. */
+	/** Whether the session has a session token, so that its positions are complete. */
 	readonly isComplete: boolean;
-	/** The position that answers for this group must include. */
+	/** The position that answers from this group must include. */
 	mark(group: string): LogPosition;
-	/** Moves the mark of a group forward; never back. */
+	/** Advances the position of a group; a lower position has no effect. */
 	advance(group: string, position: LogPosition): void;
 };
 
-/** A caller's session as routing sees it. One request at a time. */
+/** A caller's session as the router uses it. Only one request may be in flight. */
 export type RoutedSession = {
 	/** `<node>/<incarnation>/<number>`; unique over all nodes. */
 	readonly id: string;
 	readonly caller: CallerDescription;
 	readonly group: string;
 	readonly marks: SessionMarks;
-	/** Largest acceptable age that the caller stated; undefined for none. */
+	/** Maximum acceptable staleness that the caller stated; undefined if none. */
 	maximumAgeMs: number | undefined;
-	/** Deadline of each statement that the caller stated; undefined for the rules' default. */
+	/** Deadline for each statement that the caller stated; undefined for the default of the rules. */
 	deadlineMs: number | undefined;
-	/** Whether the caller said that its statements may be repeated. */
+	/** Whether the caller declared its statements idempotent. */
 	isIdempotent: boolean;
-	/** The endpoint that holds the session's open transaction; kept by the router. */
+	/** The endpoint that holds the session's open transaction; maintained by the router. */
 	heldEndpoint: string | undefined;
 	transactionStatus: TransactionStatus;
 };
 
-/** One request cycle of a caller, ready to be relayed. */
+/** One complete request cycle of a caller. */
 export type RequestCycle = {
 	/** Whole frontend messages that end in one ReadyForQuery. */
 	readonly frames: Uint8Array;
-	/** `read` only if that is certain, or the caller said so. */
+	/** `read` only if that is certain or the caller declared it. */
 	readonly access: 'read' | 'write';
 	readonly step: TransactionStep;
 };
 
-/** How a routed request ended. */
+/** Result of a routed request. */
 export type RouteEnd = {
 	readonly transactionStatus: TransactionStatus;
 	readonly endpoint: string;
@@ -54,22 +54,22 @@
 	readonly errorSqlState?: string;
 };
 
-/** Chooses an endpoint for a request cycle and sees it through. */
+/** Selects an endpoint for a request cycle and runs it there, with retries. */
 export type Router = {
-	/** Pushes whole backend messages without the final ReadyForQuery. */
+	/** Runs a request cycle; pushes whole backend messages to the sink, without the final ReadyForQuery. */
 	execute(session: RoutedSession, cycle: RequestCycle, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, RouteEnd>>;
-	/** Ends what a closed session still holds. */
+	/** Releases what a closed session still holds. */
 	close(session: RoutedSession): void;
 };
 
-/** The endpoints that this node is home of. */
+/** The endpoints whose home is this node. */
 export type Homes = HomeExecutor & Disposable & {
 	/** Names of the endpoints that this node is attached to. */
 	served(): readonly string[];
-	/** Lets one endpoint go: takes no new work for it, finishes what runs, detaches. */
+	/** Hands over one endpoint: accepts no new work for it, finishes running statements, and detaches. */
 	handOver(endpoint: string): Promise<void>;
-	/** Lets every endpoint go, within a bound. */
+	/** Hands over every endpoint, within `boundMs`. */
 	drain(boundMs: number): Promise<void>;
-	/** Ends what the sessions of a lost entry node hold: ids that begin with its name. */
+	/** Releases what the sessions of a lost entry node hold; their ids begin with its name. */
 	onPeerLost(nodeName: string): void;
 };
--- a/src/common/services/services.ts
+++ b/src/common/services/services.ts
@@ -1,9 +1,9 @@
 /**
- * Interfaces of every service, gathered, and the tokens they are injected by.
+ * Exports the interfaces of all services, and the tokens by which they are injected.
  *
  * Time, randomness, peers, the platform and the database group are each reached through
- * one interface here, so that the same node code runs in a daemon, in a test with fakes
- * and inside another program.
+ * one of these interfaces, so that the same node code runs in a daemon, in a test with fakes and
+ * embedded in another program.
  */
 export type * from './host-services.js';
 export type * from './endpoint-services.js';
@@ -15,7 +15,7 @@
 export type * from './direct-services.js';
 export type * from './peer-services.js';
 
-/** Tokens of the services that a host lends to the node core, for a container to hold them by. */
+/** Injection tokens of the services that a host provides to the node core. */
 export const tokens = {
 	clock: Symbol('Clock'),
 	random: Symbol('Random'),
