--- a/src/common/errors/error-kinds.test.ts
+++ b/src/common/errors/error-kinds.test.ts
@@ -8,7 +8,7 @@
 
 const outcomeCells: Readonly<Record<ErrorAnswer['outcome'], string>> = {notRun: 'no', ran: 'yes', unknown: 'unknown'};
 
-/** What a caller may do after an answer. */
+/** Content of the column that says whether a caller may repeat its request. */
 function repetitionCell({outcome, retryAfterMs}: ErrorAnswer): string {
 	if (outcome !== 'notRun') {
 		return 'only if idempotent';
@@ -35,7 +35,7 @@
 		expect(rows.filter(row => row.at(-1) === '')).toEqual([]);
 	});
 
-	it('never lets the proxy repeat by itself what may have run', () => {
+	it('never lets the proxy retry a request that may have run', () => {
 		const isRepeated = answers.filter(([, {isProxyRetryable, outcome}]) => isProxyRetryable && outcome !== 'notRun');
 		expect(isRepeated).toEqual([]);
 	});
@@ -46,7 +46,7 @@
 });
 
 describe('Refusal', () => {
-	it('takes the time to come back from its kind unless it knows better', () => {
+	it('takes the retry delay of its kind unless one is given', () => {
 		expect(new Refusal('noPrimary').retryAfterMs).toEqual(errorAnswers.noPrimary.retryAfterMs);
 		expect(new Refusal('noPrimary', '', {retryAfterMs: 7}).retryAfterMs).toEqual(7);
 	});
--- a/src/common/errors/error-kinds.ts
+++ b/src/common/errors/error-kinds.ts
@@ -1,25 +1,25 @@
 /**
- * The closed list of error kinds, and the table from kind to answer (docs/ERRORS.md).
+ * All kinds of errors, and the table that maps each kind to its answer (docs/ERRORS.md).
  */
 
 import type {LogPosition} from '../positions/log-position.js';
 
-/** What is known about the request that the answer belongs to. */
+/** Whether the request that an answer belongs to was run. */
 export type Outcome = 'notRun' | 'ran' | 'unknown';
 
-/** How a kind is answered. */
+/** Answer to the caller for one kind of error. */
 export type ErrorAnswer = {
 	/** Five-character SQLSTATE sent to the caller. */
 	readonly sqlState: string;
 	/** What the caller may conclude about its request. */
 	readonly outcome: Outcome;
-	/** Whether the proxy itself may send the request again, within its budget and the deadline. */
+	/** Whether the proxy itself may retry the request, within its retry budget and the deadline. */
 	readonly isProxyRetryable: boolean;
-	/** When the caller should come back, in milliseconds; zero when coming back does not help. */
+	/** Retry delay for the caller in milliseconds; zero if a retry does not help. */
 	readonly retryAfterMs: number;
 	/** Severity: a fatal error ends the caller's connection. */
 	readonly severity: 'ERROR' | 'FATAL';
-	/** One line for people. */
+	/** One-line message for people. */
 	readonly message: string;
 };
 
@@ -39,7 +39,7 @@
 	};
 }
 
-/** The table from kind to answer. */
+/** Answers by kind of error. */
 export const errorAnswers = {
 	malformedMessage: answer('08P01', 'notRun', 'malformed protocol message', {severity: 'FATAL'}),
 	messageTooLarge: answer('54000', 'notRun', 'message exceeds the configured size limit', {severity: 'FATAL'}),
@@ -75,17 +75,17 @@
 	invariantViolated: answer('XX000', 'unknown', 'an internal invariant did not hold', {retryAfterMs: 1000}),
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** Every kind of error that a caller or a peer can be answered with. */
+/** Kind of error with which a request of a caller or a peer can be answered. */
 export type ErrorKind = keyof typeof errorAnswers;
 
-/** A request that was not answered by an endpoint. */
+/** Answer to a request that the proxy refuses instead of passing on an answer of an endpoint. */
 export class Refusal {
 	readonly kind: ErrorKind;
-	/** Detail for people; never holds statement text. */
+	/** Detail for people; never contains statement text. */
 	readonly detail: string;
-	/** When to come back, in milliseconds. */
+	/** Retry delay in milliseconds. */
 	readonly retryAfterMs: number;
-	/** What the refusing node knows better than the asker. */
+	/** Newer information of the refusing node, with which the requester can correct its view. */
 	readonly correction: ViewCorrection | undefined;
 
 	constructor(kind: ErrorKind, detail = '', options: {retryAfterMs?: number; correction?: ViewCorrection} = {}) {
@@ -101,14 +101,14 @@
 	}
 }
 
-/** What a node that refuses knows about the group, so that the asker's view is corrected. */
+/** What the refusing node knows about the group; the requester corrects its view with it. */
 export type ViewCorrection = {
-	/** Highest term that the refusing node knows of. */
+	/** Highest term that the refusing node knows. */
 	readonly term?: number;
-	/** Endpoint that is primary in that term. */
+	/** Endpoint that is the primary in that term. */
 	readonly primary?: string;
-	/** Node that serves the endpoint that was asked for. */
+	/** Node that is the home of the requested endpoint. */
 	readonly homeNode?: string;
-	/** Positions that the group's instances had applied when they last reported. */
+	/** Positions that the group's instances had applied at their last report. */
 	readonly applied?: ReadonlyArray<{readonly endpoint: string; readonly position: LogPosition}>;
 };
