--- a/src/common/lifecycle/disposable.ts
+++ b/src/common/lifecycle/disposable.ts
@@ -1,5 +1,5 @@
 /**
- * Lifetimes: everything that holds a resource is disposable and is registered with its owner.
+ * Lifetimes: every object that holds a resource is disposable and is registered with its owner.
  */
 
 /** Something with a lifetime that ends once. */
@@ -22,17 +22,17 @@
 	};
 }
 
-/** Owns other disposables and ends them, last registered first. */
+/** Owns other disposables and disposes them, the last registered first. */
 export class DisposableStore implements Disposable {
 	private readonly _owned = new Set<Disposable>();
 	private _isDisposed = false;
 
-	/** Whether the owner has ended. */
+	/** Whether the store has been disposed. */
 	get isDisposed(): boolean {
 		return this._isDisposed;
 	}
 
-	/** Registers a disposable; one registered after the end is disposed at once. */
+	/** Registers a disposable and returns it; if the store is already disposed, it is disposed at once. */
 	register<T extends Disposable>(disposable: T): T {
 		if (this._isDisposed) {
 			disposable.dispose();
@@ -43,7 +43,7 @@
 		return disposable;
 	}
 
-	/** Forgets a disposable without ending it. */
+	/** Removes a disposable without disposing it. */
 	release(disposable: Disposable): void {
 		this._owned.delete(disposable);
 	}
--- a/src/common/lifecycle/emitter.ts
+++ b/src/common/lifecycle/emitter.ts
@@ -1,5 +1,5 @@
 /**
- * Typed events: owners announce changes of private state through `onX` properties.
+ * Typed events, by which an owner publishes changes of its private state through `onX` properties.
  */
 import type {Disposable} from './disposable.js';
 
--- a/src/common/lifecycle/moment.test.ts
+++ b/src/common/lifecycle/moment.test.ts
@@ -3,7 +3,7 @@
 import type {Clock} from '../services/services.js';
 import {momentAgeMs, momentAfter, currentMoment} from './moment.js';
 
-/** Both clocks of a host, moved by the test. */
+/** Both clocks of a host, advanced by the test. */
 class TwoClocks implements Clock {
 	steadyMs = 1000;
 	wallMs = 1_700_000_000_000;
@@ -21,16 +21,16 @@
 	}
 }
 
-describe('the age of a moment', () => {
-	it('grows while the host is suspended, though its steady clock stands still', () => {
-		// A node that froze for ten seconds took what it had heard before for fresh.
+describe('momentAgeMs', () => {
+	it('includes the time for which the host was suspended and its monotonic clock stopped', () => {
+		// Guards against a node that takes old information as fresh after it was suspended for ten seconds.
 		const clock = new TwoClocks();
 		const moment = currentMoment(clock);
 		clock.wallMs += 10_000;
 		expect(momentAgeMs(moment, clock)).toEqual(10_000);
 	});
 
-	it('is never less than what the steady clock says', () => {
+	it('is never less than the time on the monotonic clock', () => {
 		const clock = new TwoClocks();
 		const moment = currentMoment(clock);
 		clock.steadyMs += 3000;
@@ -38,7 +38,7 @@
 		expect(momentAgeMs(moment, clock)).toEqual(3000);
 	});
 
-	it('counts from a later moment', () => {
+	it('is larger for an earlier moment', () => {
 		const clock = new TwoClocks();
 		const moment = momentAfter(currentMoment(clock), -500);
 		expect(momentAgeMs(moment, clock)).toEqual(500);
--- a/src/common/lifecycle/timing.ts
+++ b/src/common/lifecycle/timing.ts
@@ -1,14 +1,14 @@
 /**
- * Waiting on the injected clock.
+ * Sleeps and timeouts on the injected clock.
  */
 import type {Clock} from '../services/services.js';
 import type {Disposable} from './disposable.js';
 import type {Event} from './emitter.js';
 
-/** Shortest sleep: a remainder that rounding left must not keep a task busy. */
+/** Minimum sleep, so that a remainder left by rounding does not make a task loop without sleeping. */
 const minimumSleepMs = 1;
 
-/** One task's sleep: ends after its time, when woken, or when disposed. */
+/** Sleep of one task, which ends after its delay, when woken, or when disposed. */
 export class WakeableSleep implements Disposable {
 	private readonly _clock: Clock;
 	private _timer: Disposable | undefined;
@@ -20,7 +20,7 @@
 		this._clock = clock;
 	}
 
-	/** Sleeps; returns at once when it was woken since the last sleep, or is disposed. */
+	/** Sleeps; returns at once if `wake` was called since the last sleep, or if disposed. */
 	async wait(delayMs: number): Promise<void> {
 		if (this._isWoken || this._isDisposed) {
 			this._isWoken = false;
@@ -35,7 +35,7 @@
 		});
 	}
 
-	/** Ends the sleep, or the next one if the task is awake. */
+	/** Ends the current sleep; if the task is awake, its next sleep returns at once. */
 	wake(): void {
 		if (this._resolve) {
 			this._end();
@@ -58,14 +58,14 @@
 	}
 }
 
-/** Waits for a time. */
+/** Resolves after `delayMs` milliseconds. */
 export async function pauseFor(clock: Clock, delayMs: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		clock.setTimer(delayMs, resolve);
 	});
 }
 
-/** Waits for an event, at most for a time. */
+/** Resolves when the event fires, or after `timeoutMs` at the latest. */
 export async function waitForEvent(clock: Clock, event: Event<unknown>, timeoutMs: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		const timer = clock.setTimer(timeoutMs, () => {
@@ -80,7 +80,7 @@
 	});
 }
 
-/** The promise's value, or undefined when it has not come in time. */
+/** Resolves to the promise's value, or to undefined if it is not settled within `timeoutMs`. */
 export async function withTimeout<T>(clock: Clock, promise: Promise<T>, timeoutMs: number): Promise<T | undefined> {
 	return new Promise((resolve, reject) => {
 		const timer = clock.setTimer(timeoutMs, () => {
