--- a/src/common/invariants/invariant-checks.test.ts
+++ b/src/common/invariants/invariant-checks.test.ts
@@ -10,18 +10,18 @@
 }
 
 const neverAsked = (): string => {
-	throw new Error('the detail of a kept invariant is not built');
+	throw new Error('the detail must not be built for an invariant that holds');
 };
 
 describe('InvariantChecks', () => {
-	it('says nothing while an invariant holds', () => {
+	it('logs and counts nothing if the invariant holds', () => {
 		const {checks, log, metrics} = build(true);
 		expect(checks.check('slotLimit', true, neverAsked)).toEqual(true);
 		expect(log.event).not.toHaveBeenCalled();
 		expect(metrics.count).not.toHaveBeenCalled();
 	});
 
-	it('counts and logs a broken invariant, and goes on', () => {
+	it('counts and logs a violated invariant without throwing', () => {
 		const {checks, log, metrics} = build(false);
 		expect(checks.check('slotLimit', false, () => 'four of three')).toEqual(false);
 		expect(metrics.count).toHaveBeenOnlyCalledWith('invariantViolationsTotal', {invariant: 'slotLimit'});
@@ -32,7 +32,7 @@
 		});
 	});
 
-	it('throws where a broken invariant is fatal', () => {
+	it('throws on a violated invariant if violations are fatal', () => {
 		const {checks} = build(true);
 		expect(() => checks.check('slotLimit', false, () => 'four of three')).toThrow(InvariantError, 'slotLimit: four of three');
 	});
--- a/src/common/invariants/invariant-checks.ts
+++ b/src/common/invariants/invariant-checks.ts
@@ -1,17 +1,17 @@
 /**
- * Checks of the invariants that the program asserts about itself.
+ * Run-time checks of the invariants of the program.
  */
 import type {
 	InvariantName, Invariants, Log, Metrics,
 } from '../services/services.js';
 import {invariants} from './invariant-names.js';
 
-/** An invariant did not hold where that is fatal. */
+/** Thrown for a violated invariant if violations are fatal. */
 export class InvariantError extends Error {
 	override readonly name = 'InvariantError';
 }
 
-/** Counts and logs broken invariants; throws on them where `isFatal` is set. */
+/** Counts and logs violated invariants, and throws an `InvariantError` if `isFatal` is set. */
 export class InvariantChecks implements Invariants {
 	private readonly _log: Log;
 	private readonly _metrics: Metrics;
--- a/src/common/invariants/invariant-names.ts
+++ b/src/common/invariants/invariant-names.ts
@@ -1,8 +1,8 @@
 /**
- * The invariants that the program asserts about itself, one per promise to callers.
+ * The invariants that the program checks at run time, one for each guarantee to callers.
  */
 
-/** Each invariant and what it says. */
+/** The invariants by name, with what each guarantees. */
 export const invariants = {
 	readYourWrites: 'a read is answered from a position at or after the session\'s own writes',
 	fencedAcknowledgement: 'a write is acknowledged only in the term that a majority still follows',
--- a/src/common/positions/log-position.ts
+++ b/src/common/positions/log-position.ts
@@ -5,23 +5,23 @@
  * write of older terms into the new one (docs/DESIGN.md, "Writes and promotion").
  */
 
-/** A place in the log of a database group. */
+/** A position in the log of a database group. */
 export type LogPosition = {
-	/** Term of the primary that wrote the entry at this place. */
+	/** Term of the primary that wrote the entry at this position. */
 	readonly term: number;
-	/** Number of entries up to and including this place. */
+	/** Number of entries up to and including this position. */
 	readonly offset: number;
 };
 
-/** The place before the first entry. */
+/** The position before the first entry. */
 export const zeroPosition: LogPosition = {term: 0, offset: 0};
 
-/** Orders positions lexicographically: negative, zero or positive. */
+/** Compares positions by term, then by offset; negative if `a` is earlier, zero if they are equal, positive if `a` is later. */
 export function comparePositions(a: LogPosition, b: LogPosition): number {
 	return a.term - b.term || a.offset - b.offset;
 }
 
-/** Whether a log that ends at `reached` contains everything up to `wanted`. */
+/** Whether a log that ends at `reached` contains every entry up to `wanted`. */
 export function hasReached(reached: LogPosition, wanted: LogPosition): boolean {
 	return comparePositions(reached, wanted) >= 0;
 }
@@ -31,14 +31,14 @@
 	return comparePositions(a, b) >= 0 ? a : b;
 }
 
-/** Writes a position as `term/offset`. */
+/** Formats a position as `term/offset`. */
 export function formatPosition(position: LogPosition): string {
 	return `${position.term}/${position.offset}`;
 }
 
 const positionPattern = /^(\d{1,15})\/(\d{1,15})$/v;
 
-/** Reads `term/offset`; undefined when the text is not a position. */
+/** Parses `term/offset`; returns undefined if the text is not a position. */
 export function parsePosition(text: string): LogPosition | undefined {
 	const match = positionPattern.exec(text);
 	return match ? {term: Number(match[1]), offset: Number(match[2])} : undefined;
--- a/src/common/random/seeded-random.test.ts
+++ b/src/common/random/seeded-random.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('SeededRandom', () => {
-	it('repeats its sequence for the same seed only, within [0, 1)', () => {
+	it('repeats its sequence for the same seed only, with values in [0, 1)', () => {
 		expect(draw(7)).toEqual(draw(7));
 		expect(draw(7)).not.toEqual(draw(8));
 		expect(draw(7).every(value => value >= 0 && value < 1)).toEqual(true);
--- a/src/common/random/seeded-random.ts
+++ b/src/common/random/seeded-random.ts
@@ -5,10 +5,10 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Random} from '../services/services.js';
 
-/** Values that are left out at the start. */
+/** Number of values that are discarded after seeding. */
 const discardedValues = 20;
 
-/** The same seed gives the same sequence. */
+/** Pseudo-random generator that gives the same sequence for the same seed. */
 export class SeededRandom implements Random {
 	private readonly _generator;
 
