--- a/src/common/testing/markdown-tables.ts
+++ b/src/common/testing/markdown-tables.ts
@@ -1,8 +1,8 @@
 /**
- * Reads tables of the documentation, for tests that keep pages and code in step.
+ * Reads tables of the documentation, for tests that check that pages and code agree.
  */
 
-/** Cells of every row of a text's tables, headings left out. */
+/** Cells of every table row in a Markdown text, without the header rows. */
 export function tableRows(text: string): string[][] {
 	const lines = text.split('\n');
 	const isHeading = (index: number): boolean => /^\|(?:-+\|)+$/v.test(lines[index + 1] ?? '');
--- a/src/common/testing/observers.ts
+++ b/src/common/testing/observers.ts
@@ -1,9 +1,9 @@
 /**
- * Log and metrics for tests.
+ * Test doubles for logs and metrics.
  */
 import type {Log, LogEventName, Metrics} from '../services/services.js';
 
-/** Keeps the names of the events. */
+/** Records the names of the logged events. */
 export class RecordingLog implements Log {
 	readonly names: LogEventName[] = [];
 
@@ -12,10 +12,10 @@
 	}
 }
 
-/** Does nothing with what it is given. */
+/** Does nothing. */
 function ignore(): void {
-	// Tests that need the numbers keep their own.
+	// Tests that need the values use a test double of their own.
 }
 
-/** Keeps nothing. */
+/** Metrics that record nothing. */
 export const silentMetrics: Metrics = {count: ignore, gauge: ignore, observe: ignore};
--- a/src/common/testing/virtual-clock.test.ts
+++ b/src/common/testing/virtual-clock.test.ts
@@ -3,7 +3,7 @@
 import {settle, VirtualClock} from './virtual-clock.js';
 
 describe('VirtualClock', () => {
-	it('runs timers in order and what they set off before the next', async () => {
+	it('runs timers in order, each with its consequences before the next', async () => {
 		const clock = new VirtualClock(0);
 		const seen: string[] = [];
 		const note = (name: string): void => {
@@ -33,7 +33,7 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('drains long promise chains between timers', async () => {
+	it('runs long promise chains to their end between timers', async () => {
 		const clock = new VirtualClock(0);
 		const seen: string[] = [];
 		const chain = async (): Promise<void> => {
@@ -54,7 +54,7 @@
 		expect(seen).toEqual(['chain', 'timer']);
 	});
 
-	it('advances until a promise settles, and not beyond the bound', async () => {
+	it('advances until a promise settles, and rejects at the bound', async () => {
 		const clock = new VirtualClock(0);
 		const promise = new Promise<number>(resolve => {
 			clock.setTimer(250, () => {
--- a/src/common/testing/virtual-clock.ts
+++ b/src/common/testing/virtual-clock.ts
@@ -1,12 +1,12 @@
 /**
- * A clock for tests whose time moves only when the test says so.
+ * Virtual clock for tests; its time advances only when the test says so.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import type {Clock} from '../services/services.js';
 
 type Timer = {readonly dueMs: number; readonly number: number; readonly callback: () => void};
 
-/** Lets everything run that is ready without time moving: promise reactions and their successors. */
+/** Runs everything that is ready without advancing the time: promise reactions and all that they trigger. */
 export async function settle(): Promise<void> {
 	// A macrotask runs only after every microtask, however long their chain is.
 	await new Promise<void>(resolve => {
@@ -14,18 +14,18 @@
 	});
 }
 
-/** Steps of virtual time in a millisecond; a power of two, so that times add up exactly. */
+/** Steps of virtual time per millisecond; a power of two, so that sums of times are exact. */
 const stepsPerMs = 1024;
 
 /**
- * The next step of virtual time. Without steps a timer for the rest of a delay could come
- * due at the very time at which a rounding error still leaves a rest: an endless loop.
+ * Rounds a time up to the next step of virtual time. Without steps, a timer for the remainder of a delay
+ * could be due at the current time while a rounding error still leaves a remainder: an endless loop.
  */
 function roundUpToStep(timeMs: number): number {
 	return Math.ceil(timeMs * stepsPerMs) / stepsPerMs;
 }
 
-/** Virtual time: timers run in order of their due time, then of their creation. */
+/** Clock with virtual time. Timers run in order of their due time, then of their creation. */
 export class VirtualClock implements Clock {
 	private readonly _timers: Timer[] = [];
 	private _nowMs: number;
@@ -35,7 +35,7 @@
 		this._nowMs = startMs;
 	}
 
-	/** Timers that wait; a test asserts zero after everything is disposed. */
+	/** Number of pending timers; a test asserts that it is zero after everything is disposed. */
 	get pendingTimers(): number {
 		return this._timers.length;
 	}
@@ -62,7 +62,7 @@
 		};
 	}
 
-	/** Moves time forward, running each due timer and all that it sets off before the next. */
+	/** Advances the time; each due timer runs with everything that it triggers before the next one. */
 	async advance(durationMs: number): Promise<void> {
 		const endMs = roundUpToStep(this._nowMs + durationMs);
 		await settle();
@@ -74,7 +74,7 @@
 		this._nowMs = endMs;
 	}
 
-	/** Moves time forward until a promise settles; throws when it has not within the bound. */
+	/** Advances the time until a promise settles; throws if it has not settled within `boundMs`. */
 	async advanceUntil<T>(promise: Promise<T>, boundMs = 60_000): Promise<T> {
 		let isSettled = false;
 		const note = (): void => {
@@ -86,7 +86,7 @@
 		return promise;
 	}
 
-	/** Moves time forward while a condition holds; throws when it still does at the bound. */
+	/** Advances the time while a condition holds; throws if it still holds after `boundMs`. */
 	async advanceWhile(condition: () => boolean, boundMs = 60_000): Promise<void> {
 		const endMs = this._nowMs + boundMs;
 		await settle();
@@ -100,7 +100,7 @@
 		}
 	}
 
-	/** Time passes in which nothing could run, as when the process was paused; due timers run late. */
+	/** Advances the time without running timers, as if the process had been paused; timers that became due run late. */
 	pause(durationMs: number): void {
 		this._nowMs += durationMs;
 	}
