--- a/src/common/observability/log-events.test.ts
+++ b/src/common/observability/log-events.test.ts
@@ -6,7 +6,7 @@
 
 const page = readFileSync('docs/EVENTS.md', 'utf8');
 
-/** Sections of the page by their numbers: `## Title (1000–1099)`. */
+/** Sections of the page with their number ranges, which stand in the headings: `## Title (1000–1099)`. */
 function sections(): Array<{firstNumber: number; lastNumber: number; rows: string[][]}> {
 	return page.split(/^## /mv).slice(1).map(section => {
 		const [, firstNumber, lastNumber] = /^.*\((\d+)–(\d+)\)$/mv.exec(section) ?? [];
@@ -15,7 +15,7 @@
 }
 
 describe('logEvents', () => {
-	it('has each number once', () => {
+	it('uses each number once', () => {
 		const numbers = Object.values(logEvents).map(({number}) => number);
 		expect(numbers.length).toEqual(new Set(numbers).size);
 	});
@@ -26,7 +26,7 @@
 		expect(documented.toSorted()).toEqual(kept.toSorted());
 	});
 
-	it('says what each event means and what an operator does, in the range of its part', () => {
+	it('documents each event in full, in the number range of its section', () => {
 		for (const {firstNumber, lastNumber, rows} of sections()) {
 			for (const row of rows) {
 				const number = Number(row[0]);
--- a/src/common/observability/metric-names.ts
+++ b/src/common/observability/metric-names.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of every decision. Names carry their unit as a suffix; they are exported
- * in snake case behind the prefix `quetzalstream_`.
+ * The metrics of the program. A name carries the unit, if there is one, as its suffix; names are
+ * exported in snake case with the prefix `quetzalstream_`.
  */
 
 type Metric = {
@@ -9,7 +9,7 @@
 	readonly labels?: readonly string[];
 };
 
-/** Every metric the program keeps. */
+/** Every metric that the program records. */
 export const metrics = {
 	// Process
 	invariantViolationsTotal: {kind: 'counter', help: 'Invariants that did not hold', labels: ['invariant']},
@@ -17,7 +17,7 @@
 	callerConnections: {kind: 'gauge', help: 'Connections of callers'},
 	callerRefusalsTotal: {kind: 'counter', help: 'Requests refused by this node, by kind of error', labels: ['kind']},
 	callerRequestMs: {kind: 'histogram', help: 'Time from a whole request to the end of its answer', labels: ['access']},
-	usageDecisionsTotal: {kind: 'counter', help: 'Operations held against their organisation\'s limit, by outcome', labels: ['outcome']},
+	usageDecisionsTotal: {kind: 'counter', help: 'Operations checked against the usage limit of their organisation, by outcome', labels: ['outcome']},
 	// Endpoints and homes
 	homeQueueTimeMs: {kind: 'histogram', help: 'Time that statements waited for a slot', labels: ['endpoint', 'lane']},
 	homeQueueLength: {kind: 'gauge', help: 'Statements that wait for a slot', labels: ['endpoint']},
@@ -26,42 +26,42 @@
 	homeTransactionsHeld: {kind: 'gauge', help: 'Open transactions', labels: ['endpoint']},
 	homeRefusalsTotal: {kind: 'counter', help: 'Requests refused by a home', labels: ['endpoint', 'kind']},
 	homeConfirmationMs: {kind: 'histogram', help: 'Time that answers waited for confirmation by a majority', labels: ['endpoint', 'access']},
-	homeAttachesTotal: {kind: 'counter', help: 'Tries to attach to an endpoint', labels: ['endpoint', 'manner', 'outcome']},
-	poolEvictionsTotal: {kind: 'counter', help: 'Idle connections closed because another organisation needed their place'},
+	homeAttachesTotal: {kind: 'counter', help: 'Attempts to attach to an endpoint', labels: ['endpoint', 'manner', 'outcome']},
+	poolEvictionsTotal: {kind: 'counter', help: 'Idle connections closed to make room for another organisation'},
 	poolConnectsTotal: {kind: 'counter', help: 'Connections opened to endpoints, by outcome', labels: ['outcome']},
 	// Peers and membership
 	peerLinksOpen: {kind: 'gauge', help: 'Links to peers'},
-	peerAnswersDroppedTotal: {kind: 'counter', help: 'Answers of peers without a request that waits for them', labels: ['reason']},
-	peerRequestsUnansweredTotal: {kind: 'counter', help: 'Requests to peers that were given up on', labels: ['cause', 'progress']},
+	peerAnswersDroppedTotal: {kind: 'counter', help: 'Answers of peers to requests that are no longer pending', labels: ['reason']},
+	peerRequestsUnansweredTotal: {kind: 'counter', help: 'Requests to peers that were abandoned without an answer', labels: ['cause', 'progress']},
 	peerAnnouncementsDroppedTotal: {kind: 'counter', help: 'Announcements dropped because a link was slow'},
-	peerSilencesTotal: {kind: 'counter', help: 'Links given up because the peer fell silent'},
-	hostsKnown: {kind: 'gauge', help: 'Hosts believed to be there'},
-	hostsSuspected: {kind: 'gauge', help: 'Hosts passed over because they do not answer'},
+	peerSilencesTotal: {kind: 'counter', help: 'Links closed because the peer was silent'},
+	hostsKnown: {kind: 'gauge', help: 'Hosts that are believed to exist'},
+	hostsSuspected: {kind: 'gauge', help: 'Hosts treated as unreachable because they do not answer'},
 	hostListReadsTotal: {kind: 'counter', help: 'Reads of the host list, by outcome', labels: ['outcome']},
 	// Groups and promotion
 	confirmationsTotal: {kind: 'counter', help: 'Writes that waited for a majority, by outcome', labels: ['outcome']},
 	confirmationWaitMs: {kind: 'histogram', help: 'Time that writes waited for a majority'},
 	proofRoundsTotal: {kind: 'counter', help: 'Rounds of freshness proofs, by outcome', labels: ['outcome']},
-	suspicionsTotal: {kind: 'counter', help: 'Times that a primary was not heard'},
-	majorityMissesTotal: {kind: 'counter', help: 'Promotions not begun because no majority answered'},
+	suspicionsTotal: {kind: 'counter', help: 'Times that a primary was suspected after a silence'},
+	majorityMissesTotal: {kind: 'counter', help: 'Promotions not started because no majority answered'},
 	promotionsTotal: {kind: 'counter', help: 'Promotions by this node, by reason and outcome', labels: ['reason', 'outcome']},
-	failoverGapMs: {kind: 'histogram', help: 'Time from the last sign of a primary to the next primary', labels: ['reason']},
-	redirectionsTotal: {kind: 'counter', help: 'Instances told to follow the primary, by outcome', labels: ['outcome']},
+	failoverGapMs: {kind: 'histogram', help: 'Time from the last contact with a primary to the next primary', labels: ['reason']},
+	redirectionsTotal: {kind: 'counter', help: 'Commands to instances to follow the primary, by outcome', labels: ['outcome']},
 	groupTerm: {kind: 'gauge', help: 'Highest term with a known primary', labels: ['group']},
 	// Configuration
 	configurationVersion: {kind: 'gauge', help: 'Number of the last change in force on this node'},
 	configurationProposalsTotal: {kind: 'counter', help: 'Proposed changes by outcome', labels: ['outcome']},
 	configurationSyncMessagesTotal: {kind: 'counter', help: 'Messages that spread the configuration', labels: ['kind']},
-	storeEra: {kind: 'gauge', help: 'Times that the platform\'s store has come back from an older copy'},
+	storeEra: {kind: 'gauge', help: 'Times that the platform\'s store was restored from an older snapshot'},
 	// Platform
 	platformRequestsTotal: {kind: 'counter', help: 'Requests to the platform, by outcome', labels: ['service', 'operation', 'outcome']},
-	platformRequestDurationMs: {kind: 'histogram', help: 'Time that the platform took', labels: ['service']},
-	platformIsAvailable: {kind: 'gauge', help: 'Whether the service answered last time', labels: ['service']},
-	termRecordsTotal: {kind: 'counter', help: 'Terms brought to the table, by outcome', labels: ['outcome']},
+	platformRequestDurationMs: {kind: 'histogram', help: 'Duration of requests to the platform', labels: ['service']},
+	platformIsAvailable: {kind: 'gauge', help: 'Whether the service answered the last request', labels: ['service']},
+	termRecordsTotal: {kind: 'counter', help: 'Terms recorded in the table, by outcome', labels: ['outcome']},
 	// Operators and audit
 	operatorRequestsTotal: {kind: 'counter', help: 'Answered requests of operators, by status', labels: ['status']},
 	auditEntriesTotal: {kind: 'counter', help: 'Entries of the audit trail, by outcome', labels: ['outcome']},
-	auditBufferedEntries: {kind: 'gauge', help: 'Entries of the audit trail that are not known to be written'},
+	auditBufferedEntries: {kind: 'gauge', help: 'Entries of the audit trail that are not yet confirmed as written'},
 	// Routing
 	routedRequestsTotal: {kind: 'counter', help: 'Attempts, by the reason that chose the endpoint', labels: ['access', 'reason']},
 	answeredRequestsTotal: {kind: 'counter', help: 'Requests answered by an endpoint, by its role', labels: ['access', 'role']},
