--- a/src/common/node-core.ts
+++ b/src/common/node-core.ts
@@ -1,8 +1,8 @@
 /**
- * The parts of a node put together, free of any host: time, randomness, peers, the
- * platform and the database groups come in through the interfaces in services.ts.
+ * Assembles the components of a node, independent of the host that it runs on: time, randomness,
+ * peers, the platform and the database groups are injected through the interfaces in services.ts.
  *
- * The daemon builds it in src/node/wiring.ts; tests and embedding programs build it with
+ * The daemon creates the node core in src/node/wiring.ts; tests and embedding programs create it with
  * services of their own.
  */
 import {ChangeHistory} from './configuration/change-history.js';
@@ -39,11 +39,11 @@
 	readonly hostList: HostList;
 	readonly audit: Audit;
 	readonly terms: TermRecorder;
-	/** Builds the links to peers; they report to the membership. */
+	/** Creates the links to peers, which report reachability to the membership. */
 	readonly createPeers: (membership: Membership) => Peers;
 };
 
-/** Options of the parts; what is left out takes its default. */
+/** Options of the components; those that are left out have their defaults. */
 export type NodeOptions = {
 	readonly homes?: Partial<HomeOptions>;
 	readonly groups?: Partial<GroupOptions>;
@@ -51,7 +51,7 @@
 	readonly membership?: Partial<MembershipOptions>;
 };
 
-/** One node, without its listeners. */
+/** One node without its network listeners. */
 export class NodeCore implements Disposable {
 	readonly membership: HostDirectory;
 	readonly peers: Peers;
@@ -62,7 +62,7 @@
 	readonly groups: MonitoredGroups;
 	readonly homes: HomeService;
 	readonly router: StatementRouter;
-	/** What the peer server calls. */
+	/** Handlers that the peer server calls. */
 	readonly peerHandlers: PeerHandlers;
 
 	private readonly _disposables = new DisposableStore();
@@ -105,9 +105,10 @@
 	}
 
 	/**
-	 * Joins the other nodes and loads the configuration; resolves once it is in force.
-	 * `meetOthers` is waited for before this node takes endpoints up. Those that meet it may
-	 * send it work for endpoints from then on: it knows by the configuration who has them.
+	 * Joins the other nodes and loads the configuration; resolves once the configuration is in force.
+	 * `joinPeers` is awaited before this node becomes the home of endpoints. Peers that learn of this
+	 * node through it may send it requests for endpoints from then on; until this node is the home of
+	 * an endpoint, it refuses them and names the home, which it determines from the configuration.
 	 */
 	async start(joinPeers?: () => Promise<void>): Promise<void> {
 		this.membership.beginStartUp();
@@ -118,7 +119,7 @@
 		await this.sync.loaded;
 	}
 
-	/** Lets go of every endpoint within a bound, and tells the others. */
+	/** Announces to all other hosts that this one is leaving, then hands over every endpoint within `boundMs`. */
 	async drain(boundMs: number): Promise<void> {
 		this.membership.leave();
 		for (const host of this.membership.hosts()) {
@@ -161,7 +162,7 @@
 		};
 	}
 
-	/** A suspected host is asked again, so that it is not passed over for longer than needed. */
+	/** Probes suspected hosts again, so that they are not considered unreachable for longer than necessary. */
 	private _probeAgainWhenDue(): void {
 		this._disposables.register(this.membership.onRetryDue(host => {
 			void this._probeAgain(host);
@@ -183,7 +184,7 @@
 	}
 }
 
-/** Timeout of asking a suspected host whether it answers. */
+/** Timeout of a probe of a suspected host. */
 const probeTimeoutMs = 1000;
 
 function emptyView(group: string): GroupView {
