--- a/src/common/lifecycle/timing.ts
+++ b/src/common/lifecycle/timing.ts
@@ -86,11 +86,11 @@
 		const timer = clock.setTimer(timeoutMs, () => {
 			resolve(undefined);
 		});
-		const settled = (): void => {
+		const disposeTimer = (): void => {
 			timer.dispose();
 		};
 
 		promise.then(resolve, reject);
-		promise.then(settled, settled);
+		promise.then(disposeTimer, disposeTimer);
 	});
 }
--- a/src/common/line-sessions/line-session.ts
+++ b/src/common/line-sessions/line-session.ts
@@ -233,17 +233,17 @@
 		const refusal = found.isLeft() ? found.extract() : new Refusal('authenticationFailed', 'the API key was given to another organisation');
 		this._transaction?.leave();
 		this._transaction = undefined;
-		this._noteDenied(refusal);
+		this._closeIfUnauthenticated(refusal);
 		return refusal;
 	}
 
 	private _refuseAccess(refusal: Refusal): Answer {
-		this._noteDenied(refusal);
+		this._closeIfUnauthenticated(refusal);
 		return this._refuse(refusal);
 	}
 
 	/** The connection of a caller without a valid key is closed. It stays open where this node only could not prove that the key is valid: the caller may retry. */
-	private _noteDenied({kind}: Refusal): void {
+	private _closeIfUnauthenticated({kind}: Refusal): void {
 		this._mustCloseConnection ||= kind === 'authenticationFailed';
 	}
 
--- a/src/common/line-sessions/statement-target-selector.ts
+++ b/src/common/line-sessions/statement-target-selector.ts
@@ -51,10 +51,10 @@
 			return undefined;
 		}
 
-		const own = this._services.endpointPools.pool(endpoint, organisation);
+		const directPool = this._services.endpointPools.pool(endpoint, organisation);
 		const isSilent = group.silentForMs >= this._services.options.silentPrimaryMs;
-		const isOutOfReach = own.isAvoided || own.isOutOfConnections || isSilent || group.promotionReason === 'crashed';
-		const pool = isOutOfReach ? this._services.relays.primaryPool(group) : own;
+		const isOutOfReach = directPool.isAvoided || directPool.isOutOfConnections || isSilent || group.promotionReason === 'crashed';
+		const pool = isOutOfReach ? this._services.relays.primaryPool(group) : directPool;
 		return pool && {pool, isPrimary: true, floor: undefined};
 	}
 
--- a/src/common/organisations/usage-budgets.ts
+++ b/src/common/organisations/usage-budgets.ts
@@ -96,11 +96,11 @@
 			const size = zoneBudget(limit, rule, zones, options.toleranceShare);
 			// Another node may have held the budget until the last membership change, and given all of it out.
 			const sinceMs = nowMs - membershipChangedAtMs();
-			const kept = role === 'firstChoice'
+			const initial = role === 'firstChoice'
 				? {left: Math.max(options.initialOperations, size.perS * sinceMs / msPerS), fromMs: nowMs}
 				: {left: 0, fromMs: nowMs + options.standInAfterMs};
 			const made: HeldBudget = {
-				role, limit, fromMs: kept.fromMs, askedAtMs: nowMs, budget: new UsageBudget(size, kept.left, kept.fromMs),
+				role, limit, fromMs: initial.fromMs, askedAtMs: nowMs, budget: new UsageBudget(size, initial.left, initial.fromMs),
 			};
 			this._held.set(organisation, made);
 			return made;
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -143,14 +143,14 @@
 	/** Takes an operation out of the budget that this node holds; if that is empty, borrows from other zones. */
 	private async _takeFromOwnBudget(organisation: string, role: HolderRole): Promise<UsageGrant | undefined> {
 		const {holders, budgets} = this._services;
-		const own = holders.hasRecentContact ? budgets.take(organisation, role) : undefined;
-		if (!own || own.operations > 0) {
-			return own;
+		const grant = holders.hasRecentContact ? budgets.take(organisation, role) : undefined;
+		if (!grant || grant.operations > 0) {
+			return grant;
 		}
 
 		const lent = await this._borrow(organisation);
 		if (lent === 0) {
-			return own;
+			return grant;
 		}
 
 		budgets.addLoan(organisation, lent - 1);
--- a/src/common/pools/answer-times.ts
+++ b/src/common/pools/answer-times.ts
@@ -11,20 +11,20 @@
 	private readonly _clock: Clock;
 	private readonly _options: TimeOptions;
 	private _averageMs: number;
-	private _notedAtMs: number;
+	private _updatedAtMs: number;
 
 	constructor(clock: Clock, options: TimeOptions) {
 		this._clock = clock;
 		this._options = options;
 		this._averageMs = options.assumedAnswerMs;
-		this._notedAtMs = clock.nowMs();
+		this._updatedAtMs = clock.nowMs();
 	}
 
 	/** Expected time of the next answer. An average without new answers decays towards the assumed time, so that a slow endpoint is tried again. */
 	get averageMs(): number {
 		const {assumedAnswerMs, answerTimeHalfLifeMs} = this._options;
-		const kept = 0.5 ** ((this._clock.nowMs() - this._notedAtMs) / answerTimeHalfLifeMs);
-		return assumedAnswerMs + ((this._averageMs - assumedAnswerMs) * kept);
+		const remainingWeight = 0.5 ** ((this._clock.nowMs() - this._updatedAtMs) / answerTimeHalfLifeMs);
+		return assumedAnswerMs + ((this._averageMs - assumedAnswerMs) * remainingWeight);
 	}
 
 	/** Time without an answer after which the connection of a running statement is suspected to be dead. */
@@ -35,6 +35,6 @@
 	note(durationMs: number): void {
 		const {answerTimeWeight: weight} = this._options;
 		this._averageMs = (this.averageMs * (1 - weight)) + (durationMs * weight);
-		this._notedAtMs = this._clock.nowMs();
+		this._updatedAtMs = this._clock.nowMs();
 	}
 }
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -114,8 +114,8 @@
 
 	private get _limits(): ConnectionLimits {
 		const {connectionRole, options, areConnectionsPerOrganisation} = this._services;
-		const kind = connectionRole(this.endpoint);
-		return areConnectionsPerOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limitsByRole[kind](options);
+		const role = connectionRole(this.endpoint);
+		return areConnectionsPerOrganisation() && role === 'forAll' ? limitsByOrganisation(options) : limitsByRole[role](options);
 	}
 
 	/** Maximum number of connections that this node may have open to the endpoint. */
@@ -141,9 +141,9 @@
 				return connection;
 			}
 
-			const taken = connection.unsafeCoerce();
-			const answer = await this.runOn(taken, statement);
-			this._releaseToPool(taken);
+			const acquired = connection.unsafeCoerce();
+			const answer = await this.runOn(acquired, statement);
+			this._releaseToPool(acquired);
 			return answer;
 		});
 	}
@@ -159,17 +159,17 @@
 				return connection;
 			}
 
-			const taken = connection.unsafeCoerce();
-			const begun = await taken.begin(isReadOnly, statement.floor, this._timeoutMs(statement));
+			const acquired = connection.unsafeCoerce();
+			const begun = await acquired.begin(isReadOnly, statement.floor, this._timeoutMs(statement));
 			const result = begun.mapLeft(fault => this._faultOf(fault, false));
 			const isBegun = result.map(({status}) => status === 'open').orDefault(false);
 			if (!isBegun) {
-				this._releaseToPool(taken);
+				this._releaseToPool(acquired);
 				return result.map(answer => ({answer}));
 			}
 
 			this._held += 1;
-			return Right({held: new HeldConnection(this, taken)});
+			return Right({held: new HeldConnection(this, acquired)});
 		});
 	}
 
@@ -202,10 +202,10 @@
 			return connection;
 		}
 
-		const taken = connection.unsafeCoerce();
+		const acquired = connection.unsafeCoerce();
 		const sentAtMs = clock.nowMs();
-		const result = await taken.control(statement, timeoutMs);
-		this._releaseToPool(taken);
+		const result = await acquired.control(statement, timeoutMs);
+		this._releaseToPool(acquired);
 		return result
 			.mapLeft(fault => this._faultOf(fault, true))
 			.chain<StatementFault, ReportedStatus>(([{rows, error, position}]) => {
@@ -265,13 +265,13 @@
 			return Left({isSent: false, refusal: grant.extract()});
 		}
 
-		const taken = grant.unsafeCoerce();
-		const watch = this._freeSlotWhenSilent(taken);
+		const slot = grant.unsafeCoerce();
+		const watch = this._freeSlotWhenSilent(slot);
 		try {
 			return await work();
 		} finally {
 			watch.dispose();
-			taken.dispose();
+			slot.dispose();
 		}
 	}
 
--- a/src/common/pools/open-connections.ts
+++ b/src/common/pools/open-connections.ts
@@ -57,8 +57,8 @@
 	 */
 	acquire(statement?: EndpointStatement): PooledConnection | undefined {
 		if (!statement) {
-			const own = this._idle.findLastIndex(({organisation}) => organisation === undefined);
-			return own === -1 ? this._idle.shift() : this._idle.splice(own, 1)[0];
+			const ownIndex = this._idle.findLastIndex(({organisation}) => organisation === undefined);
+			return ownIndex === -1 ? this._idle.shift() : this._idle.splice(ownIndex, 1)[0];
 		}
 
 		const fitting = this._idle.findLastIndex(connection => connection.isUsableFor(statement) && connection.hasStateOf(statement));
@@ -84,12 +84,12 @@
 
 	/** Closes the least recently used idle connection; returns whether there was one. */
 	closeLeastRecentlyUsed(): boolean {
-		const [least] = this._idle;
-		if (!least) {
+		const [leastRecentlyUsed] = this._idle;
+		if (!leastRecentlyUsed) {
 			return false;
 		}
 
-		this._close(least);
+		this._close(leastRecentlyUsed);
 		return true;
 	}
 
--- a/src/common/pools/pool-set.ts
+++ b/src/common/pools/pool-set.ts
@@ -7,7 +7,7 @@
 import type {PoolServices} from './types.js';
 
 /** Interval between two sweeps that close unused connections. */
-const sweepMs = 250;
+const sweepIntervalMs = 250;
 
 /** Creates pools on demand and disposes those of endpoints that are no longer registered. */
 export class PoolSet implements Disposable {
@@ -54,7 +54,7 @@
 	}
 
 	private _sweepLater(): Disposable {
-		return this._services.clock.setTimer(sweepMs, () => {
+		return this._services.clock.setTimer(sweepIntervalMs, () => {
 			for (const pool of this._pools.values()) {
 				pool.closeUnused();
 			}
--- a/src/common/pools/pooled-connection.ts
+++ b/src/common/pools/pooled-connection.ts
@@ -69,8 +69,8 @@
 	 * known what is still running on it.
 	 */
 	async run(statement: EndpointStatement, timeoutMs: number): Promise<Either<ConnectionFault, EndpointAnswer>> {
-		const own = this._sessionState.statementsToApply(statement.session, statement.call?.prepared);
-		const requests = [...own.map(item => this._wire.encodeInternal(item)), this._encode(statement)];
+		const stateStatements = this._sessionState.statementsToApply(statement.session, statement.call?.prepared);
+		const requests = [...stateStatements.map(item => this._wire.encodeInternal(item)), this._encode(statement)];
 		const result = await this._exchange(requests, timeoutMs);
 		return result.chain(answers => {
 			const failed = answers.slice(0, -1).find(({error}) => error);
