--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -141,9 +141,9 @@
 				return connection;
 			}
 
-			const acquired = connection.unsafeCoerce();
-			const answer = await this.runOn(acquired, statement);
-			this._releaseToPool(acquired);
+			const taken = connection.unsafeCoerce();
+			const answer = await this.runOn(taken, statement);
+			this._releaseToPool(taken);
 			return answer;
 		});
 	}
@@ -159,17 +159,17 @@
 				return connection;
 			}
 
-			const acquired = connection.unsafeCoerce();
-			const begun = await acquired.begin(isReadOnly, statement.floor, this._timeoutMs(statement));
+			const taken = connection.unsafeCoerce();
+			const begun = await taken.begin(isReadOnly, statement.floor, this._timeoutMs(statement));
 			const result = begun.mapLeft(fault => this._faultOf(fault, false));
 			const isBegun = result.map(({status}) => status === 'open').orDefault(false);
 			if (!isBegun) {
-				this._releaseToPool(acquired);
+				this._releaseToPool(taken);
 				return result.map(answer => ({answer}));
 			}
 
 			this._held += 1;
-			return Right({held: new HeldConnection(this, acquired)});
+			return Right({held: new HeldConnection(this, taken)});
 		});
 	}
 
@@ -202,10 +202,10 @@
 			return connection;
 		}
 
-		const acquired = connection.unsafeCoerce();
+		const taken = connection.unsafeCoerce();
 		const sentAtMs = clock.nowMs();
-		const result = await acquired.control(statement, timeoutMs);
-		this._releaseToPool(acquired);
+		const result = await taken.control(statement, timeoutMs);
+		this._releaseToPool(taken);
 		return result
 			.mapLeft(fault => this._faultOf(fault, true))
 			.chain<StatementFault, ReportedStatus>(([{rows, error, position}]) => {
@@ -265,13 +265,13 @@
 			return Left({isSent: false, refusal: grant.extract()});
 		}
 
-		const slot = grant.unsafeCoerce();
-		const watch = this._freeSlotWhenSilent(slot);
+		const taken = grant.unsafeCoerce();
+		const watch = this._freeSlotWhenSilent(taken);
 		try {
 			return await work();
 		} finally {
 			watch.dispose();
-			slot.dispose();
+			taken.dispose();
 		}
 	}
 
