--- a/src/common/line-sessions/line-session.ts
+++ b/src/common/line-sessions/line-session.ts
@@ -1,5 +1,6 @@
 /**
- * One caller's session: what it set, prepared and began, and the answers to its statements.
+ * One caller's session: its settings, prepared statements and open transaction, and the handling of
+ * its statements.
  */
 import type {HandlersOf} from '../dispatch.js';
 import {dispatch} from '../dispatch.js';
@@ -16,7 +17,7 @@
 import type {StatementRunner} from './statement-runner.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
-/** A message that holds a statement. */
+/** A caller's message that contains a statement. */
 export type StatementMessage = Extract<CallerMessage, {kind: 'statement'}>;
 
 /** Serves the statements of one session, one at a time. */
@@ -26,11 +27,11 @@
 	private readonly _database: string;
 	private readonly _credential: Credential;
 	private readonly _state: SessionState = emptySessionState();
-	/** Position of the session's last commit, by service. */
+	/** Position of the session's last acknowledged commit, by service. */
 	private readonly _marks = new Map<string, LogPosition>();
 	private _transaction: SessionTransaction | undefined;
 	private _idleTimer: Disposable | undefined;
-	private _isEnded = false;
+	private _mustCloseConnection = false;
 
 	private readonly _handlers: HandlersOf<CallerStatement, Answer | Promise<Answer>, [StatementMessage, number]> = {
 		begin: async ({isReadOnly}, message, arrivedAtMs) => this._begin(isReadOnly, arrivedAtMs),
@@ -39,13 +40,13 @@
 		read: async (statement, message, arrivedAtMs) => this._run(message, {access: 'read'}, arrivedAtMs),
 		write: async (statement, message, arrivedAtMs) => this._run(message, {access: 'write'}, arrivedAtMs),
 		execute: async (statement, message, arrivedAtMs) => this._execute(message, statement, arrivedAtMs),
-		set: ({name, value}) => this._local(() => {
+		set: ({name, value}) => this._runLocally(() => {
 			this._state.values.set(name, value);
 		}),
-		prepare: ({name, access, shape}) => this._local(() => {
+		prepare: ({name, access, shape}) => this._runLocally(() => {
 			this._state.prepared.set(name, {access, shape});
 		}),
-		deallocate: ({name}) => this._local(() => {
+		deallocate: ({name}) => this._runLocally(() => {
 			this._state.prepared.delete(name);
 		}),
 		unknown: () => this._refuse(new Refusal('malformedMessage', 'the statement is not known')),
@@ -58,23 +59,23 @@
 		this._runner = runner;
 	}
 
-	/** Whether the session is in no transaction. */
+	/** Whether the session has no open transaction. */
 	get isIdle(): boolean {
 		return this._transaction === undefined;
 	}
 
-	/** Whether its caller may not come back to it: the connection ends after the answer. */
+	/** Whether the connection must be closed after the current answer because the caller is no longer authenticated. */
 	get mustCloseConnection(): boolean {
-		return this._isEnded;
+		return this._mustCloseConnection;
 	}
 
-	/** Whether its key was revoked. */
+	/** Whether the API key that the session began with has been revoked. */
 	get isKeyRevoked(): boolean {
 		const {access, catalog} = this._services;
 		return access.isRevoked(catalog.route(this._database), this._credential);
 	}
 
-	/** State that callers are told after each answer. */
+	/** Transaction status that is reported to the caller after each answer. */
 	get status(): TransactionStatus {
 		return this._transaction?.status ?? 'idle';
 	}
@@ -91,7 +92,7 @@
 		return answer.text + wire.encodeReady(this.status, answer.position);
 	}
 
-	/** Ends an open transaction from outside: its next statement learns why. */
+	/** Aborts the open transaction, if there is one; its next statement is answered with the refusal. */
 	abortTransaction(refusal: Refusal): void {
 		this._transaction?.abort(refusal);
 	}
@@ -107,7 +108,7 @@
 			return this._refuse(new Refusal('malformedMessage', 'a transaction is open already'));
 		}
 
-		return this._withOperation((route, organisation) => {
+		return this._authorizeAndRun((route, organisation) => {
 			this._transaction = new SessionTransaction({
 				route, organisation, isReadOnly, arrivedAtMs,
 			}, this._services, this._runner);
@@ -121,7 +122,7 @@
 			return this._refuse(new Refusal('malformedMessage', 'no transaction is open'));
 		}
 
-		const refusal = await this._refusalWithin(transaction);
+		const refusal = await this._checkTransactionAccess(transaction);
 		if (refusal) {
 			return this._refuse(refusal);
 		}
@@ -161,11 +162,11 @@
 	): Promise<Answer> {
 		const transaction = this._transaction;
 		if (transaction) {
-			const refusal = await this._refusalWithin(transaction);
+			const refusal = await this._checkTransactionAccess(transaction);
 			return refusal ? this._refuse(refusal) : transaction.run(this._runnable(message, kind, transaction, arrivedAtMs));
 		}
 
-		return this._withOperation(async (route, organisation) => {
+		return this._authorizeAndRun(async (route, organisation) => {
 			const answer = await this._runner.run(this._runnable(message, kind, {route, organisation}, arrivedAtMs));
 			if (answer.mark) {
 				this._marks.set(route.service, answer.mark);
@@ -197,10 +198,11 @@
 	}
 
 	/**
-	 * Each transaction and each single statement goes by the route in force when it comes, needs a
-	 * key that counts, and is one operation of its organisation.
+	 * Authorises one operation and runs it. Each transaction, and each statement outside of one, uses the
+	 * route that is in force when it arrives, needs a valid API key, and counts as one operation against
+	 * the usage limit of its organisation.
 	 */
-	private async _withOperation(work: (route: Route, organisation: string | undefined) => Answer | Promise<Answer>): Promise<Answer> {
+	private async _authorizeAndRun(work: (route: Route, organisation: string | undefined) => Answer | Promise<Answer>): Promise<Answer> {
 		const {catalog, access, usage} = this._services;
 		const route = await catalog.findRoute(this._database);
 		if (!route) {
@@ -218,10 +220,11 @@
 	}
 
 	/**
-	 * Why a statement of an open transaction may not run: each is a request of its own for the key
-	 * that it comes under. The transaction is rolled back.
+	 * Checks the API key again for a statement inside an open transaction: the key may have been revoked
+	 * or given to another organisation since BEGIN. Resolves to the refusal, after rolling the
+	 * transaction back, or to undefined if the statement may run.
 	 */
-	private async _refusalWithin({route, organisation}: SessionTransaction): Promise<Refusal | undefined> {
+	private async _checkTransactionAccess({route, organisation}: SessionTransaction): Promise<Refusal | undefined> {
 		const found = await this._services.access.organisation(route, this._credential);
 		if (found.isRight() && found.unsafeCoerce() === organisation) {
 			return undefined;
@@ -230,22 +233,22 @@
 		const refusal = found.isLeft() ? found.extract() : new Refusal('authenticationFailed', 'the API key was given to another organisation');
 		this._transaction?.leave();
 		this._transaction = undefined;
-		this._noteDenied(refusal);
+		this._closeIfUnauthenticated(refusal);
 		return refusal;
 	}
 
 	private _refuseAccess(refusal: Refusal): Answer {
-		this._noteDenied(refusal);
+		this._closeIfUnauthenticated(refusal);
 		return this._refuse(refusal);
 	}
 
-	/** A caller without a key that counts is not kept; one that this node knows too little about may come back. */
-	private _noteDenied({kind}: Refusal): void {
-		this._isEnded ||= kind === 'authenticationFailed';
+	/** The connection of a caller without a valid key is closed. It stays open where this node only could not prove that the key is valid: the caller may retry. */
+	private _closeIfUnauthenticated({kind}: Refusal): void {
+		this._mustCloseConnection ||= kind === 'authenticationFailed';
 	}
 
-	/** What concerns the session alone is answered here, unless its transaction has failed. */
-	private _local(act: () => void): Answer {
+	/** Runs a statement that only changes the state of the session, without an endpoint; refuses it if the transaction has failed. */
+	private _runLocally(act: () => void): Answer {
 		if (this._transaction?.status === 'failed') {
 			return this._refuse(new Refusal('transactionFailed'));
 		}
--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs single statements: chooses a place, sends the statement there, and decides what a
- * failure means and whether another place may be tried.
+ * Runs statements outside of transactions: selects an endpoint, sends the statement there, and
+ * decides what a failure means and whether another endpoint may be tried.
  */
 import {Refusal} from '../errors/error-kinds.js';
 import type {ErrorKind} from '../errors/error-kinds.js';
@@ -13,34 +13,34 @@
 import {StatementTargetSelector} from './statement-target-selector.js';
 import type {Answer, LineSessionServices, RunnableStatement} from './types.js';
 
-/** Errors of endpoints that say that nothing ran, so that another attempt is safe. */
+/** Errors by which an endpoint states that it ran nothing, so that a retry is safe. */
 export const notRunErrors: ReadonlySet<EndpointErrorKind> = new Set(['busy', 'unknownStatement', 'behind', 'readOnly']);
 
-/** One statement and what has been tried for it. */
+/** One statement and the attempts that were made to run it. */
 type Progress = {
 	readonly statement: RunnableStatement;
 	readonly group: PrimaryTracker;
 	readonly refusedBy: Set<string>;
-	/** Times that it was sent and may have run. */
+	/** How often it was sent and may have run. */
 	attempts: number;
-	/** Times that it was turned away without having run. */
+	/** How often an attempt failed, whether the statement was turned away or got no answer. */
 	detours: number;
 	lastRefusal: Refusal | undefined;
 };
 
-/** Outcome of one attempt: an answer, or undefined where another place may be tried. */
+/** Outcome of one attempt: an answer, or undefined if another endpoint may be tried. */
 type AttemptResult = Answer | undefined;
 
-/** Runs statements outside of transactions; one for all sessions of a node. */
+/** Runs statements outside of transactions; all sessions of a node share one instance. */
 export class StatementRunner {
 	readonly targets: StatementTargetSelector;
 	private readonly _services: LineSessionServices;
-	/** Bounds how many reads are sent again because no answer came. */
-	private readonly _repeats: RetryBudget;
+	/** Limits how many reads are retried because no answer arrived. */
+	private readonly _readRetries: RetryBudget;
 
 	constructor(services: LineSessionServices) {
 		this._services = services;
-		this._repeats = new RetryBudget(services.options.repeatShare, services.options.repeatBurst);
+		this._readRetries = new RetryBudget(services.options.repeatShare, services.options.repeatBurst);
 		this.targets = new StatementTargetSelector(services);
 	}
 
@@ -54,17 +54,17 @@
 		return statement.access === 'write' ? this._write(progress) : this._read(progress);
 	}
 
-	/** The primary's place, once it is proved that it still is the primary; else why not. */
+	/** Resolves to the primary as a target once a lease on its term is held, otherwise to the refusal that says why there is none. */
 	async ensurePrimaryTarget(group: PrimaryTracker, {organisation, deadlineMs}: Pick<RunnableStatement, 'organisation' | 'deadlineMs'>): Promise<StatementTarget | Refusal> {
-		const place = this.targets.primary(group, organisation);
-		if (place && group.isLeased) {
-			return place;
+		const target = this.targets.primary(group, organisation);
+		if (target && group.isLeased) {
+			return target;
 		}
 
-		// A node that has just started is about to learn who leads: in the tenth of a second that
-		// takes, it would turn away who could still be answered in time.
+		// A node that has just started learns the primary of a group within about 100 ms. Refusing
+		// meanwhile would turn away statements that can still be answered before their deadline.
 		const isKnown = group.primary !== undefined || group.hasEndpointReport;
-		if (!place && isKnown) {
+		if (!target && isKnown) {
 			return this._noPrimary(group);
 		}
 
@@ -75,9 +75,10 @@
 	}
 
 	/**
-	 * Whether what a primary committed may be acknowledged: only if its term had not been
-	 * replaced when it committed. A moment is waited for a replica that has received it, so that
-	 * it outlasts the primary; without one it stands as long as the primary does.
+	 * Whether a commit of the primary may be acknowledged: only if its term had not been replaced
+	 * when it committed. This waits a short time for a replica to report that it has received the
+	 * commit, so that the commit survives the loss of the primary. If none does, the commit is
+	 * acknowledged all the same, and survives only as long as the primary does.
 	 */
 	async mayAcknowledge(statement: RunnableStatement, group: PrimaryTracker, term: number, position: LogPosition | undefined): Promise<boolean> {
 		const {clock, metrics} = this._services;
@@ -106,7 +107,7 @@
 		return mayAcknowledge;
 	}
 
-	/** A statement for an endpoint. */
+	/** Converts a session's statement into the form that pools run; `floor` is the position that the endpoint must have reached. */
 	endpointStatement(statement: RunnableStatement, floor?: LogPosition): EndpointStatement {
 		const {id, text, call, session, caller, organisation, access, deadlineMs} = statement;
 		return {
@@ -114,17 +115,17 @@
 		};
 	}
 
-	/** Takes in what an answer says about its endpoint; resolves to whether the answer counts. */
+	/** Records what an answer reveals about its endpoint; returns whether the answer is valid. */
 	noteAnswer(group: PrimaryTracker, endpointId: string, {answer, sentAtMs}: TimedAnswer): boolean {
-		const doesCount = group.noteAnswer(endpointId, answer.position, sentAtMs);
+		const isAnswerValid = group.noteAnswer(endpointId, answer.position, sentAtMs);
 		if (answer.error?.kind === 'readOnly') {
 			group.noteNotPrimary(endpointId);
 		}
 
-		return doesCount;
+		return isAnswerValid;
 	}
 
-	/** Takes in that an endpoint, or the node on the way to it, gave no answer. */
+	/** Records that an endpoint, or the node that relays to it, gave no answer. */
 	noteFault(group: PrimaryTracker, endpointId: string, fault: StatementFault): void {
 		if (fault.refusal.kind === 'peerUnavailable') {
 			this._services.relays.forget(group.service);
@@ -138,16 +139,16 @@
 	private async _write(progress: Progress): Promise<Answer> {
 		const {statement, group} = progress;
 		while (this._mayTry(progress)) {
-			const place = await this.ensurePrimaryTarget(group, statement);
-			if (place instanceof Refusal) {
-				return this._refuse(progress, place);
+			const target = await this.ensurePrimaryTarget(group, statement);
+			if (target instanceof Refusal) {
+				return this._refuse(progress, target);
 			}
 
 			const term = group.primary?.term ?? 0;
-			const result = await place.pool.run(this.endpointStatement(statement));
+			const result = await target.pool.run(this.endpointStatement(statement));
 			const answer = result.isLeft()
-				? this._onWriteFault(progress, place, result.extract())
-				: await this._onWriteAnswer(progress, place, result.unsafeCoerce(), term);
+				? this._onWriteFault(progress, target, result.extract())
+				: await this._onWriteAnswer(progress, target, result.unsafeCoerce(), term);
 			if (answer) {
 				return answer;
 			}
@@ -156,16 +157,16 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _onWriteAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer, term: number): Promise<AttemptResult> {
+	private async _onWriteAnswer(progress: Progress, target: StatementTarget, timed: TimedAnswer, term: number): Promise<AttemptResult> {
 		const {statement, group} = progress;
 		const {answer} = timed;
-		const doesCount = this.noteAnswer(group, place.pool.endpoint.id, timed);
+		const isAnswerValid = this.noteAnswer(group, target.pool.endpoint.id, timed);
 		if (answer.error) {
-			return this._onError(progress, place, answer);
+			return this._onError(progress, target, answer);
 		}
 
-		if (!doesCount) {
-			return this._refuse(progress, new Refusal('outcomeUnknown', lostLogDetail(place.pool.endpoint.id)));
+		if (!isAnswerValid) {
+			return this._refuse(progress, new Refusal('outcomeUnknown', lostLogDetail(target.pool.endpoint.id)));
 		}
 
 		if (!await this.mayAcknowledge(statement, group, term, answer.position)) {
@@ -175,29 +176,29 @@
 		return {text: answer.text, position: answer.position, mark: answer.position};
 	}
 
-	private _onWriteFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
-		this.noteFault(progress.group, place.pool.endpoint.id, fault);
+	private _onWriteFault(progress: Progress, target: StatementTarget, fault: StatementFault): AttemptResult {
+		this.noteFault(progress.group, target.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			return this._refuse(progress, new Refusal('outcomeUnknown', fault.refusal.detail));
 		}
 
-		return this._turnedAway(progress, place, fault.refusal);
+		return this._noteTurnedAway(progress, target, fault.refusal);
 	}
 
 	private async _read(progress: Progress): Promise<Answer> {
-		this._repeats.onRequest();
+		this._readRetries.onRequest();
 		while (this._mayTry(progress)) {
-			const place = await this._readPlace(progress);
-			if (place instanceof Refusal) {
-				return this._refuse(progress, place);
+			const target = await this._readTarget(progress);
+			if (target instanceof Refusal) {
+				return this._refuse(progress, target);
 			}
 
 			const {statement} = progress;
-			const silenceMs = this._silenceMs(progress, place);
-			const result = await place.pool.run({...this.endpointStatement(statement, place.floor), silenceMs});
+			const silenceMs = this._silenceMs(progress, target);
+			const result = await target.pool.run({...this.endpointStatement(statement, target.floor), silenceMs});
 			const answer = result.isLeft()
-				? this._onReadFault(progress, place, result.extract())
-				: this._onReadAnswer(progress, place, result.unsafeCoerce());
+				? this._onReadFault(progress, target, result.extract())
+				: this._onReadAnswer(progress, target, result.unsafeCoerce());
 			if (answer) {
 				return answer;
 			}
@@ -206,15 +207,15 @@
 		return this._refuse(progress, progress.lastRefusal ?? new Refusal('overloaded'));
 	}
 
-	private async _readPlace(progress: Progress): Promise<StatementTarget | Refusal> {
+	private async _readTarget(progress: Progress): Promise<StatementTarget | Refusal> {
 		const {statement, group, refusedBy} = progress;
 		if (statement.route.kind === 'primary') {
 			return this.ensurePrimaryTarget(group, statement);
 		}
 
-		const place = this.targets.read(group, {...statement, refusedBy});
-		if (place) {
-			return place;
+		const target = this.targets.read(group, {...statement, refusedBy});
+		if (target) {
+			return target;
 		}
 
 		const primary = await this.ensurePrimaryTarget(group, statement);
@@ -225,34 +226,34 @@
 		return primary;
 	}
 
-	private _onReadAnswer(progress: Progress, place: StatementTarget, timed: TimedAnswer): AttemptResult {
+	private _onReadAnswer(progress: Progress, target: StatementTarget, timed: TimedAnswer): AttemptResult {
 		const {answer} = timed;
-		if (!this.noteAnswer(progress.group, place.pool.endpoint.id, timed)) {
-			return this._turnedAway(progress, place, new Refusal('noPrimary', lostLogDetail(place.pool.endpoint.id)));
+		if (!this.noteAnswer(progress.group, target.pool.endpoint.id, timed)) {
+			return this._noteTurnedAway(progress, target, new Refusal('noPrimary', lostLogDetail(target.pool.endpoint.id)));
 		}
 
 		if (answer.error) {
-			return this._onError(progress, place, answer);
+			return this._onError(progress, target, answer);
 		}
 
-		this._services.metrics.count('answeredRequestsTotal', {access: 'read', role: place.isPrimary ? 'primary' : 'replica'});
+		this._services.metrics.count('answeredRequestsTotal', {access: 'read', role: target.isPrimary ? 'primary' : 'replica'});
 		return {text: answer.text, position: answer.position};
 	}
 
-	/** A read that was not answered does no harm when it is sent again. */
-	private _onReadFault(progress: Progress, place: StatementTarget, fault: StatementFault): AttemptResult {
-		this.noteFault(progress.group, place.pool.endpoint.id, fault);
+	/** Handles a read that got no answer; it is safe to retry, because reads change nothing. */
+	private _onReadFault(progress: Progress, target: StatementTarget, fault: StatementFault): AttemptResult {
+		this.noteFault(progress.group, target.pool.endpoint.id, fault);
 		if (fault.isSent) {
 			progress.attempts += 1;
-			this._repeats.tryRetry();
-			place.pool.closeIdle();
+			this._readRetries.tryRetry();
+			target.pool.closeIdle();
 		}
 
-		return this._turnedAway(progress, place, fault.refusal);
+		return this._noteTurnedAway(progress, target, fault.refusal);
 	}
 
-	/** An error in the endpoint's own words: tried elsewhere if nothing ran, passed on otherwise. */
-	private _onError(progress: Progress, place: StatementTarget, answer: EndpointAnswer): AttemptResult {
+	/** Handles an error that the endpoint returned: another endpoint is tried if a retry is safe, otherwise the error is passed on to the caller. */
+	private _onError(progress: Progress, target: StatementTarget, answer: EndpointAnswer): AttemptResult {
 		const error = answer.error!;
 		const mayRepeat = notRunErrors.has(error.kind) || (progress.statement.access === 'read' && error.kind === 'failed');
 		if (!mayRepeat) {
@@ -263,17 +264,17 @@
 			progress.attempts += 1;
 		}
 
-		return this._turnedAway(progress, place, new Refusal(refusalKinds[error.kind] ?? 'endpointUnavailable', error.text));
+		return this._noteTurnedAway(progress, target, new Refusal(refusalKinds[error.kind] ?? 'endpointUnavailable', error.text));
 	}
 
-	private _turnedAway(progress: Progress, place: StatementTarget, refusal: Refusal): AttemptResult {
+	private _noteTurnedAway(progress: Progress, target: StatementTarget, refusal: Refusal): AttemptResult {
 		const {statement, refusedBy, group} = progress;
 		progress.detours += 1;
 		progress.lastRefusal = refusal;
-		refusedBy.add(place.pool.endpoint.id);
+		refusedBy.add(target.pool.endpoint.id);
 		this._services.log.event('statementTurnedAway', {
-			request: statement.id, endpoint: place.pool.endpoint.id, via: place.pool.via, isPrimary: place.isPrimary, kind: refusal.kind, detail: refusal.detail,
-			group: group.service, term: group.primary?.term, load: place.pool.load, detours: progress.detours, attempts: progress.attempts,
+			request: statement.id, endpoint: target.pool.endpoint.id, via: target.pool.via, isPrimary: target.isPrimary, kind: refusal.kind, detail: refusal.detail,
+			group: group.service, term: group.primary?.term, load: target.pool.load, detours: progress.detours, attempts: progress.attempts,
 		});
 		return undefined;
 	}
@@ -285,16 +286,16 @@
 			&& (detours === 0 || statement.deadlineMs - clock.nowMs() >= options.leastAttemptMs);
 	}
 
-	/** How long a read waits for an answer before it is sent elsewhere; undefined where it is not. */
-	private _silenceMs({statement, group, attempts}: Progress, place: StatementTarget): number | undefined {
+	/** How long a read waits for its answer before it is retried at another endpoint; undefined if it is not retried. */
+	private _silenceMs({statement, group, attempts}: Progress, target: StatementTarget): number | undefined {
 		const hasOther = statement.route.kind !== 'primary' && group.endpoints().length > 1;
-		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._repeats.isEmpty;
-		return mayRepeat ? place.pool.answerTimes.silenceThresholdMs : undefined;
+		const mayRepeat = hasOther && attempts + 1 < statement.route.maximumAttempts && !this._readRetries.isEmpty;
+		return mayRepeat ? target.pool.answerTimes.silenceThresholdMs : undefined;
 	}
 
 	private _noPrimary(group: PrimaryTracker): Refusal {
-		const {primary, isLeased, promotionReason: loss} = group;
-		const detail = primary ? `${primary.endpointId} of term ${primary.term}, ${loss ?? (isLeased ? 'not reachable' : 'not proved')}` : 'none known';
+		const {primary, isLeased, promotionReason} = group;
+		const detail = primary ? `${primary.endpointId} of term ${primary.term}, ${promotionReason ?? (isLeased ? 'not reachable' : 'not proved')}` : 'none known';
 		return new Refusal('noPrimary', detail, {retryAfterMs: this._services.options.retryAfterMs});
 	}
 
@@ -303,12 +304,12 @@
 	}
 }
 
-/** Why an answer of a primary does not count whose log lacks what it had acknowledged. */
+/** Detail of the refusal when a primary's answer is invalid because the primary restarted without entries that it had acknowledged. */
 export function lostLogDetail(endpointId: string): string {
 	return `${endpointId} started again without its log`;
 }
 
-/** Kind of refusal that an endpoint's error becomes when no other place is left. */
+/** Kind of refusal for each endpoint error, used when no other endpoint is left to try. */
 export const refusalKinds: Partial<Record<EndpointErrorKind, ErrorKind>> = {
 	busy: 'overloaded',
 	behind: 'tooStale',
--- a/src/common/line-sessions/statement-target-selector.ts
+++ b/src/common/line-sessions/statement-target-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Where a read goes: the endpoint that should answer first, among those that are fresh
- * enough and have not turned it away.
+ * Selects the endpoint for a statement. A read goes to the endpoint with the lowest expected duration
+ * among those that are fresh enough and have not turned it away.
  */
 import type {StatementPool} from '../pools/types.js';
 import type {PrimaryTracker} from '../primacy/primary-tracker.js';
@@ -10,15 +10,15 @@
 import type {RegisteredEndpoint, Route} from '../services/services.js';
 import type {LineSessionServices} from './types.js';
 
-/** An endpoint for a statement. */
+/** An endpoint that was selected for a statement, and the pool through which it is reached. */
 export type StatementTarget = {
 	readonly pool: StatementPool;
 	readonly isPrimary: boolean;
-	/** Position that the endpoint must have for the answer to be fresh enough. */
+	/** Position that the endpoint must have applied for the answer to be fresh enough. */
 	readonly floor: LogPosition | undefined;
 };
 
-/** What the place of a read depends on. */
+/** What the selection of an endpoint for a read depends on. */
 export type ReadRequest = {
 	readonly route: Route;
 	readonly arrivedAtMs: number;
@@ -26,7 +26,7 @@
 	readonly mark: LogPosition | undefined;
 	/** Endpoints that turned the statement away. */
 	readonly refusedBy: ReadonlySet<string>;
-	/** Organisation on whose connections it runs. */
+	/** Organisation whose connections the read uses. */
 	readonly organisation: string | undefined;
 };
 
@@ -36,7 +36,7 @@
 	readonly floor: LogPosition;
 };
 
-/** Chooses places. */
+/** Selects an endpoint for each statement. */
 export class StatementTargetSelector {
 	private readonly _services: LineSessionServices;
 
@@ -44,47 +44,47 @@
 		this._services = services;
 	}
 
-	/** The primary's place; undefined when there is none that could be reached a moment ago. */
+	/** The primary as a target, through a relay if this node cannot reach it; undefined if no primary is known or it cannot be reached either way. */
 	primary(group: PrimaryTracker, organisation: string | undefined): StatementTarget | undefined {
 		const endpoint = group.primaryEndpoint;
 		if (!endpoint) {
 			return undefined;
 		}
 
-		const own = this._services.endpointPools.pool(endpoint, organisation);
+		const directPool = this._services.endpointPools.pool(endpoint, organisation);
 		const isSilent = group.silentForMs >= this._services.options.silentPrimaryMs;
-		const isOutOfReach = own.isAvoided || own.isOutOfConnections || isSilent || group.promotionReason === 'crashed';
-		const pool = isOutOfReach ? this._services.relays.primaryPool(group) : own;
+		const isOutOfReach = directPool.isAvoided || directPool.isOutOfConnections || isSilent || group.promotionReason === 'crashed';
+		const pool = isOutOfReach ? this._services.relays.primaryPool(group) : directPool;
 		return pool && {pool, isPrimary: true, floor: undefined};
 	}
 
-	/** The best place for a read that accepts data of some age; undefined when none is fresh enough. */
+	/** The target with the lowest expected duration for a read within its accepted staleness; undefined when no endpoint is known to be fresh enough. */
 	read(group: PrimaryTracker, request: ReadRequest): StatementTarget | undefined {
 		const {route, refusedBy, mark, arrivedAtMs, organisation} = request;
 		const proved = group.floor(arrivedAtMs, route.maximumAgeMs);
-		const places: StatementTarget[] = [];
+		const targets: StatementTarget[] = [];
 		if (proved) {
 			const floor = mark ? laterPosition(proved, mark) : proved;
 			for (const endpoint of group.replicas()) {
 				const pool = this._services.endpointPools.pool(endpoint, organisation);
 				if (!refusedBy.has(endpoint.id) && this._isEligible(group, {endpoint, pool, floor})) {
-					places.push({pool, isPrimary: false, floor});
+					targets.push({pool, isPrimary: false, floor});
 				}
 			}
 		}
 
 		const primary = this.primary(group, organisation);
 		if (primary && !refusedBy.has(primary.pool.endpoint.id) && (proved !== undefined || group.isLeased)) {
-			places.push(primary);
+			targets.push(primary);
 		}
 
-		return this._fastest(places, request);
+		return this._fastest(targets, request);
 	}
 
-	/** A pool knows the registration with which it was made: whether its endpoint leaves, the newest one says. */
+	/** Draining is checked on the endpoint and not on the pool: a pool keeps the registration with which it was created, which may be older. */
 	private _isEligible(group: PrimaryTracker, {endpoint, pool, floor}: ReplicaChoice): boolean {
-		const {isAvoided, isOutOfConnections: isShutOut} = pool;
-		if (endpoint.isDraining || isAvoided || isShutOut) {
+		const {isAvoided, isOutOfConnections} = pool;
+		if (endpoint.isDraining || isAvoided || isOutOfConnections) {
 			return false;
 		}
 
@@ -93,15 +93,15 @@
 			|| this._services.clock.nowMs() - applied.atMs > this._services.options.positionOldMs;
 	}
 
-	private _fastest(places: readonly StatementTarget[], {route, organisation}: ReadRequest): StatementTarget | undefined {
-		const preferred = preferredReplica(places, organisation);
+	private _fastest(targets: readonly StatementTarget[], {route, organisation}: ReadRequest): StatementTarget | undefined {
+		const preferred = preferredReplica(targets, organisation);
 		let best: StatementTarget | undefined;
 		let bestMs = Number.POSITIVE_INFINITY;
-		for (const place of places) {
-			const strangeMs = preferred === undefined || place === preferred ? 0 : this._services.options.otherReplicaMs;
-			const costMs = this._expectedMs(place, route.priority) + strangeMs;
+		for (const target of targets) {
+			const otherReplicaCostMs = preferred === undefined || target === preferred ? 0 : this._services.options.otherReplicaMs;
+			const costMs = this._expectedMs(target, route.priority) + otherReplicaCostMs;
 			if (costMs < bestMs) {
-				best = place;
+				best = target;
 				bestMs = costMs;
 			}
 		}
@@ -111,22 +111,23 @@
 
 	private _expectedMs({pool, isPrimary}: StatementTarget, priority: number): number {
 		const {availabilityZone, options, random} = this._services;
-		const awayMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
-		const primaryMs = isPrimary ? options.primaryReadMs : 0;
-		// A little chance keeps nodes that see the same times from choosing in step.
-		return (pool.estimateMs('read', priority) * (0.9 + (random.next() / 5))) + awayMs + primaryMs;
+		const otherZoneCostMs = pool.endpoint.availabilityZone === availabilityZone ? 0 : options.otherZoneMs;
+		const primaryCostMs = isPrimary ? options.primaryReadMs : 0;
+		// Jitter keeps nodes that measure the same times from all choosing the same endpoint at once.
+		return (pool.estimateMs('read', priority) * (0.9 + (random.next() / 5))) + otherZoneCostMs + primaryCostMs;
 	}
 }
 
 /**
- * The replica on which an organisation's reads meet: each connection belongs to one organisation,
- * and an endpoint takes fewer than there are organisations.
+ * The replica to which all nodes prefer to send an organisation's reads. Each connection belongs to
+ * one organisation, and an endpoint accepts fewer connections than there are organisations, so reads
+ * that were spread over all replicas would keep opening and closing connections.
  */
-function preferredReplica(places: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
+function preferredReplica(targets: readonly StatementTarget[], organisation: string | undefined): StatementTarget | undefined {
 	if (organisation === undefined) {
 		return undefined;
 	}
 
-	const replicas = places.filter(({isPrimary}) => !isPrimary);
-	return highestWeight(replicas.map(place => ({name: place.pool.endpoint.id, hash: hashText(place.pool.endpoint.id), value: place})), organisation);
+	const replicas = targets.filter(({isPrimary}) => !isPrimary);
+	return highestWeight(replicas.map(target => ({name: target.pool.endpoint.id, hash: hashText(target.pool.endpoint.id), value: target})), organisation);
 }
--- a/src/common/node-core.ts
+++ b/src/common/node-core.ts
@@ -1,8 +1,8 @@
 /**
- * The parts of a node put together, free of any host: time, randomness, peers, the
- * platform and the database groups come in through the interfaces in services.ts.
+ * Assembles the components of a node, independent of the host that it runs on: time, randomness,
+ * peers, the platform and the database groups are injected through the interfaces in services.ts.
  *
- * The daemon builds it in src/node/wiring.ts; tests and embedding programs build it with
+ * The daemon creates the node core in src/node/wiring.ts; tests and embedding programs create it with
  * services of their own.
  */
 import {ChangeHistory} from './configuration/change-history.js';
@@ -39,11 +39,11 @@
 	readonly hostList: HostList;
 	readonly audit: Audit;
 	readonly terms: TermRecorder;
-	/** Builds the links to peers; they report to the membership. */
+	/** Creates the links to peers, which report reachability to the membership. */
 	readonly createPeers: (membership: Membership) => Peers;
 };
 
-/** Options of the parts; what is left out takes its default. */
+/** Options of the components; those that are left out have their defaults. */
 export type NodeOptions = {
 	readonly homes?: Partial<HomeOptions>;
 	readonly groups?: Partial<GroupOptions>;
@@ -51,7 +51,7 @@
 	readonly membership?: Partial<MembershipOptions>;
 };
 
-/** One node, without its listeners. */
+/** One node without its network listeners. */
 export class NodeCore implements Disposable {
 	readonly membership: HostDirectory;
 	readonly peers: Peers;
@@ -62,17 +62,17 @@
 	readonly groups: MonitoredGroups;
 	readonly homes: HomeService;
 	readonly router: StatementRouter;
-	/** What the peer server calls. */
+	/** Handlers that the peer server calls. */
 	readonly peerHandlers: PeerHandlers;
 
-	private readonly _owned = new DisposableStore();
+	private readonly _disposables = new DisposableStore();
 
 	constructor(self: Host, services: NodeServices, options: NodeOptions = {}) {
-		this.membership = this._owned.register(new HostDirectory(self, services, options.membership));
-		this.peers = this._owned.register(services.createPeers(this.membership));
-		this.history = this._owned.register(new ChangeHistory(services.invariants, services.log));
-		this.configuration = this._owned.register(new LiveConfiguration(this.history));
-		this.changeLog = this._owned.register(new ConfigurationLog({
+		this.membership = this._disposables.register(new HostDirectory(self, services, options.membership));
+		this.peers = this._disposables.register(services.createPeers(this.membership));
+		this.history = this._disposables.register(new ChangeHistory(services.invariants, services.log));
+		this.configuration = this._disposables.register(new LiveConfiguration(this.history));
+		this.changeLog = this._disposables.register(new ConfigurationLog({
 			...services,
 			history: this.history,
 			currentPrimary: group => this._primaryOf(group),
@@ -83,42 +83,43 @@
 			peers: this.peers,
 			configuration: this.configuration,
 		};
-		this.sync = this._owned.register(new ConfigurationSync({
+		this.sync = this._disposables.register(new ConfigurationSync({
 			...shared,
 			history: this.history,
 			changeLog: this.changeLog,
 		}));
-		this.groups = this._owned.register(new MonitoredGroups(shared, options.groups));
-		this.homes = this._owned.register(new HomeService({
+		this.groups = this._disposables.register(new MonitoredGroups(shared, options.groups));
+		this.homes = this._disposables.register(new HomeService({
 			...shared,
 			groups: this.groups,
 			options: {...defaultHomeOptions, ...options.homes},
 		}));
-		this.router = this._owned.register(new StatementRouter({
+		this.router = this._disposables.register(new StatementRouter({
 			...shared,
 			groups: this.groups,
 			localExecutor: this.homes,
 			options: {...routingDefaults, ...options.routing},
 		}));
 		this.peerHandlers = this._makePeerHandlers();
-		this._askAgainWhenDue();
+		this._probeAgainWhenDue();
 	}
 
 	/**
-	 * Joins the other nodes and loads the configuration; resolves once it is in force.
-	 * `meetOthers` is waited for before this node takes endpoints up. Those that meet it may
-	 * send it work for endpoints from then on: it knows by the configuration who has them.
+	 * Joins the other nodes and loads the configuration; resolves once the configuration is in force.
+	 * `joinPeers` is awaited before this node becomes the home of endpoints. Peers that learn of this
+	 * node through it may send it requests for endpoints from then on; until this node is the home of
+	 * an endpoint, it refuses them and names the home, which it determines from the configuration.
 	 */
-	async start(meetOthers?: () => Promise<void>): Promise<void> {
+	async start(joinPeers?: () => Promise<void>): Promise<void> {
 		this.membership.beginStartUp();
 		await this.membership.start();
 		this.sync.start();
-		await meetOthers?.();
+		await joinPeers?.();
 		this.membership.endStartUp();
 		await this.sync.loaded;
 	}
 
-	/** Lets go of every endpoint within a bound, and tells the others. */
+	/** Announces to all other hosts that this one is leaving, then hands over every endpoint within `boundMs`. */
 	async drain(boundMs: number): Promise<void> {
 		this.membership.leave();
 		for (const host of this.membership.hosts()) {
@@ -131,7 +132,7 @@
 	}
 
 	dispose(): void {
-		this._owned.dispose();
+		this._disposables.dispose();
 	}
 
 	private _makePeerHandlers(): PeerHandlers {
@@ -161,14 +162,14 @@
 		};
 	}
 
-	/** A suspected host is asked again, so that it is not passed over for longer than needed. */
-	private _askAgainWhenDue(): void {
-		this._owned.register(this.membership.onRetryDue(host => {
-			void this._askAgain(host);
+	/** Probes suspected hosts again, so that they are not considered unreachable for longer than necessary. */
+	private _probeAgainWhenDue(): void {
+		this._disposables.register(this.membership.onRetryDue(host => {
+			void this._probeAgain(host);
 		}));
 	}
 
-	private async _askAgain(host: Host): Promise<void> {
+	private async _probeAgain(host: Host): Promise<void> {
 		const answer = await this.peers.probe(host, probeTimeoutMs);
 		answer.ifRight(probe => {
 			this.membership.learn(probe.host);
@@ -183,7 +184,7 @@
 	}
 }
 
-/** Timeout of asking a suspected host whether it answers. */
+/** Timeout of a probe of a suspected host. */
 const probeTimeoutMs = 1000;
 
 function emptyView(group: string): GroupView {
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -1,9 +1,9 @@
 /**
  * This node's connections to one endpoint, and the queue in front of them.
  *
- * Every node reaches every endpoint itself. The endpoint bounds what all of them open
- * together and refuses the rest before it has run anything, so that two nodes that take too
- * much cost a refusal and never a wrong answer.
+ * Every node connects to every endpoint itself. The endpoint limits the connections of all nodes
+ * together and refuses any beyond the limit before it runs anything, so two nodes that open too many
+ * cause refusals and never a wrong answer.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -26,7 +26,7 @@
 	BegunTransaction, EndpointStatement, ConnectionRole, PoolServices, ReportedStatus, StatementFault, StatementPool, TimedAnswer,
 } from './types.js';
 
-/** Kind of refusal for a connection that could not be had, by fault. */
+/** Kind of refusal for each fault of a connection. */
 const refusalKinds: Record<ConnectionFault['kind'], ErrorKind> = {
 	refused: 'endpointUnavailable',
 	silent: 'endpointUnavailable',
@@ -37,7 +37,7 @@
 	busy: 'overloaded',
 };
 
-const causes: Record<ConnectionFault['kind'], StatementFault['cause']> = {
+const faultCauses: Record<ConnectionFault['kind'], StatementFault['cause']> = {
 	refused: 'refused',
 	silent: 'silent',
 	closed: 'closed',
@@ -47,20 +47,20 @@
 	busy: 'full',
 };
 
-/** Connections to one endpoint: held by transactions, idle, and idle for long. */
+/** Maximum connections to one endpoint: held by transactions, idle, and idle but kept for `idleCloseMs`. */
 type ConnectionLimits = {
 	readonly held: number;
 	readonly idle: number;
 	readonly kept: number;
 };
 
-const limits: Record<ConnectionRole, (options: PoolOptions) => ConnectionLimits> = {
+const limitsByRole: Record<ConnectionRole, (options: PoolOptions) => ConnectionLimits> = {
 	forItself: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnections}),
 	forAll: options => ({held: options.heldConnectionsForAll, idle: options.idleConnectionsForAll, kept: options.keptConnections}),
 	forNone: options => ({held: options.heldConnections, idle: options.idleConnections, kept: options.keptConnectionsForNone}),
 };
 
-/** Where connections belong to organisations, one that is kept spares its organisation a new one. */
+/** Limits where connections belong to organisations. All idle ones are kept, because each saves its organisation from opening a new one. */
 function limitsByOrganisation(options: PoolOptions): ConnectionLimits {
 	return {held: options.heldConnectionsForAll, idle: options.idleConnectionsByOrganisation, kept: options.idleConnectionsByOrganisation};
 }
@@ -74,60 +74,60 @@
 	private readonly _services: PoolServices;
 	private readonly _queue: SlotQueue;
 	private readonly _connections: OpenConnections;
-	private readonly _modestUntilMs: number;
+	private readonly _halfShareUntilMs: number;
 	private _held = 0;
 	/** Connections that are being opened. */
 	private _opening = 0;
-	/** Statements without an answer whose slots others use. */
-	private _passedBy = 0;
+	/** Statements still waiting for an answer whose slots were given to others. */
+	private _overtaken = 0;
 	private _avoidedUntilMs = Number.NEGATIVE_INFINITY;
 	private _fullUntilMs = Number.NEGATIVE_INFINITY;
 
-	/** The node started at `startedAtMs` on its clock. */
+	/** Creates the pool; `startedAtMs` is when this node started, on its own clock. */
 	constructor(endpoint: RegisteredEndpoint, services: PoolServices, startedAtMs: number) {
 		this.endpoint = endpoint;
 		this._services = services;
 		const {options} = services;
 		this.answerTimes = new AnswerTimes(services.clock, options);
 		this._connections = new OpenConnections(services.clock, options);
-		this._modestUntilMs = startedAtMs + options.modestAfterStartMs;
+		this._halfShareUntilMs = startedAtMs + options.modestAfterStartMs;
 		const queueServices = {...services, options: services.queueOptions};
 		const inFlight = Math.max(options.statementsInFlight, endpoint.slots);
 		this._queue = new SlotQueue(queueServices, endpoint.id, inFlight, beginsRunning =>
-			this._held + beginsRunning < Math.min(this._limits.held, Math.max(1, this._share - 1)));
+			this._held + beginsRunning < Math.min(this._limits.held, Math.max(1, this._maximumOpen - 1)));
 	}
 
-	/** Statements of this node that the endpoint has, and those that wait for it here. */
+	/** Statements of this node that are in flight at the endpoint or queued for it here. */
 	get load(): number {
 		return this._queue.running + this._queue.length;
 	}
 
-	/** Whether it could not be reached a moment ago. */
+	/** Whether the endpoint is being avoided because it could not be reached within the last `avoidMs`. */
 	get isAvoided(): boolean {
 		return this._services.clock.nowMs() < this._avoidedUntilMs;
 	}
 
-	/** Whether the endpoint takes no connection of this node, which has none. */
+	/** Whether the endpoint currently refuses new connections and this node has none open. */
 	get isOutOfConnections(): boolean {
 		return this._services.clock.nowMs() < this._fullUntilMs && this._connections.size + this._opening === 0;
 	}
 
 	private get _limits(): ConnectionLimits {
-		const {connectionRole: holding, options, areConnectionsPerOrganisation: isByOrganisation} = this._services;
-		const kind = holding(this.endpoint);
-		return isByOrganisation() && kind === 'forAll' ? limitsByOrganisation(options) : limits[kind](options);
+		const {connectionRole, options, areConnectionsPerOrganisation} = this._services;
+		const role = connectionRole(this.endpoint);
+		return areConnectionsPerOrganisation() && role === 'forAll' ? limitsByOrganisation(options) : limitsByRole[role](options);
 	}
 
-	/** How many connections this node may have open. */
-	private get _share(): number {
-		const {clock, options, connectionShare, areConnectionsPerOrganisation: isByOrganisation} = this._services;
+	/** Maximum number of connections that this node may have open to the endpoint. */
+	private get _maximumOpen(): number {
+		const {clock, options, connectionShare, areConnectionsPerOrganisation} = this._services;
 		const all = connectionShare(this.endpoint);
-		// Homes that each filled the endpoint would shut each other out: all keep what they have.
-		const share = isByOrganisation() ? Math.floor(all * options.organisationsShare) : all;
-		return Math.max(1, clock.nowMs() < this._modestUntilMs ? Math.floor(share / 2) : share);
+		// If each home could fill the endpoint, one would keep the others from connecting: homes keep the connections that they have.
+		const share = areConnectionsPerOrganisation() ? Math.floor(all * options.organisationsShare) : all;
+		return Math.max(1, clock.nowMs() < this._halfShareUntilMs ? Math.floor(share / 2) : share);
 	}
 
-	/** Time until a new statement would be answered, by what is known here. */
+	/** Estimated time in milliseconds until a new statement would be answered, from the queue of this node and the average answer time. */
 	estimateMs(access: 'read' | 'write', priority: number): number {
 		const waitMs = this._queue.estimateWaitMs({caller: '', priority, lane: access});
 		return waitMs + this.answerTimes.averageMs;
@@ -136,25 +136,25 @@
 	/** Runs one statement on any connection. */
 	async run(statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		return this._withSlot(statement, statement.access, async () => {
-			const connection = await this._take(statement.deadlineMs, statement);
+			const connection = await this._acquire(statement.deadlineMs, statement);
 			if (connection.isLeft()) {
 				return connection;
 			}
 
 			const taken = connection.unsafeCoerce();
 			const answer = await this.runOn(taken, statement);
-			this._giveBack(taken);
+			this._releaseToPool(taken);
 			return answer;
 		});
 	}
 
 	/**
-	 * Begins a transaction on a connection that is then the session's until it is given back.
-	 * Resolves with the endpoint's answer in place of a connection where it refuses.
+	 * Begins a transaction on a connection that belongs to the session until it is released.
+	 * Resolves with the endpoint's answer in place of a connection if the endpoint refuses.
 	 */
 	async begin(statement: EndpointStatement, isReadOnly: boolean): Promise<Either<StatementFault, BegunTransaction>> {
 		return this._withSlot<BegunTransaction>(statement, 'begin', async () => {
-			const connection = await this._take(statement.deadlineMs, statement, this._services.options.leastWithTransaction);
+			const connection = await this._acquire(statement.deadlineMs, statement, this._services.options.leastWithTransaction);
 			if (connection.isLeft()) {
 				return connection;
 			}
@@ -164,7 +164,7 @@
 			const result = begun.mapLeft(fault => this._faultOf(fault, false));
 			const isBegun = result.map(({status}) => status === 'open').orDefault(false);
 			if (!isBegun) {
-				this._giveBack(taken);
+				this._releaseToPool(taken);
 				return result.map(answer => ({answer}));
 			}
 
@@ -178,7 +178,7 @@
 		return this._withSlot(statement, 'transaction', async () => this.runOn(connection, statement));
 	}
 
-	/** Runs a statement on a connection, within the statement's time. */
+	/** Runs a statement on a connection, with a timeout that ends at the statement's deadline. */
 	async runOn(connection: PooledConnection, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>> {
 		const {clock} = this._services;
 		if (!connection.isOpen) {
@@ -194,10 +194,10 @@
 			.mapLeft(fault => ({...this._faultOf(fault, true), sinceMs: sentAtMs}));
 	}
 
-	/** Sends a statement of the node's own ahead of the queue; resolves with the endpoint's status. */
+	/** Sends an internal statement of the node, bypassing the queue; resolves with the endpoint's status. */
 	async control(statement: InternalStatement, timeoutMs: number): Promise<Either<StatementFault, ReportedStatus>> {
 		const {clock, wire} = this._services;
-		const connection = await this._take(clock.nowMs() + timeoutMs);
+		const connection = await this._acquire(clock.nowMs() + timeoutMs);
 		if (connection.isLeft()) {
 			return connection;
 		}
@@ -205,7 +205,7 @@
 		const taken = connection.unsafeCoerce();
 		const sentAtMs = clock.nowMs();
 		const result = await taken.control(statement, timeoutMs);
-		this._giveBack(taken);
+		this._releaseToPool(taken);
 		return result
 			.mapLeft(fault => this._faultOf(fault, true))
 			.chain<StatementFault, ReportedStatus>(([{rows, error, position}]) => {
@@ -219,28 +219,28 @@
 			});
 	}
 
-	/** Takes a held connection back: into the pool when it is clean, closed otherwise. */
+	/** Releases a held connection: it returns to the pool if it is clean, and is closed otherwise. */
 	release(connection: PooledConnection, isClean: boolean): void {
 		this._held -= 1;
 		if (!isClean) {
 			connection.dispose();
 		}
 
-		this._giveBack(connection);
+		this._releaseToPool(connection);
 		this._queue.serve();
 	}
 
-	/** Closes idle connections: they may have fallen silent together. */
+	/** Closes all idle connections: after a lost answer on one connection, the others may be dead too. */
 	closeIdle(): void {
 		this._connections.closeIdle();
 	}
 
-	/** Closes connections that nobody has used for a while; the last one is kept longer. */
+	/** Closes connections that have been idle for too long; the most recently used ones are kept longer. */
 	closeUnused(): void {
 		this._connections.closeUnused(this._limits);
 	}
 
-	/** Passes the endpoint over for a while. */
+	/** Avoids the endpoint for `avoidMs`. */
 	avoid(): void {
 		this._avoidedUntilMs = this._services.clock.nowMs() + this._services.options.avoidMs;
 	}
@@ -266,7 +266,7 @@
 		}
 
 		const taken = grant.unsafeCoerce();
-		const watch = this._passOnWhenSilent(taken);
+		const watch = this._freeSlotWhenSilent(taken);
 		try {
 			return await work();
 		} finally {
@@ -276,31 +276,33 @@
 	}
 
 	/**
-	 * Lets the next statement go while one waits for an answer that is probably lost. Such a
-	 * statement keeps its connection for the rest of its time, so only a few may be passed by.
+	 * Frees the slot of a statement whose answer is probably lost, so that the next statement can run.
+	 * Such a statement occupies its connection until its timeout, so only a few may be overtaken at
+	 * once. Disposing the result ends the watch.
 	 */
-	private _passOnWhenSilent(grant: Disposable): Disposable {
+	private _freeSlotWhenSilent(grant: Disposable): Disposable {
 		const {clock, options} = this._services;
-		let isPassedBy = false;
+		let isOvertaken = false;
 		const timer = clock.setTimer(this.answerTimes.silenceThresholdMs, () => {
-			if (this._passedBy < options.passedBy) {
-				isPassedBy = true;
-				this._passedBy += 1;
+			if (this._overtaken < options.passedBy) {
+				isOvertaken = true;
+				this._overtaken += 1;
 				grant.dispose();
 			}
 		});
 		return toDisposable(() => {
 			timer.dispose();
-			this._passedBy -= isPassedBy ? 1 : 0;
+			this._overtaken -= isOvertaken ? 1 : 0;
 		});
 	}
 
 	/**
-	 * A connection: an idle one, else a new one. Where the endpoint takes no more, the next that
-	 * is given back: after a power loss the connections of the dead count for 3 s. On a day with
-	 * one, full endpoints turned statements away 304 times before nodes waited so.
+	 * Acquires an idle connection, or opens a new one. If the endpoint accepts no more, this waits until
+	 * one of this node's connections is released: after a power loss the endpoint still counts the
+	 * connections of the lost hosts for 3 s. Without this wait, full endpoints turned statements away
+	 * 304 times in a day with one power loss.
 	 */
-	private async _take(untilMs: number, statement?: EndpointStatement, least = 1): Promise<Either<StatementFault, PooledConnection>> {
+	private async _acquire(untilMs: number, statement?: EndpointStatement, minimumOpen = 1): Promise<Either<StatementFault, PooledConnection>> {
 		const {clock, options} = this._services;
 		for (;;) {
 			const idle = this._connections.acquire(statement);
@@ -308,8 +310,8 @@
 				return Right(idle);
 			}
 
-			this._makeRoom(least);
-			const opened = await this._connectWithinShare(statement?.organisation, least);
+			this._evictIfFull(minimumOpen);
+			const opened = await this._connectWithinShare(statement?.organisation, minimumOpen);
 			const isFull = opened.isLeft() && opened.extract().refusal.kind === 'overloaded';
 			const leftMs = untilMs - clock.nowMs();
 			if (!isFull || this._connections.size + this._opening === 0 || leftMs <= 0) {
@@ -321,22 +323,22 @@
 	}
 
 	/**
-	 * Closes the connection that was not used for longest where all are open: each belongs to one
-	 * organisation, and another one needs its place.
+	 * Closes the least recently used idle connection if no more may be opened: each connection belongs
+	 * to one organisation, and another organisation needs one.
 	 */
-	private _makeRoom(least: number): void {
+	private _evictIfFull(minimumOpen: number): void {
 		const {clock, metrics} = this._services;
 		const isEndpointFull = clock.nowMs() < this._fullUntilMs;
-		const isShareUsed = this._connections.size + this._opening >= Math.max(least, this._share);
+		const isShareUsed = this._connections.size + this._opening >= Math.max(minimumOpen, this._maximumOpen);
 		if ((isEndpointFull || isShareUsed) && this._connections.closeLeastRecentlyUsed()) {
 			metrics.count('poolEvictionsTotal');
-			// What was closed leaves room at the endpoint for one.
+			// Closing a connection makes room for a new one at the endpoint.
 			this._fullUntilMs = Number.NEGATIVE_INFINITY;
 		}
 	}
 
-	private async _connectWithinShare(organisation: string | undefined, least: number): Promise<Either<StatementFault, PooledConnection>> {
-		if (this._connections.size + this._opening >= Math.max(least, this._share)) {
+	private async _connectWithinShare(organisation: string | undefined, minimumOpen: number): Promise<Either<StatementFault, PooledConnection>> {
+		if (this._connections.size + this._opening >= Math.max(minimumOpen, this._maximumOpen)) {
 			return Left({isSent: false, refusal: new Refusal('overloaded', `all connections to ${this.endpoint.id} are in use`)});
 		}
 
@@ -373,7 +375,7 @@
 			});
 	}
 
-	private _giveBack(connection: PooledConnection): void {
+	private _releaseToPool(connection: PooledConnection): void {
 		this._connections.release(connection, this._limits);
 	}
 
@@ -381,8 +383,8 @@
 		return Math.max(1, statement.deadlineMs - this._services.clock.nowMs());
 	}
 
-	/** One connection that broke says nothing about the endpoint: the next attempt to connect does. */
+	/** Converts a connection's fault. It does not make the pool avoid the endpoint: one broken connection proves nothing about it, but a failed attempt to connect does. */
 	private _faultOf(fault: ConnectionFault, isSent: boolean): StatementFault {
-		return {isSent, refusal: new Refusal(refusalKinds[fault.kind], `${this.endpoint.id}: ${fault.detail}`), cause: causes[fault.kind]};
+		return {isSent, refusal: new Refusal(refusalKinds[fault.kind], `${this.endpoint.id}: ${fault.detail}`), cause: faultCauses[fault.kind]};
 	}
 }
--- a/src/common/random/seeded-random.ts
+++ b/src/common/random/seeded-random.ts
@@ -5,17 +5,17 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Random} from '../services/services.js';
 
-/** Values that are left out at the start. */
-const skippedValues = 20;
+/** Number of values that are discarded after seeding. */
+const discardedValues = 20;
 
-/** The same seed gives the same sequence. */
+/** Pseudo-random generator that gives the same sequence for the same seed. */
 export class SeededRandom implements Random {
 	private readonly _generator;
 
 	constructor(seed: number) {
 		this._generator = xoroshiro128plus(seed);
 		// The first values of small seeds are nearly the same for all of them.
-		for (let index = 0; index < skippedValues; index++) {
+		for (let index = 0; index < discardedValues; index++) {
 			this.next();
 		}
 	}
