--- a/src/node/endpoints/authentication.ts
+++ b/src/node/endpoints/authentication.ts
@@ -14,10 +14,10 @@
 };
 
 /** Answers a request's data, which follows its code; undefined where nothing is to be sent. */
-type RequestHandler = (authentication: Authentication, data: Uint8Array) => Uint8Array | void | Promise<Uint8Array>;
+type AuthenticationRequestHandler = (authentication: Authentication, data: Uint8Array) => Uint8Array | void | Promise<Uint8Array>;
 
 /** Handlers by the code of the request. */
-const handlers = new Map<number, RequestHandler>([
+const handlers = new Map<number, AuthenticationRequestHandler>([
 	[0, authentication => {
 		authentication.accept();
 	}],
@@ -34,7 +34,7 @@
 export class Authentication {
 	readonly credentials: Credentials;
 	private _sasl: SaslSession | undefined;
-	private _isServerProved = false;
+	private _isServerVerified = false;
 
 	constructor(credentials: Credentials) {
 		this.credentials = credentials;
@@ -54,7 +54,7 @@
 
 	/** The endpoint is content; one that began SCRAM must have shown that it knows the password. */
 	accept(): void {
-		if (this._sasl && !this._isServerProved) {
+		if (this._sasl && !this._isServerVerified) {
 			throw new ProtocolError('the endpoint did not prove itself');
 		}
 	}
@@ -72,7 +72,7 @@
 
 	finishSasl(data: string): void {
 		sasl.finalizeSession(this._saslInProgress(), data);
-		this._isServerProved = true;
+		this._isServerVerified = true;
 	}
 
 	private _saslInProgress(): SaslSession {
--- a/src/node/endpoints/frame-splitter.ts
+++ b/src/node/endpoints/frame-splitter.ts
@@ -8,8 +8,8 @@
 /** Collects chunks and gives back whole messages as slices of them. */
 export class FrameSplitter {
 	private readonly _maximumMessageBytes: number;
-	private _kept: Uint8Array[] = [];
-	private _keptBytes = 0;
+	private _buffered: Uint8Array[] = [];
+	private _bufferedBytes = 0;
 	private _neededBytes = 0;
 
 	constructor(maximumMessageBytes: number) {
@@ -28,27 +28,27 @@
 
 		const end = this._endOfWhole(data);
 		if (end < data.length) {
-			this._kept = [data.subarray(end)];
-			this._keptBytes = data.length - end;
+			this._buffered = [data.subarray(end)];
+			this._bufferedBytes = data.length - end;
 		}
 
 		return end === 0 ? undefined : data.subarray(0, end);
 	}
 
 	private _join(chunk: Uint8Array): Uint8Array | undefined {
-		if (this._keptBytes === 0) {
+		if (this._bufferedBytes === 0) {
 			return chunk;
 		}
 
-		this._kept.push(chunk);
-		this._keptBytes += chunk.length;
-		if (this._keptBytes < this._neededBytes) {
+		this._buffered.push(chunk);
+		this._bufferedBytes += chunk.length;
+		if (this._bufferedBytes < this._neededBytes) {
 			return undefined;
 		}
 
-		const data = joinBytes(this._kept, this._keptBytes);
-		this._kept = [];
-		this._keptBytes = 0;
+		const data = joinBytes(this._buffered, this._bufferedBytes);
+		this._buffered = [];
+		this._bufferedBytes = 0;
 		return data;
 	}
 
--- a/src/node/endpoints/pg-endpoint-connection.ts
+++ b/src/node/endpoints/pg-endpoint-connection.ts
@@ -25,9 +25,9 @@
 };
 
 /** What to do with a message: pass it on, leave it out, or end the cycle. */
-type Duty = 'relay' | 'drop' | 'ready';
+type FrameAction = 'relay' | 'drop' | 'ready';
 
-type FrameHandler = (connection: PgEndpointConnection, batch: Uint8Array, bodyStart: number, end: number) => Duty;
+type FrameHandler = (connection: PgEndpointConnection, batch: Uint8Array, bodyStart: number, end: number) => FrameAction;
 
 /** Sends a CancelRequest for this connection unless the check has become false. */
 export type CancelSender = (isStillWanted: () => boolean) => void;
@@ -107,7 +107,7 @@
 	}
 
 	/** Takes in an ErrorResponse; a fatal one is not relayed, as the connection ends with it. */
-	handleError(batch: Uint8Array, bodyStart: number, end: number): Duty {
+	handleError(batch: Uint8Array, bodyStart: number, end: number): FrameAction {
 		const {isFatal, sqlState} = readError(batch, bodyStart, end);
 		if (isFatal) {
 			this._fatalSqlState ??= sqlState;
@@ -130,7 +130,7 @@
 					break;
 				}
 
-				await this._takeBatch(batch);
+				await this._handleBatch(batch);
 			}
 		} catch (error) {
 			this._frames.destroy(messageOf(error));
@@ -139,13 +139,13 @@
 		this._finish();
 	}
 
-	private async _takeBatch(batch: Uint8Array): Promise<void> {
+	private async _handleBatch(batch: Uint8Array): Promise<void> {
 		let runStart = 0;
 		let offset = 0;
 		while (offset < batch.length) {
 			const end = frameEnd(batch, offset);
-			const duty = this._dutyOf(batch, offset, end);
-			if (duty !== 'relay') {
+			const action = this._actionFor(batch, offset, end);
+			if (action !== 'relay') {
 				const pushing = this._push(batch, runStart, offset);
 				if (pushing) {
 					await pushing;
@@ -154,7 +154,7 @@
 				runStart = end;
 			}
 
-			if (duty === 'ready') {
+			if (action === 'ready') {
 				this._endExchange(batch[offset + frameHeaderBytes]);
 			}
 
@@ -164,19 +164,19 @@
 		await this._push(batch, runStart, batch.length);
 	}
 
-	private _dutyOf(batch: Uint8Array, offset: number, end: number): Duty {
+	private _actionFor(batch: Uint8Array, offset: number, end: number): FrameAction {
 		const type = batch[offset];
 		const handler = handlers[type];
-		const duty = handler?.(this, batch, offset + frameHeaderBytes, end);
-		if (!duty) {
+		const action = handler?.(this, batch, offset + frameHeaderBytes, end);
+		if (!action) {
 			throw new ProtocolError(`${describeType(type)} is not expected here`);
 		}
 
-		if (duty !== 'drop' && !this._exchange && type !== backendTypes.noticeResponse) {
+		if (action !== 'drop' && !this._exchange && type !== backendTypes.noticeResponse) {
 			throw new ProtocolError(`${describeType(type)} outside of an exchange`);
 		}
 
-		return duty;
+		return action;
 	}
 
 	private _push(batch: Uint8Array, start: number, end: number): void | Promise<void> {
--- a/src/node/endpoints/pg-endpoint-connector.ts
+++ b/src/node/endpoints/pg-endpoint-connector.ts
@@ -28,7 +28,7 @@
 
 	async connectWork(endpoint: EndpointAddress, homeId: string): Promise<Either<EndpointFault, EndpointConnection>> {
 		const started = await startSession(endpoint, workPrefix + homeId, this._options, this._clock);
-		return started.chain(session => build(session, () =>
+		return started.chain(session => createOrFault(session, () =>
 			new PgEndpointConnection(session, isStillWanted => {
 				this._sendCancel(endpoint, session.backendKey, isStillWanted);
 			})));
@@ -36,7 +36,7 @@
 
 	async connectControl(endpoint: EndpointAddress, observerId: string): Promise<Either<EndpointFault, InstanceControl>> {
 		const started = await startSession(endpoint, controlPrefix + observerId, this._options, this._clock);
-		return started.chain(session => build(session, () =>
+		return started.chain(session => createOrFault(session, () =>
 			new PgInstanceControl(session, this._clock, this._options.controlTimeoutMs)));
 	}
 
@@ -72,7 +72,7 @@
 	return connect({host, port});
 }
 
-function build<T>(session: StartedSession, create: () => T): Either<EndpointFault, T> {
+function createOrFault<T>(session: StartedSession, create: () => T): Either<EndpointFault, T> {
 	try {
 		return Right(create());
 	} catch (error) {
--- a/src/node/endpoints/pg-instance-control.ts
+++ b/src/node/endpoints/pg-instance-control.ts
@@ -21,11 +21,11 @@
 import {messageOf, ProtocolError} from './protocol-error.js';
 import type {StartedSession} from './types.js';
 
-type OrderResult = Either<EndpointFault, readonly string[]>;
+type CommandResult = Either<EndpointFault, readonly string[]>;
 
-type Order = {
+type ControlCommand = {
 	readonly sql: string;
-	readonly settle: (result: OrderResult) => void;
+	readonly settle: (result: CommandResult) => void;
 	timer: Disposable | undefined;
 	isSent: boolean;
 	row: readonly string[] | undefined;
@@ -66,10 +66,10 @@
 	readonly onState: Event<InstanceState>;
 	private readonly _frames: FrameSocket;
 	private readonly _clock: Clock;
-	private readonly _orderTimeoutMs: number;
+	private readonly _commandTimeoutMs: number;
 	private readonly _closing = new OnceEmitter();
 	private readonly _onState = new Emitter<InstanceState>();
-	private readonly _orders: Order[] = [];
+	private readonly _commands: ControlCommand[] = [];
 	private _firstState: InstanceState | undefined;
 	private _fatalSqlState: string | undefined;
 
@@ -77,7 +77,7 @@
 		this.onClose = this._closing.event;
 		this._frames = session.frames;
 		this._clock = clock;
-		this._orderTimeoutMs = orderTimeoutMs;
+		this._commandTimeoutMs = orderTimeoutMs;
 		const report = session.parameters.get(stateParameter);
 		if (report !== undefined) {
 			this._firstState = readState(report);
@@ -99,7 +99,7 @@
 	}
 
 	async readState(): Promise<Either<EndpointFault, InstanceState>> {
-		const answer = await this._order('SELECT quetzalstream_state()');
+		const answer = await this._sendCommand('SELECT quetzalstream_state()');
 		return answer.chain(([state]) => stateOf(state));
 	}
 
@@ -116,13 +116,13 @@
 	}
 
 	async attach(homeId: string, isForced: boolean): Promise<Either<EndpointFault, {isAttached: boolean; holder: string}>> {
-		const answer = await this._order(`SELECT quetzalstream_attach(${quote(homeId)}, ${isForced})`);
+		const answer = await this._sendCommand(`SELECT quetzalstream_attach(${quote(homeId)}, ${isForced})`);
 		return answer.chain(([accepted, holder]) =>
 			flagOf(accepted).map(isAttached => ({isAttached, holder: holder ?? ''})));
 	}
 
 	async detach(homeId: string): Promise<Either<EndpointFault, void>> {
-		const answer = await this._order(`SELECT quetzalstream_detach(${quote(homeId)})`);
+		const answer = await this._sendCommand(`SELECT quetzalstream_detach(${quote(homeId)})`);
 		return answer.chain(([accepted]) => flagOf(accepted)).map(() => undefined);
 	}
 
@@ -145,7 +145,7 @@
 
 	/** Takes in the row of the order in progress. */
 	handleRow(row: readonly string[]): void {
-		const order = this._orderInProgress();
+		const order = this._commandInProgress();
 		if (order.row) {
 			throw new ProtocolError('an order was answered by more than one row');
 		}
@@ -155,7 +155,7 @@
 
 	/** Takes in an error, of the order in progress or of the connection as a whole. */
 	handleError(sqlState: string): void {
-		const [order] = this._orders;
+		const [order] = this._commands;
 		if (order?.isSent) {
 			order.sqlState ??= sqlState;
 		} else {
@@ -165,56 +165,56 @@
 
 	/** Ends the order in progress and sends the next. */
 	completeCommand(): void {
-		const order = this._orderInProgress();
-		this._orders.shift();
-		settleOrder(order);
+		const order = this._commandInProgress();
+		this._commands.shift();
+		settleCommand(order);
 		this._sendNext();
 	}
 
 	private async _claim(sql: string): Promise<Either<EndpointFault, TermClaim>> {
-		const answer = await this._order(sql);
+		const answer = await this._sendCommand(sql);
 		return answer.chain(([accepted, state]) =>
 			flagOf(accepted).chain(isAccepted =>
 				stateOf(state).map(instance => ({isAccepted, state: instance}))));
 	}
 
-	private async _order(sql: string): Promise<OrderResult> {
+	private async _sendCommand(sql: string): Promise<CommandResult> {
 		if (this._closing.hasFired || !this._frames.isWritable) {
 			return Left({mayHaveReached: false, detail: this._frames.closeDetail});
 		}
 
 		return new Promise(resolve => {
-			const order: Order = {
+			const order: ControlCommand = {
 				sql, settle: resolve, timer: undefined, isSent: false, row: undefined, sqlState: undefined,
 			};
-			order.timer = this._clock.setTimer(this._orderTimeoutMs, () => {
-				this._giveUp(order);
+			order.timer = this._clock.setTimer(this._commandTimeoutMs, () => {
+				this._timeOut(order);
 			});
-			this._orders.push(order);
+			this._commands.push(order);
 			this._sendNext();
 		});
 	}
 
 	private _sendNext(): void {
-		const [order] = this._orders;
+		const [order] = this._commands;
 		if (order && !order.isSent) {
 			order.isSent = this._frames.write(serialize.query(order.sql));
 		}
 	}
 
-	private _giveUp(order: Order): void {
+	private _timeOut(order: ControlCommand): void {
 		if (!order.isSent) {
-			this._orders.splice(this._orders.indexOf(order), 1);
+			this._commands.splice(this._commands.indexOf(order), 1);
 		}
 
 		order.settle(Left({
 			mayHaveReached: order.isSent,
-			detail: `no answer within ${this._orderTimeoutMs} ms`,
+			detail: `no answer within ${this._commandTimeoutMs} ms`,
 		}));
 	}
 
-	private _orderInProgress(): Order {
-		const [order] = this._orders;
+	private _commandInProgress(): ControlCommand {
+		const [order] = this._commands;
 		if (!order?.isSent) {
 			throw new ProtocolError('answer without an order');
 		}
@@ -231,7 +231,7 @@
 					break;
 				}
 
-				this._takeBatch(batch);
+				this._handleBatch(batch);
 			}
 		} catch (error) {
 			this._frames.destroy(messageOf(error));
@@ -240,7 +240,7 @@
 		this._finish();
 	}
 
-	private _takeBatch(batch: Uint8Array): void {
+	private _handleBatch(batch: Uint8Array): void {
 		for (const {type, bodyStart, end} of framesIn(batch)) {
 			const handler = handlers.get(type);
 			if (!handler) {
@@ -256,7 +256,7 @@
 			return;
 		}
 
-		for (const order of this._orders.splice(0)) {
+		for (const order of this._commands.splice(0)) {
 			order.timer?.dispose();
 			const sqlState = order.sqlState ?? this._fatalSqlState;
 			order.settle(Left({
@@ -270,7 +270,7 @@
 	}
 }
 
-function settleOrder(order: Order): void {
+function settleCommand(order: ControlCommand): void {
 	order.timer?.dispose();
 	if (order.sqlState !== undefined) {
 		order.settle(Left({mayHaveReached: true, detail: 'the order was refused', sqlState: order.sqlState}));
--- a/src/node/endpoints/start-up.ts
+++ b/src/node/endpoints/start-up.ts
@@ -112,11 +112,11 @@
 			throw new ProtocolError(startUp.frames.closeDetail);
 		}
 
-		await takeBatch(startUp, batch);
+		await handleBatch(startUp, batch);
 	}
 }
 
-async function takeBatch(startUp: StartUp, batch: Uint8Array): Promise<void> {
+async function handleBatch(startUp: StartUp, batch: Uint8Array): Promise<void> {
 	for (const range of framesIn(batch)) {
 		const handler = handlers.get(range.type);
 		if (!handler) {
--- a/src/node/peers/link-writer.ts
+++ b/src/node/peers/link-writer.ts
@@ -52,7 +52,7 @@
 
 	/** Queues one envelope. */
 	send(requestId: number, body: Body): void {
-		this.add(single({requestId, body}));
+		this.add(singleEnvelopeSource({requestId, body}));
 	}
 
 	/** Queues a source; it is asked for its envelopes in turn with the others. */
@@ -107,7 +107,7 @@
 	}
 }
 
-function single(envelope: Envelope): EnvelopeSource {
+function singleEnvelopeSource(envelope: Envelope): EnvelopeSource {
 	return {hasMore: false, take: () => envelope};
 }
 
--- a/src/node/peers/peer-link.ts
+++ b/src/node/peers/peer-link.ts
@@ -90,10 +90,10 @@
 		}
 
 		const pending = this._pending.begin(id => new PendingExecute(this, id, call));
-		this._watch();
+		this._startLivenessMonitor();
 		this._writer.add(pending);
 		const result = await pending.result;
-		this._noteHeld(call.request.sessionId, result);
+		this._updateHeld(call.request.sessionId, result);
 		this._closeIfDone();
 		return result;
 	}
@@ -106,7 +106,7 @@
 		}
 
 		const pending = this._pending.begin(id => new PendingUnaryRequest(this, id, answerKind, timeoutMs));
-		this._watch();
+		this._startLivenessMonitor();
 		this._writer.send(this._pending.lastId, body);
 		const result = await pending.result;
 		this._closeIfDone();
@@ -172,7 +172,7 @@
 			this._writer.onDrain();
 		});
 		try {
-			this._greet();
+			this._sendHello();
 			for await (const batch of this._stream.batches()) {
 				this._liveness.received();
 				for (const envelope of batch.envelopes) {
@@ -186,7 +186,7 @@
 		}
 	}
 
-	private _greet(): void {
+	private _sendHello(): void {
 		const hello: Hello = {
 			host: this.services.membership.self,
 			windowBytes: this.options.windowBytes,
@@ -217,7 +217,7 @@
 		this._maximumInProgress = Math.min(this._maximumInProgress, hello.maximumInProgress);
 		this.services.membership.reportReachability(this.peer.name, true);
 		this.services.log.event('peerLinkOpened', {peer: this.peer.name});
-		this._watchForIdle();
+		this._scheduleIdleCheck();
 		if (this.isBusy) {
 			this._liveness.start();
 		}
@@ -260,13 +260,13 @@
 		}
 	}
 
-	private _watch(): void {
+	private _startLivenessMonitor(): void {
 		if (this._state === 'open') {
 			this._liveness.start();
 		}
 	}
 
-	private _noteHeld(sessionId: string, result: Either<Refusal, HomeEnd>): void {
+	private _updateHeld(sessionId: string, result: Either<Refusal, HomeEnd>): void {
 		const isHeld = result.map(end => end.isHeld).orDefault(this._held.has(sessionId));
 		if (isHeld && this._state !== 'closed') {
 			this._held.add(sessionId);
@@ -276,7 +276,7 @@
 	}
 
 	/** Looks now and then whether the link is in use, which costs nothing per request. */
-	private _watchForIdle(): void {
+	private _scheduleIdleCheck(): void {
 		const {lastId} = this._pending;
 		this._timer.dispose();
 		this._timer = this.services.clock.setTimer(this.options.idleCloseMs, () => {
@@ -284,7 +284,7 @@
 			if (isIdle) {
 				this.dispose();
 			} else {
-				this._watchForIdle();
+				this._scheduleIdleCheck();
 			}
 		});
 	}
--- a/src/node/peers/peer-links.ts
+++ b/src/node/peers/peer-links.ts
@@ -23,7 +23,7 @@
 } from './types.js';
 
 /** What is remembered of a peer that could not be reached. */
-type Pause = {
+type ReconnectBackoff = {
 	readonly address: string;
 	readonly untilMs: number;
 	readonly delayMs: number;
@@ -32,7 +32,7 @@
 /** Reaches peers over one link each, opened on demand. */
 export class PeerLinks implements Peers {
 	private readonly _links = new Map<string, PeerLink>();
-	private readonly _pauses = new Map<string, Pause>();
+	private readonly _backoffs = new Map<string, ReconnectBackoff>();
 	private readonly _options: PeerOptions;
 	private _isDisposed = false;
 
@@ -55,14 +55,14 @@
 	}
 
 	async groupView(host: Host, group: string, timeoutMs: number): Promise<Either<Refusal, GroupView>> {
-		return this._with(host, async link => {
+		return this._withLink(host, async link => {
 			const answer = await link.requestUnary({$case: 'groupViewAsk', value: {group}}, 'groupViewAnswer', timeoutMs);
 			return answer.map(view => fromGroupView(view));
 		});
 	}
 
 	async probe(host: Host, timeoutMs: number): Promise<Either<Refusal, PeerProbe>> {
-		return this._with(host, async link => {
+		return this._withLink(host, async link => {
 			const answer = await link.requestUnary({$case: 'probe', value: {}}, 'probeAnswer', timeoutMs);
 			return answer.chain(probe => {
 				const peer = fromHost(probe.host);
@@ -78,7 +78,7 @@
 	}
 
 	async fetchChanges(host: Host, afterNumber: number, timeoutMs: number): Promise<Either<Refusal, ChangeBatch>> {
-		return this._with(host, async link => link.requestUnary({$case: 'changesAsk', value: {afterNumber}}, 'changesAnswer', timeoutMs));
+		return this._withLink(host, async link => link.requestUnary({$case: 'changesAsk', value: {afterNumber}}, 'changesAnswer', timeoutMs));
 	}
 
 	announceVersion(host: Host, version: number): void {
@@ -86,7 +86,7 @@
 	}
 
 	async handOver(host: Host, endpoint: string, timeoutMs: number): Promise<Either<Refusal, void>> {
-		return this._with(host, async link => {
+		return this._withLink(host, async link => {
 			const answer = await link.requestUnary({$case: 'handOver', value: {endpoint}}, 'handedOver', timeoutMs);
 			return answer.map(() => undefined);
 		});
@@ -106,10 +106,10 @@
 	}
 
 	private async _execute(host: Host, request: HomeRequest, sink: AnswerSink, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
-		return this._with(host, async link => link.execute({request, sink, signal}));
+		return this._withLink(host, async link => link.execute({request, sink, signal}));
 	}
 
-	private async _with<T>(host: Host, use: (link: PeerLink) => Promise<Either<Refusal, T>>): Promise<Either<Refusal, T>> {
+	private async _withLink<T>(host: Host, use: (link: PeerLink) => Promise<Either<Refusal, T>>): Promise<Either<Refusal, T>> {
 		return this._linkTo(host)
 			.map(async link => use(link))
 			.mapLeft(async refusal => Left<Refusal, T>(refusal))
@@ -124,7 +124,7 @@
 
 	private _linkTo(host: Host): Either<Refusal, PeerLink> {
 		const existing = this._links.get(host.name);
-		if (existing && !this._isMoved(existing.peer, host)) {
+		if (existing && !this._hasAddressChanged(existing.peer, host)) {
 			return Right(existing);
 		}
 
@@ -132,7 +132,7 @@
 			return Left(new Refusal('peerUnavailable', 'this node is stopping'));
 		}
 
-		const pause = this._pauses.get(host.name);
+		const pause = this._backoffs.get(host.name);
 		const pauseLeftMs = pause?.address === addressOf(host) ? pause.untilMs - this._services.clock.nowMs() : 0;
 		if (pauseLeftMs > 0) {
 			return Left(new Refusal('peerUnavailable', `${host.name} could not be reached`, {retryAfterMs: pauseLeftMs}));
@@ -143,7 +143,7 @@
 	}
 
 	/** Whether the host has another address now; a description from before its last start does not count. */
-	private _isMoved(linked: Host, host: Host): boolean {
+	private _hasAddressChanged(linked: Host, host: Host): boolean {
 		if (linked.peerPort === host.peerPort && linked.peerHost === host.peerHost) {
 			return false;
 		}
@@ -170,19 +170,19 @@
 		}
 
 		if (end === 'notOpened') {
-			this._pause(link.peer);
+			this._extendBackoff(link.peer);
 		} else {
-			this._pauses.delete(name);
+			this._backoffs.delete(name);
 		}
 	}
 
 	/** Keeps requests from waiting one after the other for a peer that does not answer. */
-	private _pause(peer: Host): void {
-		const previous = this._pauses.get(peer.name);
+	private _extendBackoff(peer: Host): void {
+		const previous = this._backoffs.get(peer.name);
 		const delayMs = previous
 			? Math.min(previous.delayMs * 2, this._options.maximumReopenDelayMs)
 			: this._options.firstReopenDelayMs;
-		this._pauses.set(peer.name, {address: addressOf(peer), delayMs, untilMs: this._services.clock.nowMs() + delayMs});
+		this._backoffs.set(peer.name, {address: addressOf(peer), delayMs, untilMs: this._services.clock.nowMs() + delayMs});
 	}
 }
 
--- a/src/node/peers/peer-server.ts
+++ b/src/node/peers/peer-server.ts
@@ -15,7 +15,7 @@
 	private readonly _options: PeerOptions;
 	private readonly _server: Server;
 	private readonly _links = new Set<ServedLink>();
-	private _owner: ServedLinkContext | undefined;
+	private _linkContext: ServedLinkContext | undefined;
 	private _isDraining = false;
 	private _onLastEnded: (() => void) | undefined;
 
@@ -48,12 +48,12 @@
 
 	/** Begins to answer; links that come earlier are turned away. */
 	serve(services: PeerServices, handlers: PeerHandlers): void {
-		this._owner = {
+		this._linkContext = {
 			services,
 			handlers,
 			options: this._options,
 			onHandshake: link => {
-				this._onGreeted(link);
+				this._onHandshake(link);
 			},
 			onEnded: link => {
 				this._onEnded(link);
@@ -72,7 +72,7 @@
 		}
 
 		if (this._links.size > 0) {
-			await this._noLinks(boundMs);
+			await this._waitForLinksToEnd(boundMs);
 		}
 	}
 
@@ -84,7 +84,7 @@
 		this._server.forceShutdown();
 	}
 
-	private _onGreeted(link: ServedLink): void {
+	private _onHandshake(link: ServedLink): void {
 		// The asker has one link at a time: an older one is lost, whether or not that was noticed.
 		for (const other of [...this._links].filter(other => other !== link && other.peer?.name === link.peer?.name)) {
 			other.dispose();
@@ -94,7 +94,7 @@
 	private _onEnded(link: ServedLink): void {
 		this._links.delete(link);
 		if (link.peer) {
-			this._owner?.handlers.onPeerLost(link.peer.name);
+			this._linkContext?.handlers.onPeerLost(link.peer.name);
 		}
 
 		if (this._links.size === 0) {
@@ -102,9 +102,9 @@
 		}
 	}
 
-	private async _noLinks(boundMs: number): Promise<void> {
+	private async _waitForLinksToEnd(boundMs: number): Promise<void> {
 		return new Promise(resolve => {
-			const bound = this._owner?.services.clock.setTimer(boundMs, resolve);
+			const bound = this._linkContext?.services.clock.setTimer(boundMs, resolve);
 			this._onLastEnded = () => {
 				bound?.dispose();
 				resolve();
@@ -113,12 +113,12 @@
 	}
 
 	private _accept(stream: ServerDuplexStream<Batch, Batch>): void {
-		if (!this._owner || this._isDraining) {
+		if (!this._linkContext || this._isDraining) {
 			stream.emit('error', {code: status.UNAVAILABLE, details: 'not ready'});
 			return;
 		}
 
-		const link = new ServedLink(stream, this._owner);
+		const link = new ServedLink(stream, this._linkContext);
 		this._links.add(link);
 		void link.run();
 	}
--- a/src/node/peers/pending-execute.ts
+++ b/src/node/peers/pending-execute.ts
@@ -51,7 +51,7 @@
 	private readonly _arrived: Array<{readonly frames: Uint8Array; readonly creditBytes: number}> = [];
 	private _end: HomeEnd | undefined;
 	private _isPushing = false;
-	private _unreportedBytes = 0;
+	private _unreturnedCreditBytes = 0;
 	private readonly _request: HomeRequest;
 	private readonly _handlers: BodyHandlers = {
 		answerChunk: chunk => {
@@ -77,7 +77,7 @@
 		const {clock} = _link.services;
 		this._deadlineAtMs = clock.nowMs() + this._request.timeLeftMs;
 		this._deadline = clock.setTimer(this._request.timeLeftMs, () => {
-			this._giveUp('deadline', 'no answer in time');
+			this._settleUnanswered('deadline', 'no answer in time');
 		});
 		_call.signal.addEventListener('abort', this._onAbort, {once: true});
 	}
@@ -113,7 +113,7 @@
 	linkLost(detail: string): void {
 		// The end may have arrived already and only wait for the receiver.
 		if (!this._end) {
-			this._giveUp('linkLost', detail);
+			this._settleUnanswered('linkLost', detail);
 		}
 	}
 
@@ -139,7 +139,7 @@
 	}
 
 	private _onRefused(refused: Refused): void {
-		if (!this._isDue(this._sequence)) {
+		if (!this._isNextInSequence(this._sequence)) {
 			return;
 		}
 
@@ -160,7 +160,7 @@
 	}
 
 	/** Whether a piece is the next of an answer that has not ended; the link fails otherwise. */
-	private _isDue(sequence: number): boolean {
+	private _isNextInSequence(sequence: number): boolean {
 		const isDue = this._link.services.invariants.check(
 			'answerMatching',
 			sequence === this._sequence && !this._end,
@@ -175,7 +175,7 @@
 
 	/** Takes in frames in their order; false when a piece of the answer is missing. */
 	private _accept(frames: Uint8Array, sequence: number, hasMore: boolean): boolean {
-		if (!this._isDue(sequence)) {
+		if (!this._isNextInSequence(sequence)) {
 			return false;
 		}
 
@@ -189,7 +189,7 @@
 
 		if (hasMore) {
 			// What is gathered here is bounded by the largest message, not by the window.
-			this._consumed(frames.length);
+			this._returnCredit(frames.length);
 		} else {
 			this._completeMessage(frames.length);
 		}
@@ -223,10 +223,10 @@
 					await pushed;
 				}
 
-				this._consumed(next.creditBytes);
+				this._returnCredit(next.creditBytes);
 			}
 		} catch (error) {
-			this._giveUp('receiverFailed', String(error));
+			this._settleUnanswered('receiverFailed', String(error));
 		}
 
 		this._isPushing = false;
@@ -236,15 +236,15 @@
 	}
 
 	/** Lets the peer send as much again, once it is worth an envelope. */
-	private _consumed(sizeBytes: number): void {
-		this._unreportedBytes += sizeBytes;
+	private _returnCredit(sizeBytes: number): void {
+		this._unreturnedCreditBytes += sizeBytes;
 		const isEnding = this._isSettled || this._end !== undefined;
-		if (isEnding || this._unreportedBytes < this._link.options.windowBytes / 2) {
+		if (isEnding || this._unreturnedCreditBytes < this._link.options.windowBytes / 2) {
 			return;
 		}
 
-		this._link.send(this._id, {$case: 'windowUpdate', value: {bytes: this._unreportedBytes}});
-		this._unreportedBytes = 0;
+		this._link.send(this._id, {$case: 'windowUpdate', value: {bytes: this._unreturnedCreditBytes}});
+		this._unreturnedCreditBytes = 0;
 	}
 
 	private _timeLeftForHomeMs(): number {
@@ -258,7 +258,7 @@
 		}
 
 		if (!this._isSent) {
-			this._giveUp('cancelled', '');
+			this._settleUnanswered('cancelled', '');
 			return;
 		}
 
@@ -268,7 +268,7 @@
 		const leftMs = Math.min(this._link.options.cancelAnswerMs, this._deadlineAtMs - clock.nowMs());
 		this._deadline.dispose();
 		this._deadline = clock.setTimer(Math.max(0, leftMs), () => {
-			this._giveUp('cancelled', 'no answer to the cancel in time');
+			this._settleUnanswered('cancelled', 'no answer to the cancel in time');
 		});
 	}
 
@@ -276,7 +276,7 @@
 		this._link.send(this._id, {$case: 'cancel', value: {}});
 	}
 
-	private _giveUp(cause: UnansweredCause, detail: string): void {
+	private _settleUnanswered(cause: UnansweredCause, detail: string): void {
 		if (this._isSettled) {
 			return;
 		}
--- a/src/node/peers/served-answer.ts
+++ b/src/node/peers/served-answer.ts
@@ -34,11 +34,11 @@
 	private _refusal: Refusal | undefined;
 	private _isQueued = false;
 	private _isClosed = false;
-	private _pusher: Promise<void> | undefined;
-	private _releasePusher: (() => void) | undefined;
+	private _backpressure: Promise<void> | undefined;
+	private _resolveBackpressure: (() => void) | undefined;
 
-	constructor(private readonly _way: AnswerTarget) {
-		this._creditBytes = _way.windowBytes;
+	constructor(private readonly _target: AnswerTarget) {
+		this._creditBytes = _target.windowBytes;
 	}
 
 	/** Whether an envelope can go out now: the end, or frames for which there is room. */
@@ -62,7 +62,7 @@
 		this._waiting.push(frames);
 		this._waitingBytes += frames.length;
 		this._queue();
-		return this._waitingBytes < this._way.partBytes ? undefined : this._roomToPush();
+		return this._waitingBytes < this._target.partBytes ? undefined : this._waitForRoom();
 	}
 
 	/** Ends the answer; the end travels with the last frames. */
@@ -86,7 +86,7 @@
 		this._isClosed = true;
 		this._waiting = [];
 		this._waitingBytes = 0;
-		this._letPush();
+		this._releaseBackpressure();
 	}
 
 	take(): Envelope | undefined {
@@ -97,8 +97,8 @@
 
 		const envelope = this._next();
 		this._isQueued = this.hasMore;
-		if (this._waitingBytes < this._way.partBytes) {
-			this._letPush();
+		if (this._waitingBytes < this._target.partBytes) {
+			this._releaseBackpressure();
 		}
 
 		return envelope;
@@ -107,28 +107,28 @@
 	private _next(): Envelope {
 		if (this._refusal) {
 			const homeNode = this._refusal.correction?.homeNode;
-			const homeHost = homeNode === undefined ? undefined : this._way.findHost(homeNode);
-			return this._last({$case: 'refused', value: toRefused(this._refusal, homeHost)});
+			const homeHost = homeNode === undefined ? undefined : this._target.findHost(homeNode);
+			return this._finalEnvelope({$case: 'refused', value: toRefused(this._refusal, homeHost)});
 		}
 
 		const {frames, hasMore} = this._takeFrames();
 		const sequence = this._sequence++;
 		if (this._end && this._waitingBytes === 0) {
-			return this._last({$case: 'answerEnd', value: toAnswerEnd(this._end, frames, sequence)});
+			return this._finalEnvelope({$case: 'answerEnd', value: toAnswerEnd(this._end, frames, sequence)});
 		}
 
-		return {requestId: this._way.requestId, body: {$case: 'answerChunk', value: {frames, sequence, hasMore}}};
+		return {requestId: this._target.requestId, body: {$case: 'answerChunk', value: {frames, sequence, hasMore}}};
 	}
 
-	private _last(body: Envelope['body']): Envelope {
+	private _finalEnvelope(body: Envelope['body']): Envelope {
 		this.close();
-		this._way.onSent();
-		return {requestId: this._way.requestId, body};
+		this._target.onSent();
+		return {requestId: this._target.requestId, body};
 	}
 
 	/** Whole pushes as far as they fit into one part, or a part of one that does not. */
 	private _takeFrames(): {frames: Uint8Array; hasMore: boolean} {
-		const limitBytes = Math.min(this._way.partBytes, this._creditBytes);
+		const limitBytes = Math.min(this._target.partBytes, this._creditBytes);
 		const pieces: Uint8Array[] = [];
 		let sizeBytes = 0;
 		while (pieces.length < this._waiting.length && sizeBytes + this._waiting[pieces.length].length <= limitBytes) {
@@ -138,7 +138,7 @@
 
 		if (pieces.length > 0) {
 			this._waiting = this._waiting.slice(pieces.length);
-			this._taken(sizeBytes);
+			this._consume(sizeBytes);
 			return {frames: joinFrames(pieces, sizeBytes), hasMore: false};
 		}
 
@@ -152,11 +152,11 @@
 
 		const frames = this._waiting[0].subarray(0, limitBytes);
 		this._waiting[0] = this._waiting[0].subarray(limitBytes);
-		this._taken(frames.length);
+		this._consume(frames.length);
 		return {frames, hasMore: true};
 	}
 
-	private _taken(sizeBytes: number): void {
+	private _consume(sizeBytes: number): void {
 		this._waitingBytes -= sizeBytes;
 		this._creditBytes -= sizeBytes;
 	}
@@ -164,20 +164,20 @@
 	private _queue(): void {
 		if (!this._isQueued && this.hasMore) {
 			this._isQueued = true;
-			this._way.writer.add(this);
+			this._target.writer.add(this);
 		}
 	}
 
-	private async _roomToPush(): Promise<void> {
-		this._pusher ??= new Promise(resolve => {
-			this._releasePusher = resolve;
+	private async _waitForRoom(): Promise<void> {
+		this._backpressure ??= new Promise(resolve => {
+			this._resolveBackpressure = resolve;
 		});
-		return this._pusher;
+		return this._backpressure;
 	}
 
-	private _letPush(): void {
-		this._releasePusher?.();
-		this._pusher = undefined;
-		this._releasePusher = undefined;
+	private _releaseBackpressure(): void {
+		this._resolveBackpressure?.();
+		this._backpressure = undefined;
+		this._resolveBackpressure = undefined;
 	}
 }
--- a/src/node/peers/served-link.ts
+++ b/src/node/peers/served-link.ts
@@ -34,7 +34,7 @@
 	private readonly _requests: ServedRequests;
 	private readonly _writer: LinkWriter;
 	private readonly _liveness: LivenessMonitor;
-	private readonly _receivers: BodyHandlers = {
+	private readonly _bodyHandlers: BodyHandlers = {
 		hello: hello => {
 			this._onHello(hello);
 		},
@@ -87,9 +87,9 @@
 
 	constructor(
 		private readonly _stream: ServerDuplexStream<Batch, Batch>,
-		private readonly _owner: ServedLinkContext,
+		private readonly _context: ServedLinkContext,
 	) {
-		const {options, services, handlers} = _owner;
+		const {options, services, handlers} = _context;
 		this._writer = new LinkWriter(options);
 		this._liveness = new LivenessMonitor(services.clock, this, {
 			tickMs: options.livenessTickMs,
@@ -123,7 +123,7 @@
 	}
 
 	private get _handlers(): PeerHandlers {
-		return this._owner.handlers;
+		return this._context.handlers;
 	}
 
 	/** The task of this link, from the greeting to the end. */
@@ -144,7 +144,7 @@
 				}
 			}
 		} catch (error) {
-			this._owner.services.log.event('peerLinkFailed', {peer: this._peer?.name, detail: String(error)});
+			this._context.services.log.event('peerLinkFailed', {peer: this._peer?.name, detail: String(error)});
 		}
 
 		this.dispose();
@@ -155,7 +155,7 @@
 	}
 
 	onSilent(): void {
-		this._owner.services.metrics.count('peerSilencesTotal');
+		this._context.services.metrics.count('peerSilencesTotal');
 		this.dispose();
 	}
 
@@ -175,7 +175,7 @@
 		this._writer.stop();
 		this._requests.close();
 		this._stream.end();
-		this._owner.onEnded(this);
+		this._context.onEnded(this);
 	}
 
 	private _receive({requestId, body}: Envelope): void {
@@ -189,7 +189,7 @@
 		}
 
 		try {
-			handleBody(this._receivers, body, requestId);
+			handleBody(this._bodyHandlers, body, requestId);
 		} catch (error) {
 			// The link carries other requests as well, so it goes on.
 			this._logFailure(error);
@@ -203,10 +203,10 @@
 			return;
 		}
 
-		const {options, services} = this._owner;
+		const {options, services} = this._context;
 		this._peer = peer;
 		this._requests.windowBytes = hello.windowBytes;
-		this._owner.onHandshake(this);
+		this._context.onHandshake(this);
 		services.membership.learn(peer);
 		this._writer.send(0, {
 			$case: 'hello',
@@ -230,6 +230,6 @@
 	}
 
 	private _logFailure(error: unknown): void {
-		this._owner.services.log.event('peerHandlerFailed', {peer: this._peer?.name, detail: String(error)});
+		this._context.services.log.event('peerHandlerFailed', {peer: this._peer?.name, detail: String(error)});
 	}
 }
--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -12,7 +12,7 @@
 import type {PeerOptions} from './types.js';
 
 /** A request that runs, or whose parts still arrive. */
-type Served = {
+type ServedRequest = {
 	/** Undefined once the executor is done with its signal. */
 	controller: AbortController | undefined;
 	isCancelled: boolean;
@@ -42,13 +42,13 @@
 	/** Bytes of one answer that may be sent unread; the asker says it in its greeting. */
 	windowBytes: number;
 
-	private readonly _served = new Map<number, Served>();
+	private readonly _served = new Map<number, ServedRequest>();
 	private _partsBytes = 0;
 	/** Controllers that aborted nothing: making one for each request is a good part of its cost. */
 	private readonly _spareControllers: AbortController[] = [];
 
-	constructor(private readonly _link: ServedRequestsContext) {
-		this.windowBytes = _link.options.windowBytes;
+	constructor(private readonly _context: ServedRequestsContext) {
+		this.windowBytes = _context.options.windowBytes;
 	}
 
 	/** Whether the asker waits for an answer; it may have given up on what it cancelled. */
@@ -66,20 +66,20 @@
 	execute(id: number, execute: Execute): void {
 		if (this._served.has(id)) {
 			// An answer under this id would be taken for that of the request before.
-			this._link.onFailure(new Error(`request id ${id} is in use`));
+			this._context.onFailure(new Error(`request id ${id} is in use`));
 			return;
 		}
 
-		if (this._served.size >= this._link.options.maximumInProgress) {
+		if (this._served.size >= this._context.options.maximumInProgress) {
 			this._refuse(id, new Refusal('overloaded', 'too many requests of one peer'));
 			return;
 		}
 
-		const served: Served = {
+		const served: ServedRequest = {
 			controller: this._spareControllers.pop() ?? new AbortController(), isCancelled: false, answer: this._answerTo(id), parts: undefined,
 		};
 		this._served.set(id, served);
-		this._link.onBegin();
+		this._context.onBegin();
 		if (execute.hasMore) {
 			served.parts = {execute, pieces: [], sizeBytes: 0};
 			this._addPart(id, served, execute.frames);
@@ -133,17 +133,17 @@
 	private _answerTo(id: number): ServedAnswer {
 		return new ServedAnswer({
 			requestId: id,
-			writer: this._link.writer,
+			writer: this._context.writer,
 			windowBytes: this.windowBytes,
-			partBytes: this._link.options.partBytes,
-			findHost: name => this._link.findHost(name),
+			partBytes: this._context.options.partBytes,
+			findHost: name => this._context.findHost(name),
 			onSent: () => {
 				this._served.delete(id);
 			},
 		});
 	}
 
-	private async _run(execute: Execute, frames: Uint8Array, served: Served): Promise<void> {
+	private async _run(execute: Execute, frames: Uint8Array, served: ServedRequest): Promise<void> {
 		const controller = served.controller ?? new AbortController();
 		const end = await this._execute(execute, frames, served.answer, controller.signal);
 		served.controller = undefined;
@@ -156,20 +156,20 @@
 
 	private async _execute(execute: Execute, frames: Uint8Array, answer: ServedAnswer, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
 		try {
-			return await this._link.executor.execute(fromExecute(execute, frames), answer, signal);
+			return await this._context.executor.execute(fromExecute(execute, frames), answer, signal);
 		} catch (error) {
-			this._link.onFailure(error);
+			this._context.onFailure(error);
 			return Left(new Refusal('invariantViolated', 'the request failed on the peer'));
 		}
 	}
 
 	/** Keeps a part; false when the request was refused because it grew too large. */
-	private _addPart(id: number, served: Served, piece: Uint8Array): boolean {
+	private _addPart(id: number, served: ServedRequest, piece: Uint8Array): boolean {
 		const parts = served.parts!;
 		parts.pieces.push(piece);
 		parts.sizeBytes += piece.length;
 		this._partsBytes += piece.length;
-		if (this._partsBytes <= this._link.options.maximumFramesBytes) {
+		if (this._partsBytes <= this._context.options.maximumFramesBytes) {
 			return true;
 		}
 
@@ -179,12 +179,12 @@
 		return false;
 	}
 
-	private _dropParts(served: Served): void {
+	private _dropParts(served: ServedRequest): void {
 		this._partsBytes -= served.parts?.sizeBytes ?? 0;
 		served.parts = undefined;
 	}
 
 	private _refuse(id: number, refusal: Refusal): void {
-		this._link.writer.send(id, {$case: 'refused', value: toRefused(refusal)});
+		this._context.writer.send(id, {$case: 'refused', value: toRefused(refusal)});
 	}
 }
