--- a/src/node/peers/body-handlers.ts
+++ b/src/node/peers/body-handlers.ts
@@ -3,12 +3,12 @@
  */
 import type {Body, BodyKind, BodyOf} from './types.js';
 
-/** One handler for each kind of body that is expected. */
+/** Handlers by kind of body; a kind without a handler is not expected. */
 export type BodyHandlers = {
 	readonly [K in BodyKind]?: (value: BodyOf<K>['value'], requestId: number) => void;
 };
 
-/** Gives a body to the handler of its kind; false when there is none. */
+/** Calls the handler for the body's kind; returns false if there is none. */
 export function handleBody(handlers: BodyHandlers, body: Body, requestId: number): boolean {
 	// The table pairs each kind with the type of its value; the compiler can't follow that through an index.
 	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
--- a/src/node/peers/constants.ts
+++ b/src/node/peers/constants.ts
@@ -1,46 +1,49 @@
 /**
- * Options of the peer links with their defaults, and why.
+ * Default options of the peer links, with the reasons for the values.
  */
 
 /** Defaults of `PeerOptions`. */
 export const peerDefaults = {
-	/** Time in which a link must have opened; zones are a few milliseconds apart. */
+	/** Time limit for opening a link; the latency between availability zones is a few milliseconds. */
 	openTimeoutMs: 500,
-	/** A link with nothing in progress for this long is closed. */
+	/** A link is closed after it had nothing in progress for this long. */
 	idleCloseMs: 30_000,
-	/** Silence is looked at this often while requests are in progress, never while idle. */
+	/** Interval of liveness checks while requests are in progress; an idle link is not checked. */
 	livenessTickMs: 200,
-	/** Silent ticks after which the peer is taken for lost: 0.8 to 1 s. */
+	/** Consecutive silent ticks after which the requesting side considers the peer lost: 0.8 to 1 s. */
 	askerSilentTicks: 4,
-	/** The answering side waits longer, since giving up there rolls transactions back. */
+	/** The same for the serving side, which waits longer because ending the link there rolls transactions back. */
 	servedSilentTicks: 10,
-	/** Requests of one link in progress at one time; more are refused at once. */
+	/** Maximum number of requests in progress on one link; further ones are refused at once. */
 	maximumInProgress: 2048,
-	/** Answer bytes of one request that may be on their way unread. */
+	/** Answer bytes of one request that may be in flight or unread: the initial credit of the serving side. */
 	windowBytes: 256 * 1024,
-	/** Largest piece of a request or an answer in one envelope; bounds what a small one waits behind. */
+	/** Largest part of a request or an answer in one envelope; bounds how long a small message waits behind a large one. */
 	partBytes: 64 * 1024,
-	/** A gRPC message takes no more envelopes once it has this many bytes. */
+	/** No further envelopes are added to a gRPC message once it has this many bytes. */
 	batchBytes: 64 * 1024,
-	/** Largest gRPC message that is accepted. */
+	/** Largest gRPC message that is sent or accepted. */
 	maximumMessageBytes: 16 * 1024 * 1024,
-	/** Largest request, and largest single message of an answer. */
+	/** Largest request, largest single message of an answer, and limit for all incomplete requests of a link together. */
 	maximumFramesBytes: 64 * 1024 * 1024,
-	/** Announcements that may wait for a slow link; more are dropped, as they are hints only. */
+	/** Send-queue length of a link from which on announcements are dropped; they are only hints. */
 	maximumAnnouncementsWaiting: 1024,
-	/** Part of the time left that the way of the answer may take, so that the home's own word arrives in time. */
+	/**
+	 * Time reserved for the transfer of the answer: the home gets a deadline that is earlier by this much (at
+	 * most by a tenth of the time left), so that its own refusal arrives before the requester times out.
+	 */
 	answerMarginMs: 5,
-	/** How long the answer to a cancelled request is waited for. */
+	/** Time limit for the answer to a cancelled request. */
 	cancelAnswerMs: 2000,
-	/** First pause after a link could not be opened; doubles up to the largest. */
+	/** Initial reconnect backoff after a link could not be opened; doubles up to `maximumReopenDelayMs`. */
 	firstReopenDelayMs: 50,
 	maximumReopenDelayMs: 2000,
-	/** HTTP/2 keepalive, which also notices a cut peer on a link that is open but has nothing in progress. */
+	/** Interval of HTTP/2 keepalive pings, which also detect a disconnected peer on an open link without requests. */
 	keepaliveMs: 20_000,
 	keepaliveTimeoutMs: 5000,
-	/** HTTP/2 flow control window of a link, above the credit that one request has. */
+	/** HTTP/2 flow control window of a link; larger than the credit of a single request (`windowBytes`). */
 	flowControlWindowBytes: 4 * 1024 * 1024,
 };
 
-/** Address that needs no encryption, since nothing leaves the host. */
+/** Matches loopback addresses; links to them need no encryption, since their traffic does not leave the host. */
 export const loopbackPattern = /^(?:127\.|::1$|localhost$)/v;
--- a/src/node/peers/link-definition.ts
+++ b/src/node/peers/link-definition.ts
@@ -1,5 +1,5 @@
 /**
- * The gRPC service of the link, from the generated definition.
+ * The gRPC service of the peer link, derived from the generated definition.
  */
 /* eslint-disable @typescript-eslint/naming-convention, @typescript-eslint/no-restricted-types -- gRPC's own names and its Buffer types */
 import {Buffer} from 'node:buffer';
@@ -15,10 +15,10 @@
 
 const {link} = PeerDefinition.methods;
 
-/** Path of the one method. */
+/** Path of the service's only method. */
 export const linkPath = `/${PeerDefinition.fullName}/${link.name}`;
 
-/** Encodes a batch; the buffer is a view, not a copy. */
+/** Encodes a batch; the returned buffer is a view of the encoded bytes, not a copy. */
 export function serializeBatch(batch: Batch): Buffer {
 	const bytes = Batch.encode(batch).finish();
 	return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
@@ -29,7 +29,7 @@
 	return Batch.decode(bytes);
 }
 
-/** The service for the answering side. */
+/** Service definition for the serving side. */
 export const linkService = {
 	link: {
 		path: linkPath,
@@ -50,10 +50,10 @@
 		'grpc.keepalive_time_ms': options.keepaliveMs,
 		'grpc.keepalive_timeout_ms': options.keepaliveTimeoutMs,
 		'grpc-node.flow_control_window': options.flowControlWindowBytes,
-		// A request is sent again only by who knows whether it ran.
+		// Retries are left to the caller of a request, which alone can tell whether the request may have run.
 		'grpc.enable_retries': 0,
 		'grpc.service_config_disable_resolution': 1,
-		// A link has its own connection, which ends with it.
+		// Each link has a connection of its own, which is closed with the link.
 		'grpc.use_local_subchannel_pool': 1,
 		'grpc.enable_http_proxy': 0,
 		'grpc.enable_channelz': 0,
@@ -61,7 +61,7 @@
 	};
 }
 
-/** Credentials of the asking side. */
+/** Channel credentials of the requesting side. */
 export function clientCredentials(tls?: PeerTls): ChannelCredentials {
 	if (!tls) {
 		return credentials.createInsecure();
@@ -70,7 +70,7 @@
 	return credentials.createSsl(Buffer.from(tls.authority), Buffer.from(tls.key), Buffer.from(tls.certificate));
 }
 
-/** Credentials of the answering side; with TLS it asks for a certificate of the authority. */
+/** Server credentials of the serving side; with TLS it requires a client certificate issued by the authority. */
 export function serverCredentials(tls?: PeerTls): ServerCredentials {
 	if (!tls) {
 		return ServerCredentials.createInsecure();
--- a/src/node/peers/link-writer.ts
+++ b/src/node/peers/link-writer.ts
@@ -1,6 +1,6 @@
 /**
- * The sending half of a link: gathers what is ready in one turn of the event loop into
- * one gRPC message, and stops while the stream is full.
+ * The sending half of a link: batches the envelopes that are ready in one turn of the event loop
+ * into gRPC messages, and stops while the stream's buffer is full.
  */
 import type {Envelope} from './generated/quetzalstream/peer.js';
 import type {
@@ -9,7 +9,7 @@
 
 const envelopeOverheadBytes = 64;
 
-/** Batches envelopes and keeps to the stream's backpressure. */
+/** Batches envelopes and respects the stream's backpressure. */
 export class LinkWriter {
 	private readonly _options: PeerOptions;
 	private _sources: EnvelopeSource[] = [];
@@ -22,29 +22,29 @@
 		this._options = options;
 	}
 
-	/** Number of sources that wait. */
+	/** Number of sources in the send queue. */
 	get queuedSourceCount(): number {
 		return this._sources.length;
 	}
 
-	/** Grows with every batch that was handed to the stream. */
+	/** Number of batches written to the stream so far. */
 	get sentBatches(): number {
 		return this._sentBatches;
 	}
 
-	/** Starts to send; what was queued before goes first. */
+	/** Starts to send, beginning with what is queued already. */
 	start(stream: BatchStream): void {
 		this._stream = stream;
 		this._scheduleFlush();
 	}
 
-	/** Stops for good; what was not sent stays unsent. */
+	/** Stops permanently and drops what is still queued. */
 	stop(): void {
 		this._stream = undefined;
 		this._sources = [];
 	}
 
-	/** The stream can take more. */
+	/** To be called when the stream accepts writes again. */
 	onDrain(): void {
 		this._isFull = false;
 		this._scheduleFlush();
@@ -55,13 +55,13 @@
 		this.add(singleEnvelopeSource({requestId, body}));
 	}
 
-	/** Queues a source; it is asked for its envelopes in turn with the others. */
+	/** Queues a source; the sources send their envelopes in turn. */
 	add(source: EnvelopeSource): void {
 		this._sources.push(source);
 		this._scheduleFlush();
 	}
 
-	/** Sends at once what is queued, as far as the stream takes it. */
+	/** Sends what is queued at once, until the stream's buffer is full. */
 	flush(): void {
 		while (this._stream && !this._isFull && this._sources.length > 0) {
 			this._sendBatch(this._stream);
@@ -98,7 +98,7 @@
 			}
 		}
 
-		// Sources with more go to the end, so that a large answer does not hold up small ones.
+		// Sources that have more go to the end of the queue, so that a large answer does not delay small ones.
 		this._sources = taken === this._sources.length ? unfinished : [...this._sources.slice(taken), ...unfinished];
 		if (envelopes.length > 0) {
 			this._sentBatches++;
--- a/src/node/peers/liveness-monitor.test.ts
+++ b/src/node/peers/liveness-monitor.test.ts
@@ -3,7 +3,7 @@
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
 import {LivenessMonitor} from './liveness-monitor.js';
 
-function watched(clock: VirtualClock): {liveness: LivenessMonitor; seen: string[]; subject: {isBusy: boolean}} {
+function startMonitor(clock: VirtualClock): {liveness: LivenessMonitor; seen: string[]; subject: {isBusy: boolean}} {
 	const seen: string[] = [];
 	const subject = {
 		isBusy: true,
@@ -19,19 +19,19 @@
 	return {liveness, seen, subject};
 }
 
-describe('Liveness', () => {
-	it('reports a silent peer once, after the given ticks', async () => {
+describe('LivenessMonitor', () => {
+	it('reports a silent peer once, after the maximum number of silent ticks', async () => {
 		const clock = new VirtualClock();
-		const {seen} = watched(clock);
+		const {seen} = startMonitor(clock);
 		await clock.advance(799);
 		expect(seen).toEqual(['quiet', 'quiet', 'quiet']);
 		await clock.advance(5000);
 		expect(seen.slice(3)).toEqual(['silent']);
 	});
 
-	it('begins to count again with every sign of life', async () => {
+	it('restarts the count whenever something arrives', async () => {
 		const clock = new VirtualClock();
-		const {liveness, seen} = watched(clock);
+		const {liveness, seen} = startMonitor(clock);
 		for (let round = 0; round < 10; round++) {
 			await clock.advance(600);
 			liveness.received();
@@ -40,9 +40,9 @@
 		expect(seen.includes('silent')).toEqual(false);
 	});
 
-	it('costs nothing while idle', async () => {
+	it('runs no timer while idle', async () => {
 		const clock = new VirtualClock();
-		const {liveness, seen, subject} = watched(clock);
+		const {liveness, seen, subject} = startMonitor(clock);
 		subject.isBusy = false;
 		await clock.advance(200);
 		expect([seen, clock.pendingTimers]).toEqual([[], 0]);
@@ -54,9 +54,9 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('does not count a pause of its own process as silence', async () => {
+	it('does not count a pause of its own process as silence of the peer', async () => {
 		const clock = new VirtualClock();
-		const {seen} = watched(clock);
+		const {seen} = startMonitor(clock);
 		await clock.advance(600);
 		clock.pause(3000);
 		await clock.advance(0);
--- a/src/node/peers/liveness-monitor.ts
+++ b/src/node/peers/liveness-monitor.ts
@@ -1,23 +1,23 @@
 /**
- * Notices a peer that has fallen silent while it is expected to say something.
+ * Detects a peer that sends nothing although messages from it are expected.
  */
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import type {Clock} from '../../common/services/services.js';
 
-/** What the watch asks of its link. */
+/** The part of a link that the monitor uses. */
 export type MonitoredLink = {
-	/** Whether something is in progress, so that silence means something. */
+	/** Whether requests are in progress; only then is silence a sign of loss. */
 	readonly isBusy: boolean;
-	/** Called each tick while busy; `hasReceived` tells of the time since the last tick. */
+	/** Called at each tick while busy; `hasReceived` says whether anything arrived since the last tick. */
 	onTick(hasReceived: boolean): void;
-	/** Called once, when the peer has been silent for too long. */
+	/** Called once, when the peer has sent nothing for the maximum number of ticks. */
 	onSilent(): void;
 };
 
 /**
- * Counts ticks without a sign of life while its subject is busy; costs nothing while idle.
- * It counts ticks of its own rather than elapsed time, and none that came late: after a
- * pause of this process the peer's words may lie unread.
+ * Counts the ticks without received messages while its subject is busy; no timer runs while it is
+ * idle. It counts its own ticks instead of elapsed time, and no ticks that came late: after a pause
+ * of this process, messages of the peer may have arrived that are not read yet.
  */
 export class LivenessMonitor implements Disposable {
 	private readonly _tickMs: number;
@@ -36,12 +36,12 @@
 		this._maximumSilentTicks = options.maximumSilentTicks;
 	}
 
-	/** Notes a sign of life. */
+	/** Records that something arrived from the peer. */
 	received(): void {
 		this._hasReceived = true;
 	}
 
-	/** Starts to watch; to be called whenever something begins. */
+	/** Starts the checks unless they run already; to be called whenever a request begins. */
 	start(): void {
 		if (!this._timer) {
 			this._silentTicks = 0;
--- a/src/node/peers/message-conversion.ts
+++ b/src/node/peers/message-conversion.ts
@@ -1,5 +1,5 @@
 /**
- * Conversion between the services' types and the messages of the link.
+ * Conversion between the types of the services and the messages of the peer link.
  */
 import {
 	errorAnswers, Refusal, type ErrorKind, type ViewCorrection,
@@ -53,7 +53,7 @@
 } as const satisfies Record<InstanceRole, WireRole>;
 const rolesFromWire: readonly InstanceRole[] = ['rebuilding', 'replica', 'primary'];
 
-/** A request as the first envelope of it carries it. */
+/** Converts a request to the body of its first envelope. */
 export function toExecute(request: HomeRequest, part: Pick<Execute, 'frames' | 'hasMore' | 'timeLeftMs'>): Execute {
 	return {
 		group: request.group,
@@ -73,7 +73,7 @@
 	};
 }
 
-/** The request of an envelope, with its whole frames. */
+/** Converts the body of a request's first envelope, and the complete frames, to the request. */
 export function fromExecute(execute: Execute, frames: Uint8Array): HomeRequest {
 	return {
 		group: execute.group,
@@ -94,7 +94,7 @@
 	};
 }
 
-/** The end of an answer with its last frames. */
+/** Converts the end of an answer, with its last frames, to the body of an envelope. */
 export function toAnswerEnd(end: HomeEnd, frames: Uint8Array, sequence: number): AnswerEnd {
 	return {
 		frames,
@@ -109,7 +109,7 @@
 	};
 }
 
-/** How a request ended. */
+/** Converts the body of an envelope to the end of an answer. */
 export function fromAnswerEnd(end: AnswerEnd): HomeEnd {
 	return {
 		transactionStatus: statusesFromWire[end.transactionStatus] ?? 'failed',
@@ -122,7 +122,7 @@
 	};
 }
 
-/** A refusal as an envelope carries it, with the host that it names as home. */
+/** Converts a refusal to the body of an envelope, with the host that it names as home. */
 export function toRefused(refusal: Refusal, homeHost?: Host): Refused {
 	return {
 		kind: refusal.kind,
@@ -133,7 +133,7 @@
 	};
 }
 
-/** The refusal of an envelope; a kind that this node does not know counts as the given one. */
+/** Converts the body of an envelope to a refusal; `unknownKind` replaces a kind that this node does not know. */
 export function fromRefused(refused: Refused, unknownKind: ErrorKind): Refusal {
 	const kind = isErrorKind(refused.kind) ? refused.kind : unknownKind;
 	return new Refusal(kind, refused.detail, {
@@ -146,17 +146,17 @@
 	return Object.hasOwn(errorAnswers, text);
 }
 
-/** The host of an envelope; undefined when it does not name one. */
+/** Converts the host of an envelope; undefined if there is none or it has no name. */
 export function fromHost(host: HostDescription | undefined): Host | undefined {
 	return host && host.name !== '' ? host : undefined;
 }
 
-/** A group view as an envelope carries it. */
+/** Converts a group view to the body of an envelope. */
 export function toGroupView(view: GroupView): GroupViewAnswer {
 	return {...view, instances: view.instances.map(instance => toInstanceView(instance))};
 }
 
-/** The group view of an envelope. */
+/** Converts the body of an envelope to a group view. */
 export function fromGroupView(view: GroupViewAnswer): GroupView {
 	return {...view, instances: view.instances.map(instance => fromInstanceView(instance))};
 }
--- a/src/node/peers/peer-link.ts
+++ b/src/node/peers/peer-link.ts
@@ -1,5 +1,5 @@
 /**
- * The asking side of one link: opens the stream, sends requests and matches answers.
+ * The requesting side of one link: opens the stream, sends requests and matches answers to them.
  */
 import {Left, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -27,14 +27,14 @@
 	// Deliberately empty.
 }
 
-/** Why a link ended: before it was open, by loss, or because it was closed on purpose. */
+/** How a link ended: it never opened, it was lost, or it was closed deliberately. */
 export type LinkEnd = 'notOpened' | 'lost' | 'closed';
 
-/** One link to one peer. Lives until it is lost, idle or disposed. */
+/** One link to one peer; it exists until it is lost, idle for too long or disposed. */
 export class PeerLink implements LinkContext, MonitoredLink, Disposable {
 	private _state: LinkState = 'opening';
 	private readonly _pending: PendingRequests;
-	/** Sessions that hold a transaction at the peer; the link must outlive them. */
+	/** Sessions that hold a transaction at the peer; the link is not closed while there are any. */
 	private readonly _held = new Set<string>();
 	private readonly _writer: LinkWriter;
 	private readonly _liveness: LivenessMonitor;
@@ -42,7 +42,7 @@
 	private _timer: Disposable;
 	private _maximumInProgress: number;
 	private _batchesAtTick = 0;
-	/** Whether the peer stops: what is in progress ends, nothing new begins. */
+	/** Whether the peer is stopping: requests in progress still finish, new ones are refused. */
 	private _isClosing = false;
 	private readonly _onEnd = new Emitter<LinkEnd>();
 	private readonly _handlers: BodyHandlers = {
@@ -68,12 +68,12 @@
 		this._liveness = new LivenessMonitor(services.clock, this, {tickMs: options.livenessTickMs, maximumSilentTicks: options.askerSilentTicks});
 		this._stream = new PeerStream(peer, options, tls);
 		this._timer = services.clock.setTimer(options.openTimeoutMs, () => {
-			this.fail('not open in time');
+			this.fail('the link did not open in time');
 		});
 		void this._run();
 	}
 
-	/** Fires once when the link has ended and every request on it is settled. */
+	/** Fires once, when the link has ended and all its requests are settled. */
 	get onEnd(): Event<LinkEnd> {
 		return this._onEnd.event;
 	}
@@ -82,7 +82,7 @@
 		return this._pending.size > 0;
 	}
 
-	/** Runs one request cycle on the peer. */
+	/** Runs one request cycle on the peer; returns the end of the answer, or why there is none. */
 	async execute(call: ExecuteCall): Promise<Either<Refusal, HomeEnd>> {
 		const refusal = this._refusalOf(call);
 		if (refusal) {
@@ -98,7 +98,7 @@
 		return result;
 	}
 
-	/** Asks a short question. */
+	/** Sends a request that has a single envelope as its answer. */
 	async requestUnary<K extends BodyKind>(body: Body, answerKind: K, timeoutMs: number): Promise<Either<Refusal, BodyOf<K>['value']>> {
 		const refusal = this._refusalOfAny();
 		if (refusal) {
@@ -113,7 +113,7 @@
 		return result;
 	}
 
-	/** Sends something that has no answer and may get lost. */
+	/** Sends a message that has no answer and may be lost; it is dropped if the send queue is too long. */
 	announce(body: Body): void {
 		if (this._writer.queuedSourceCount >= this.options.maximumAnnouncementsWaiting) {
 			this.services.metrics.count('peerAnnouncementsDroppedTotal');
@@ -123,11 +123,12 @@
 		this._writer.send(0, body);
 	}
 
-	/** Ends what a session holds at the peer. */
+	/** Makes the peer release what a session holds there. */
 	release(group: string, endpoint: string, sessionId: string): void {
 		this._held.delete(sessionId);
 		this._writer.send(0, {$case: 'release', value: {group, endpoint, sessionId}});
-		// The link may close at once; what the peer holds would then end only with it.
+		// The next call may close the link, which drops unsent messages; the peer would then keep what the session
+		// holds until it notices the end of the link.
 		this._writer.flush();
 		this._closeIfDone();
 	}
@@ -149,7 +150,7 @@
 			this.services.membership.reportReachability(this.peer.name, true);
 		}
 
-		// The peer watches for signs of life as well, hence also a ping when only it talks.
+		// The peer monitors liveness as well, so a ping is also due if the peer sends but this side does not.
 		if (!hasReceived || this._writer.sentBatches === this._batchesAtTick) {
 			this._writer.send(0, {$case: 'ping', value: {}});
 		}
@@ -159,14 +160,14 @@
 
 	onSilent(): void {
 		this.services.metrics.count('peerSilencesTotal');
-		this.fail('the peer fell silent');
+		this.fail('the peer sent nothing within the liveness timeout');
 	}
 
 	dispose(): void {
 		this._close('closed', 'the link was closed');
 	}
 
-	/** The task of this link, from the greeting to the end. */
+	/** Runs the link from the handshake to its end. */
 	private async _run(): Promise<void> {
 		this._stream.onDrain(() => {
 			this._writer.onDrain();
@@ -238,7 +239,7 @@
 			return new Refusal('messageTooLarge');
 		}
 
-		// A session that holds a transaction on a peer that stops may still end it.
+		// A session that holds a transaction at the peer may still finish it while the peer is stopping.
 		return this._held.has(request.sessionId) ? undefined : this._refusalOfAny();
 	}
 
@@ -275,7 +276,7 @@
 		}
 	}
 
-	/** Looks now and then whether the link is in use, which costs nothing per request. */
+	/** Checks periodically whether the link is in use; this adds no work to single requests. */
 	private _scheduleIdleCheck(): void {
 		const {lastId} = this._pending;
 		this._timer.dispose();
--- a/src/node/peers/peer-links.test.ts
+++ b/src/node/peers/peer-links.test.ts
@@ -29,7 +29,7 @@
 		pair.dispose();
 	});
 
-	it('carries a request and its answer whole', async () => {
+	it('transfers a request and its answer completely', async () => {
 		await start();
 		const request = requestWith({
 			access: 'write', step: 'begin', maximumAgeMs: 12.5, priority: -3, isIdempotent: true,
@@ -49,7 +49,7 @@
 		expect(pushed.map(piece => piece.length)).toEqual([30]);
 	});
 
-	it('carries a refusal with what the home knows better', async () => {
+	it('transfers a refusal with the correction of the home', async () => {
 		await start();
 		const result = pair.execute(requestWith());
 		const running = await pair.executor.next();
@@ -58,7 +58,7 @@
 		expect(await result).toEqual(Left(refusal));
 	});
 
-	it('tells the address of a home that the asker does not know yet', async () => {
+	it('sends the address of a home that the requester does not know yet', async () => {
 		await start();
 		const result = pair.execute(requestWith());
 		const running = await pair.executor.next();
@@ -67,12 +67,12 @@
 		expect(pair.learned).toEqual([pair.newcomer]);
 	});
 
-	it('matches answers that come out of order to their requests', async () => {
+	it('matches answers that arrive out of order to their requests', async () => {
 		await start();
 		const count = 50;
 		const answers = Array.from({length: count}, async (_, index) => {
 			const pushed: Uint8Array[] = [];
-			const result = await pair.execute(requestWith({sessionId: `asker/1/${index}`}), pushed);
+			const result = await pair.execute(requestWith({sessionId: `requester/1/${index}`}), pushed);
 			return [result.isRight(), pushed[0][0]];
 		});
 		const running: ManualExecution[] = [];
@@ -92,12 +92,12 @@
 		await start({partBytes: 1000, windowBytes: 4000, batchBytes: 2000});
 		const request = requestWith({frames: bytesOf(12_345, 7)});
 		const pushed: Uint8Array[] = [];
-		let letPush = (): void => undefined;
+		let releasePush = (): void => undefined;
 		const sink = {
 			async push(frames: Uint8Array) {
 				pushed.push(frames);
 				await new Promise<void>(resolve => {
-					letPush = resolve;
+					releasePush = resolve;
 				});
 			},
 		};
@@ -118,7 +118,7 @@
 		expect(pushed.map(piece => piece.length)).toEqual([9000]);
 		expect(hasRoom).toEqual(false);
 		const releasing = setInterval(() => {
-			letPush();
+			releasePush();
 		}, 1);
 		expect(await pair.kindOf(result)).toEqual('answered');
 		clearInterval(releasing);
@@ -126,7 +126,7 @@
 		expect(totalLength(pushed)).toEqual(17_050);
 	});
 
-	it('asks and announces', async () => {
+	it('sends unary requests and announcements', async () => {
 		await start();
 		const probe = await pair.links.probe(pair.home, 500);
 		expect(probe.extract()).toLooseEqual({host: pair.home, configurationVersion: 7});
@@ -140,10 +140,10 @@
 		pair.links.announceVersion(pair.home, 12);
 		pair.links.announceLeaving(pair.home);
 		await waitUntil(() => pair.announced.length === 4);
-		expect(pair.announced).toLooseEqual(['handOver stock-1', {group: 'stock', term: 4, primary: 'stock-3'}, 'asker 12', 'asker leaves']);
+		expect(pair.announced).toLooseEqual(['handOver stock-1', {group: 'stock', term: 4, primary: 'stock-3'}, 'requester 12', 'requester leaves']);
 	});
 
-	it('passes a cancel on and returns the home\'s word', async () => {
+	it('forwards a cancel and returns the answer of the home', async () => {
 		await start();
 		const controller = new AbortController();
 		const result = pair.execute(requestWith({access: 'write'}), [], controller);
@@ -154,7 +154,7 @@
 		expect(await pair.kindOf(result)).toEqual('cancelled');
 	});
 
-	it('answers at the deadline, cancels, and drops the late answer', async () => {
+	it('returns a refusal at the deadline, cancels the request, and drops the late answer', async () => {
 		await start();
 		const pushed: Uint8Array[] = [];
 		const result = pair.execute(requestWith({access: 'write', timeLeftMs: 300}), pushed);
@@ -168,7 +168,7 @@
 		expect(pushed).toEqual([]);
 	});
 
-	it('refuses at once what is too much', async () => {
+	it('refuses requests beyond the limit at once', async () => {
 		await start({maximumInProgress: 2});
 		const first = pair.execute(requestWith());
 		const second = pair.execute(requestWith());
@@ -181,7 +181,7 @@
 		expect([await pair.kindOf(first), await pair.kindOf(second)]).toEqual(['answered', 'answered']);
 	});
 
-	const deaths: ReadonlyArray<[name: string, request: Partial<HomeRequest>, hasPushed: boolean, kind: string]> = [
+	const linkLosses: ReadonlyArray<[name: string, request: Partial<HomeRequest>, hasPushed: boolean, kind: string]> = [
 		['a read', {}, false, 'peerUnavailable'],
 		['a read with an answer begun', {}, true, 'answerCutShort'],
 		['a write', {access: 'write'}, false, 'outcomeUnknown'],
@@ -189,7 +189,7 @@
 		['a statement of a transaction', {access: 'write', isInTransaction: true}, false, 'transactionLost'],
 		['a commit', {access: 'write', isInTransaction: true, step: 'commit'}, false, 'outcomeUnknown'],
 	];
-	async function dieDuring(changes: Partial<HomeRequest>, hasPushed: boolean): Promise<string> {
+	async function loseLinkDuring(changes: Partial<HomeRequest>, hasPushed: boolean): Promise<string> {
 		await start();
 		const pushed: Uint8Array[] = [];
 		const result = pair.execute(requestWith(changes), pushed);
@@ -204,13 +204,13 @@
 		return pair.kindOf(result);
 	}
 
-	for (const [name, changes, hasPushed, kind] of deaths) {
-		it(`says what is known when the home dies during ${name}`, async () => {
-			expect(await dieDuring(changes, hasPushed)).toEqual(kind);
+	for (const [name, changes, hasPushed, kind] of linkLosses) {
+		it(`reports what is known when the link to the home is lost during ${name}`, async () => {
+			expect(await loseLinkDuring(changes, hasPushed)).toEqual(kind);
 		});
 	}
 
-	it('says that nothing ran when the peer cannot be reached, and pauses', async () => {
+	it('reports a request as not run when the peer cannot be reached, and backs off', async () => {
 		await start();
 		const nowhere = hostNamed('home', 1);
 		const attempt = async (): Promise<string> => pair.kindOf(pair.execute(requestWith({access: 'write'}), [], {host: nowhere}));
@@ -223,13 +223,13 @@
 		expect(pair.reports).toEqual([false, false]);
 	});
 
-	it('does not take another host at the same address for the peer', async () => {
+	it('does not accept another host at the address of the peer', async () => {
 		await start();
-		const other = hostNamed('former', pair.home.peerPort);
+		const other = hostNamed('previous', pair.home.peerPort);
 		expect(await pair.kindOf(pair.links.probe(other, 500))).toEqual('peerUnavailable');
 	});
 
-	it('notices a peer that falls silent within a second, on both sides', async () => {
+	it('detects a silent peer on both sides, on the requesting side within a second', async () => {
 		await start();
 		const relay = new TcpRelay(pair.home.peerPort);
 		await relay.listen();
@@ -242,20 +242,20 @@
 		expect(pair.clock.nowMs() - startMs <= 1000).toEqual(true);
 		await pair.clock.advance(2500);
 		expect(running.signal.aborted).toEqual(true);
-		expect(pair.lost).toEqual(['asker']);
+		expect(pair.lost).toEqual(['requester']);
 		relay.dispose();
 	});
 
-	it('ends what a lost peer held, before its next link is served', async () => {
+	it('reports a peer as lost before its next link is served', async () => {
 		await start();
 		const first = pair.execute(requestWith());
 		const running = await pair.executor.next();
 		running.finish(Right(endWith({isHeld: true})));
 		await first;
-		const again = new PeerLinks(pair.servicesOf(hostNamed('asker', 0, {incarnation: '2'})));
+		const again = new PeerLinks(pair.servicesOf(hostNamed('requester', 0, {incarnation: '2'})));
 		const second = again.probe(pair.home, 500);
 		expect(await pair.kindOf(second)).toEqual('answered');
-		expect(pair.lost).toEqual(['asker']);
+		expect(pair.lost).toEqual(['requester']);
 		again.dispose();
 	});
 
@@ -267,20 +267,20 @@
 		await held;
 		await pair.clock.advance(200_000);
 		expect(pair.lost).toEqual([]);
-		pair.links.executorOf(pair.home).release('stock', 'stock-1', 'asker/1/1');
+		pair.links.executorOf(pair.home).release('stock', 'stock-1', 'requester/1/1');
 		await pair.clock.advance(60_000);
 		await waitUntil(() => pair.lost.length === 1);
-		expect(pair.executor.released).toEqual(['asker/1/1']);
+		expect(pair.executor.released).toEqual(['requester/1/1']);
 		expect(pair.reports.includes(false)).toEqual(false);
 		expect(pair.clock.pendingTimers).toEqual(0);
 	});
 
-	it('drains without cutting what is in progress', async () => {
+	it('drains without interrupting requests in progress', async () => {
 		await start();
 		const result = pair.execute(requestWith({access: 'write'}));
 		const running = await pair.executor.next();
 		const drained = pair.server.drain(10_000);
-		// Until the peer's word has arrived, questions are still answered.
+		// Unary requests are still answered until the closing message of the peer has arrived.
 		for (let kind = ''; kind !== 'peerUnavailable';) {
 			kind = await pair.kindOf(pair.links.probe(pair.home, 500));
 		}
@@ -291,10 +291,10 @@
 		expect(await pair.kindOf(pair.execute(requestWith({access: 'write'})))).toEqual('peerUnavailable');
 	});
 
-	it('speaks mutual TLS', async () => {
+	it('uses mutual TLS and refuses a peer without a certificate', async () => {
 		await start({}, testTls);
 		expect(await pair.kindOf(pair.links.probe(pair.home, 500))).toEqual('answered');
-		const withoutCertificate = new PeerLinks(pair.servicesOf(hostNamed('asker')));
+		const withoutCertificate = new PeerLinks(pair.servicesOf(hostNamed('requester')));
 		expect(await pair.kindOf(withoutCertificate.probe(pair.home, 500))).toEqual('peerUnavailable');
 		withoutCertificate.dispose();
 	});
--- a/src/node/peers/peer-links.ts
+++ b/src/node/peers/peer-links.ts
@@ -1,5 +1,5 @@
 /**
- * The asking side of all links of this node.
+ * The requesting side of all links of this node.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -22,14 +22,14 @@
 	Body, PeerOptions, PeerServices, PeerTls,
 } from './types.js';
 
-/** What is remembered of a peer that could not be reached. */
+/** Backoff of a peer that could not be reached: requests to this address are refused until `untilMs`. */
 type ReconnectBackoff = {
 	readonly address: string;
 	readonly untilMs: number;
 	readonly delayMs: number;
 };
 
-/** Reaches peers over one link each, opened on demand. */
+/** Sends requests to peers over one link per peer, which is opened on demand. */
 export class PeerLinks implements Peers {
 	private readonly _links = new Map<string, PeerLink>();
 	private readonly _backoffs = new Map<string, ReconnectBackoff>();
@@ -48,7 +48,7 @@
 		return {
 			execute: async (request, sink, signal) => this._execute(host, request, sink, signal),
 			release: (group, endpoint, sessionId) => {
-				// Without a link the peer holds nothing: it let go when the last one ended.
+				// Without a link the peer holds nothing for the session: it released everything when the last link ended.
 				this._links.get(host.name)?.release(group, endpoint, sessionId);
 			},
 		};
@@ -68,7 +68,7 @@
 				const peer = fromHost(probe.host);
 				return peer
 					? Right({host: peer, configurationVersion: probe.configurationVersion})
-					: Left(new Refusal('peerUnavailable', 'the peer does not name itself'));
+					: Left(new Refusal('peerUnavailable', 'the probe answer does not name its host'));
 			});
 		});
 	}
@@ -142,7 +142,10 @@
 		return Right(this._open(host));
 	}
 
-	/** Whether the host has another address now; a description from before its last start does not count. */
+	/**
+	 * Whether the host's address differs from that of the link. A description of another incarnation than the one
+	 * that membership knows is ignored, since it may be from before the host's last start.
+	 */
 	private _hasAddressChanged(linked: Host, host: Host): boolean {
 		if (linked.peerPort === host.peerPort && linked.peerHost === host.peerHost) {
 			return false;
@@ -176,7 +179,7 @@
 		}
 	}
 
-	/** Keeps requests from waiting one after the other for a peer that does not answer. */
+	/** Starts or doubles the backoff of a peer, so that not every request waits for a peer that does not answer. */
 	private _extendBackoff(peer: Host): void {
 		const previous = this._backoffs.get(peer.name);
 		const delayMs = previous
--- a/src/node/peers/peer-server.ts
+++ b/src/node/peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * The answering side of all links to this node.
+ * The serving side of all links to this node.
  */
 import {Server, status, type ServerDuplexStream} from '@grpc/grpc-js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -10,7 +10,7 @@
 import {ServedLink, type ServedLinkContext} from './served-link.js';
 import type {PeerOptions, PeerServices, PeerTls} from './types.js';
 
-/** Listens for links of peers and passes their requests on. */
+/** Accepts links from peers and passes their requests to the node's handlers. */
 export class PeerServer implements Disposable {
 	private readonly _options: PeerOptions;
 	private readonly _server: Server;
@@ -32,7 +32,7 @@
 		});
 	}
 
-	/** Begins to listen; port 0 takes a free one. Resolves with the port. */
+	/** Starts to listen and resolves with the port; port 0 selects a free one. Rejects if the address cannot be bound. */
 	async listen(host: string, port: number): Promise<number> {
 		const address = host.includes(':') ? `[${host}]` : host;
 		return new Promise((resolve, reject) => {
@@ -46,7 +46,7 @@
 		});
 	}
 
-	/** Begins to answer; links that come earlier are turned away. */
+	/** Starts to serve links; links that arrive before this call are refused as unavailable. */
 	serve(services: PeerServices, handlers: PeerHandlers): void {
 		this._linkContext = {
 			services,
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Takes no new links and has peers close theirs once nothing is in progress, within a bound. */
+	/** Refuses new links and asks peers to close theirs once nothing is in progress; waits at most `boundMs` for that. */
 	async drain(boundMs: number): Promise<void> {
 		this._isDraining = true;
 		for (const link of this._links) {
@@ -85,7 +85,7 @@
 	}
 
 	private _onHandshake(link: ServedLink): void {
-		// The asker has one link at a time: an older one is lost, whether or not that was noticed.
+		// A peer opens one link at a time, so an older link of it is lost, even if the loss was not detected yet.
 		for (const other of [...this._links].filter(other => other !== link && other.peer?.name === link.peer?.name)) {
 			other.dispose();
 		}
--- a/src/node/peers/peer-stream.ts
+++ b/src/node/peers/peer-stream.ts
@@ -1,5 +1,5 @@
 /**
- * The gRPC stream of a link as the asking side sees it, with a connection of its own.
+ * The gRPC stream of a link on the requesting side, with a connection of its own.
  */
 import {Client, type ClientDuplexStream} from '@grpc/grpc-js';
 import type {Host} from '../../common/services/services.js';
@@ -22,7 +22,8 @@
 		const address = peer.peerHost.includes(':') ? `[${peer.peerHost}]` : peer.peerHost;
 		this._client = new Client(`${address}:${peer.peerPort}`, clientCredentials(tls), channelOptions(options, tls));
 		this._stream = this._client.makeBidiStreamRequest(linkPath, serializeBatch, deserializeBatch);
-		// Who reads the batches hears of errors; this listener only keeps late ones from being thrown.
+		// The reader of `batches` gets the errors. This listener only keeps errors after the last read from being
+		// thrown as unhandled.
 		this._stream.on('error', ignore);
 	}
 
@@ -30,17 +31,17 @@
 		return this._stream.write(batch);
 	}
 
-	/** Calls back whenever the stream can take more after it was full. */
+	/** Calls the listener whenever the stream accepts writes again after its buffer was full. */
 	onDrain(listener: () => void): void {
 		this._stream.on('drain', listener);
 	}
 
-	/** What arrives, until the peer ends the stream; throws when the stream is lost. */
+	/** Yields the received batches until the peer ends the stream; throws if the stream is lost. */
 	batches(): AsyncIterable<Batch> {
 		return this._stream;
 	}
 
-	/** Ends the stream and its connection: in order, or at once. */
+	/** Closes the stream and its connection: in order, after pending writes, or by cancelling the stream at once. */
 	close(isInOrder: boolean): void {
 		if (isInOrder) {
 			this._stream.end();
--- a/src/node/peers/pending-execute.test.ts
+++ b/src/node/peers/pending-execute.test.ts
@@ -28,7 +28,7 @@
 	const failures: string[] = [];
 	const pushed: number[] = [];
 	const controller = new AbortController();
-	const services = pair.servicesOf(hostNamed('asker'));
+	const services = pair.servicesOf(hostNamed('requester'));
 	const link = {
 		services,
 		options: {...peerDefaults, partBytes: 100},
@@ -36,7 +36,7 @@
 			sent.push(body.$case);
 		},
 		removeRequest() {
-			// Not looked at.
+			// Not checked by these tests.
 		},
 		fail(detail: string) {
 			failures.push(detail);
@@ -64,7 +64,7 @@
 		expect([pushed, failures]).toEqual([[5], ['answer out of order']]);
 	});
 
-	it('is not ended a second time', async () => {
+	it('ignores a second end of the answer and fails the link', async () => {
 		const {pending, failures, pushed, kind} = setUp();
 		pending.take();
 		pending.receive({$case: 'answerEnd', value: toAnswerEnd(endWith(), new Uint8Array(3), 0)});
@@ -73,7 +73,7 @@
 		expect([await kind(), pushed, failures.length]).toEqual(['answered', [3], 2]);
 	});
 
-	it('takes no refusal as not run once the answer has begun', async () => {
+	it('does not report a refused request as not run once its answer has begun', async () => {
 		const {pending, kind} = setUp();
 		pending.take();
 		pending.receive(chunk(5, 0));
@@ -81,21 +81,21 @@
 		expect(await kind()).toEqual('answerCutShort');
 	});
 
-	it('counts a kind that it does not know as an unknown outcome', async () => {
+	it('treats an unknown kind of refusal of a write as an unknown outcome', async () => {
 		const {pending, kind} = setUp({access: 'write'});
 		pending.take();
 		pending.receive(refused('somethingNew'));
 		expect(await kind()).toEqual('outcomeUnknown');
 	});
 
-	it('counts as sent only with its last part, and cancels what it sent of it', async () => {
+	it('counts a request as sent only with its last part, and cancels the parts sent before', async () => {
 		const {pending, sent, controller, kind} = setUp({access: 'write', frames: new Uint8Array(250)});
 		expect([pending.take()?.body?.$case, pending.take()?.body?.$case, pending.hasMore]).toEqual(['execute', 'executePart', true]);
 		controller.abort();
 		expect([await kind(), sent, pending.hasMore, pending.take()]).toEqual(['cancelled', ['cancel'], false, undefined]);
 	});
 
-	it('waits a while for the answer to a cancel', async () => {
+	it('waits for the answer to a cancel up to the time limit', async () => {
 		const {pending, controller, kind, clock} = setUp({access: 'write'});
 		pending.take();
 		controller.abort();
--- a/src/node/peers/pending-execute.ts
+++ b/src/node/peers/pending-execute.ts
@@ -1,5 +1,5 @@
 /**
- * A request cycle on its way to a peer and back: the asking side of one `Execute`.
+ * The requesting side of one `Execute`: sends a request cycle to a peer and receives its answer.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -21,7 +21,7 @@
 	progressOf, unansweredRefusal, ambiguousErrorKind, type UnansweredCause,
 } from './unanswered.js';
 
-/** What the caller of `execute` gave. */
+/** Arguments of a call of `execute`. */
 export type ExecuteCall = {
 	readonly request: HomeRequest;
 	readonly sink: AnswerSink;
@@ -29,11 +29,12 @@
 };
 
 /**
- * One request cycle that waits for its answer. Settles exactly once; nothing is pushed
- * after that. The sink has to settle its promises when its caller is gone.
+ * One request cycle that waits for its answer. Settles exactly once; nothing is pushed after that.
+ * The sink must settle the promises of its pushes when its caller is gone: once the end of the
+ * answer has arrived, nothing else ends the wait for them.
  */
 export class PendingExecute implements PendingRequest, EnvelopeSource {
-	/** Settles with the answer's end or with a refusal. */
+	/** Resolves with the answer's end or with a refusal; never rejects. */
 	readonly result: Promise<Either<Refusal, HomeEnd>>;
 
 	private _resolve!: (result: Either<Refusal, HomeEnd>) => void;
@@ -44,10 +45,10 @@
 	private _isSettled = false;
 	private _hasPushed = false;
 	private _sequence = 0;
-	/** Parts of a message that has not arrived whole. */
+	/** Parts received so far of an incomplete message. */
 	private _parts: Uint8Array[] = [];
 	private _partsBytes = 0;
-	/** Whole messages that wait for the sink, with the bytes that the peer may send again once they are taken. */
+	/** Complete messages that wait for the sink, with the credit that the peer gets back once they are consumed. */
 	private readonly _arrived: Array<{readonly frames: Uint8Array; readonly creditBytes: number}> = [];
 	private _end: HomeEnd | undefined;
 	private _isPushing = false;
@@ -95,7 +96,7 @@
 		const isFirst = this._sentBytes === 0;
 		const part = frames.subarray(this._sentBytes, this._sentBytes + this._link.options.partBytes);
 		this._sentBytes += part.length;
-		// The request runs only once it is whole, so it counts as sent with its last part.
+		// The peer runs the request only once it is complete, so it counts as sent only with its last part.
 		this._isSent = this._sentBytes === frames.length;
 		const hasMore = !this._isSent;
 		return {
@@ -111,7 +112,7 @@
 	}
 
 	linkLost(detail: string): void {
-		// The end may have arrived already and only wait for the receiver.
+		// If the end of the answer has arrived, only the sink is waited for, and the link is not needed any more.
 		if (!this._end) {
 			this._settleUnanswered('linkLost', detail);
 		}
@@ -133,7 +134,7 @@
 		}
 
 		this._end = fromAnswerEnd(end);
-		// From here on only the receiver is waited for.
+		// From here on only the sink is waited for, without a deadline.
 		this._deadline.dispose();
 		this._deliver();
 	}
@@ -150,7 +151,10 @@
 		this._settle(Left(fits ? refusal : new Refusal(ambiguousErrorKind(this._request), refusal.detail)));
 	}
 
-	/** A host that started a short time ago is known to few; to be sent to it is of use only with its address. */
+	/**
+	 * Records the host that a refusal names as home, if it is unknown here. A recently started host may be known to
+	 * few nodes, and a redirect to it is useful only with its address.
+	 */
 	private _learnHome({homeHost}: Refused): void {
 		const {membership} = this._link.services;
 		const home = fromHost(homeHost);
@@ -159,12 +163,12 @@
 		}
 	}
 
-	/** Whether a piece is the next of an answer that has not ended; the link fails otherwise. */
+	/** Whether a piece is the next one of an answer that has not ended; if not, the link fails. */
 	private _isNextInSequence(sequence: number): boolean {
 		const isDue = this._link.services.invariants.check(
 			'answerMatching',
 			sequence === this._sequence && !this._end,
-			() => `piece ${sequence} of an answer where ${this._sequence} was due`,
+			() => `received piece ${sequence} of an answer, expected piece ${this._sequence} of one that has not ended`,
 		);
 		if (!isDue) {
 			this._link.fail('answer out of order');
@@ -173,7 +177,7 @@
 		return isDue;
 	}
 
-	/** Takes in frames in their order; false when a piece of the answer is missing. */
+	/** Adds the next frames; returns false if the link failed, as a piece is missing or a message is too large. */
 	private _accept(frames: Uint8Array, sequence: number, hasMore: boolean): boolean {
 		if (!this._isNextInSequence(sequence)) {
 			return false;
@@ -188,7 +192,8 @@
 		}
 
 		if (hasMore) {
-			// What is gathered here is bounded by the largest message, not by the window.
+			// The credit for parts of an incomplete message is returned at once, since a message may be larger than
+			// the window; what is buffered here is bounded by `maximumFramesBytes` instead.
 			this._returnCredit(frames.length);
 		} else {
 			this._completeMessage(frames.length);
@@ -212,7 +217,7 @@
 		}
 	}
 
-	/** Hands over what has arrived, one after the other, at the receiver's pace. */
+	/** Pushes the complete messages to the sink one after the other, each once the sink has consumed the previous one. */
 	private async _pushArrived(): Promise<void> {
 		this._isPushing = true;
 		try {
@@ -235,7 +240,7 @@
 		}
 	}
 
-	/** Lets the peer send as much again, once it is worth an envelope. */
+	/** Returns credit for consumed bytes to the peer, in one envelope once half a window has accumulated. */
 	private _returnCredit(sizeBytes: number): void {
 		this._unreturnedCreditBytes += sizeBytes;
 		const isEnding = this._isSettled || this._end !== undefined;
@@ -262,7 +267,7 @@
 			return;
 		}
 
-		// The home knows how far the request came; it is asked for that word for a while.
+		// Only the home knows how far the request came, so its answer to the cancel is waited for up to a time limit.
 		this._sendCancel();
 		const {clock} = this._link.services;
 		const leftMs = Math.min(this._link.options.cancelAnswerMs, this._deadlineAtMs - clock.nowMs());
--- a/src/node/peers/pending-requests.ts
+++ b/src/node/peers/pending-requests.ts
@@ -1,18 +1,18 @@
 /**
- * The book of requests that wait for an answer on one link.
+ * The table of pending requests of one link.
  */
 import type {Metrics} from '../../common/services/services.js';
 import type {Body} from './types.js';
 
 /** A request that waits for its answer. */
 export type PendingRequest = {
-	/** Takes an answer; false when the body is no answer to this request. */
+	/** Handles an answer; returns false if the body is not an answer to this request. */
 	receive(body: Body): boolean;
-	/** Ends the request because its link ended. */
+	/** Settles the request because its link has ended. */
 	linkLost(detail: string): void;
 };
 
-/** Matches answers to requests by id. Ids are never used twice on a link. */
+/** Matches answers to requests by id. An id is never reused on the same link. */
 export class PendingRequests {
 	private readonly _metrics: Metrics;
 	private readonly _pending = new Map<number, PendingRequest>();
@@ -22,17 +22,17 @@
 		this._metrics = metrics;
 	}
 
-	/** Requests in progress. */
+	/** Number of pending requests. */
 	get size(): number {
 		return this._pending.size;
 	}
 
-	/** Grows with every request. */
+	/** Id of the latest request; ids are ascending. */
 	get lastId(): number {
 		return this._lastId;
 	}
 
-	/** Enters a request under a new id. */
+	/** Creates a request under a new id and adds it to the table. */
 	begin<T extends PendingRequest>(create: (id: number) => T): T {
 		this._lastId++;
 		const pending = create(this._lastId);
@@ -40,24 +40,24 @@
 		return pending;
 	}
 
-	/** Takes a request out: from now on answers to it are late. */
+	/** Removes a request; answers that arrive for it from now on count as late. */
 	remove(id: number): void {
 		this._pending.delete(id);
 	}
 
-	/** Gives an answer to the request that it belongs to; drops it when there is none. */
+	/** Passes an answer to its request; drops and counts it if there is none. */
 	receive(id: number, body: Body): void {
 		const pending = this._pending.get(id);
 		if (pending?.receive(body)) {
 			return;
 		}
 
-		// Late: its request was given up on. Foreign: no request of this link asked for it.
+		// Late: the request is settled already. Foreign: the body answers no request of this link.
 		const isLate = !pending && id > 0 && id <= this._lastId;
 		this._metrics.count('peerAnswersDroppedTotal', {reason: isLate ? 'late' : 'foreign'});
 	}
 
-	/** Ends every request because the link ended. */
+	/** Settles all pending requests because the link has ended. */
 	linkLost(detail: string): void {
 		for (const pending of this._pending.values()) {
 			pending.linkLost(detail);
--- a/src/node/peers/pending-unary-request.ts
+++ b/src/node/peers/pending-unary-request.ts
@@ -1,5 +1,5 @@
 /**
- * A short question to a peer that has one envelope as answer.
+ * A request to a peer that has a single envelope as its answer.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -10,9 +10,9 @@
 	Body, BodyKind, BodyOf, LinkContext,
 } from './types.js';
 
-/** One question that waits for its answer. Settles exactly once. */
+/** A unary request that waits for its answer. Settles exactly once. */
 export class PendingUnaryRequest<K extends BodyKind> implements PendingRequest {
-	/** Settles with the answer or with a refusal. */
+	/** Resolves with the answer or with a refusal; never rejects. */
 	readonly result: Promise<Either<Refusal, BodyOf<K>['value']>>;
 
 	private _resolve!: (result: Either<Refusal, BodyOf<K>['value']>) => void;
--- a/src/node/peers/served-answer.test.ts
+++ b/src/node/peers/served-answer.test.ts
@@ -9,7 +9,7 @@
 import {ServedAnswer} from './served-answer.js';
 import {endWith} from './testing/link-pair.js';
 
-/** Envelopes of each batch as `kind:frames' length`, with `+` where the message goes on. */
+/** Records the envelopes of each batch as `kind:length of the frames`, with `+` if the message continues. */
 class RecordingStream {
 	readonly batches: string[][] = [];
 	isFull = false;
@@ -32,12 +32,12 @@
 		partBytes: 100,
 		findHost: () => undefined,
 		onSent() {
-			// Not looked at.
+			// Not checked by these tests.
 		},
 	});
 }
 
-function started(): {stream: RecordingStream; writer: LinkWriter} {
+function startWriter(): {stream: RecordingStream; writer: LinkWriter} {
 	const stream = new RecordingStream();
 	const writer = new LinkWriter({...peerDefaults, batchBytes: 1000});
 	writer.start(stream);
@@ -49,8 +49,8 @@
 }
 
 describe('ServedAnswer', () => {
-	it('sends a small answer as one envelope, and answers of one turn as one batch', async () => {
-		const {stream, writer} = started();
+	it('sends a small answer as one envelope, and the answers of one event-loop turn as one batch', async () => {
+		const {stream, writer} = startWriter();
 		for (const answer of [answerOn(writer), answerOn(writer)]) {
 			void push(answer, 10);
 			void push(answer, 20);
@@ -61,8 +61,8 @@
 		expect(stream.batches).toEqual([['answerEnd:30', 'answerEnd:30']]);
 	});
 
-	it('sends what is there without waiting for the end', async () => {
-		const {stream, writer} = started();
+	it('sends available frames without waiting for the end of the answer', async () => {
+		const {stream, writer} = startWriter();
 		const answer = answerOn(writer);
 		void push(answer, 10);
 		await settle();
@@ -71,8 +71,8 @@
 		expect(stream.batches).toEqual([['answerChunk:10'], ['answerEnd:0']]);
 	});
 
-	it('stops when the asker has no more room, and holds the pusher', async () => {
-		const {stream, writer} = started();
+	it('stops sending when the credit is used up, and makes the pusher wait', async () => {
+		const {stream, writer} = startWriter();
 		const answer = answerOn(writer, 150);
 		let hasRoom = false;
 		const pushing = async (): Promise<void> => {
@@ -94,8 +94,8 @@
 		expect(stream.batches.slice(4)).toEqual([['answerEnd:50']]);
 	});
 
-	it('takes turns with other answers, and waits while the stream is full', async () => {
-		const {stream, writer} = started();
+	it('alternates with other answers, and waits while the stream is full', async () => {
+		const {stream, writer} = startWriter();
 		stream.isFull = true;
 		const large = answerOn(writer);
 		const small = answerOn(writer);
@@ -115,8 +115,8 @@
 		expect(stream.batches.slice(1)).toEqual([['answerChunk:100+', 'answerEnd:10'], ['answerChunk:50']]);
 	});
 
-	it('refuses at once, without what still waits', async () => {
-		const {stream, writer} = started();
+	it('sends a refusal at once, without the frames that still wait', async () => {
+		const {stream, writer} = startWriter();
 		const answer = answerOn(writer, 50);
 		void push(answer, 80);
 		await settle();
--- a/src/node/peers/served-answer.ts
+++ b/src/node/peers/served-answer.ts
@@ -1,5 +1,5 @@
 /**
- * The answering side of one `Execute`: sends the answer as far as the asker has room for it.
+ * The serving side of one `Execute`: sends the answer as far as the requester has granted credit.
  */
 import type {Either} from 'purify-ts';
 import type {Refusal} from '../../common/errors/error-kinds.js';
@@ -10,21 +10,21 @@
 import {toAnswerEnd, toRefused} from './message-conversion.js';
 import type {EnvelopeSource} from './types.js';
 
-/** Where an answer goes. */
+/** Destination of an answer, with its limits. */
 export type AnswerTarget = {
 	readonly requestId: number;
 	readonly writer: LinkWriter;
-	/** Bytes that may be sent before the asker allows more. */
+	/** Initial credit: bytes that may be sent before the requester grants more. */
 	readonly windowBytes: number;
-	/** Largest piece in one envelope. */
+	/** Largest number of frame bytes in one envelope. */
 	readonly partBytes: number;
-	/** A host that a refusal names, with the address that the asker may lack. */
+	/** Returns the host that a refusal names; the requester may not know its address. */
 	findHost(name: string): Host | undefined;
-	/** Called once, when the last envelope is taken. */
+	/** Called once, when the writer takes the last envelope. */
 	onSent(): void;
 };
 
-/** An answer on its way to the asker. Frames must not change after they were pushed. */
+/** An answer that is being sent to the requester. Frames must not be modified after they were pushed. */
 export class ServedAnswer implements AnswerSink, EnvelopeSource {
 	private _waiting: Uint8Array[] = [];
 	private _waitingBytes = 0;
@@ -41,7 +41,7 @@
 		this._creditBytes = _target.windowBytes;
 	}
 
-	/** Whether an envelope can go out now: the end, or frames for which there is room. */
+	/** Whether an envelope can be sent now: the end or refusal, or frames for which there is credit. */
 	get hasMore(): boolean {
 		if (this._isClosed) {
 			return false;
@@ -65,7 +65,7 @@
 		return this._waitingBytes < this._target.partBytes ? undefined : this._waitForRoom();
 	}
 
-	/** Ends the answer; the end travels with the last frames. */
+	/** Ends the answer; the end is sent with the last frames, a refusal without the frames that still wait. */
 	end(end: Either<Refusal, HomeEnd>): void {
 		end.ifLeft(refusal => {
 			this._refusal = refusal;
@@ -75,13 +75,13 @@
 		this._queue();
 	}
 
-	/** Allows more bytes. */
+	/** Grants credit for more bytes. */
 	addCredit(sizeBytes: number): void {
 		this._creditBytes += sizeBytes;
 		this._queue();
 	}
 
-	/** Drops what is not sent: nobody waits for it. */
+	/** Drops unsent frames, which nobody waits for, and releases pushes that wait for room. */
 	close(): void {
 		this._isClosed = true;
 		this._waiting = [];
@@ -126,7 +126,7 @@
 		return {requestId: this._target.requestId, body};
 	}
 
-	/** Whole pushes as far as they fit into one part, or a part of one that does not. */
+	/** Takes as many whole pushes as fit into one part and the credit, or a piece of the first if it does not fit. */
 	private _takeFrames(): {frames: Uint8Array; hasMore: boolean} {
 		const limitBytes = Math.min(this._target.partBytes, this._creditBytes);
 		const pieces: Uint8Array[] = [];
--- a/src/node/peers/served-link.ts
+++ b/src/node/peers/served-link.ts
@@ -1,5 +1,5 @@
 /**
- * The answering side of one link: runs what the peer asks and answers it.
+ * The serving side of one link: runs the requests of the peer and answers them.
  */
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -13,12 +13,12 @@
 import {ServedRequests} from './served-requests.js';
 import type {Body, PeerOptions, PeerServices} from './types.js';
 
-/** What the server does around its links. */
+/** What the server provides to its links. */
 export type ServedLinkContext = {
 	readonly services: PeerServices;
 	readonly handlers: PeerHandlers;
 	readonly options: PeerOptions;
-	/** The peer has greeted: earlier links of it are over. */
+	/** Called when the peer's hello has arrived; earlier links of the same peer have to be disposed. */
 	onHandshake(link: ServedLink): void;
 	onEnded(link: ServedLink): void;
 };
@@ -109,7 +109,7 @@
 		});
 	}
 
-	/** The peer, once it has greeted. */
+	/** The peer; undefined until its hello has arrived. */
 	get peer(): Host | undefined {
 		return this._peer;
 	}
@@ -126,9 +126,10 @@
 		return this._context.handlers;
 	}
 
-	/** The task of this link, from the greeting to the end. */
+	/** Runs the link from the handshake to its end. */
 	async run(): Promise<void> {
-		// The loop below hears of errors too; this listener only keeps late ones from being thrown.
+		// The loop below gets the errors as well. This listener only keeps errors after the loop from being thrown
+		// as unhandled.
 		this._stream.on('error', ignore);
 		this._stream.on('cancelled', () => {
 			this.dispose();
@@ -151,7 +152,7 @@
 	}
 
 	onTick(): void {
-		// The asker pings; this side only listens.
+		// The requesting side sends the pings; this side only answers them.
 	}
 
 	onSilent(): void {
@@ -164,7 +165,7 @@
 		this._writer.send(0, {$case: 'closing', value: {}});
 	}
 
-	/** Ends the link and everything that runs for it. */
+	/** Ends the link and aborts all requests that run for it. */
 	dispose(): void {
 		if (this._isEnded) {
 			return;
@@ -191,7 +192,7 @@
 		try {
 			handleBody(this._bodyHandlers, body, requestId);
 		} catch (error) {
-			// The link carries other requests as well, so it goes on.
+			// The link carries other requests as well, so it is not ended.
 			this._logFailure(error);
 		}
 	}
--- a/src/node/peers/served-requests.test.ts
+++ b/src/node/peers/served-requests.test.ts
@@ -27,7 +27,7 @@
 		options,
 		findHost: () => undefined,
 		onBegin() {
-			// Not looked at.
+			// Not checked by these tests.
 		},
 		onFailure(error) {
 			failures.push(String(error));
@@ -38,7 +38,7 @@
 	};
 }
 
-/** Lets what is ready run, and then the flush that it set off. */
+/** Runs what is ready, and then the flush of the writer that it scheduled. */
 async function flushed(): Promise<void> {
 	await settle();
 	await settle();
@@ -49,7 +49,7 @@
 }
 
 describe('ServedRequests', () => {
-	it('refuses at once what is beyond the bound, and takes more when there is room', async () => {
+	it('refuses requests beyond the limit at once, and accepts new ones when others have ended', async () => {
 		const {requests, executor, sent} = setUp();
 		requests.execute(1, execute());
 		requests.execute(2, execute());
@@ -64,7 +64,7 @@
 		expect(sent).toEqual(['3 overloaded', '1 answerEnd']);
 	});
 
-	it('runs a request in parts once it is whole, and never one that was cancelled before', async () => {
+	it('runs a request in parts once it is complete, and never one that was cancelled before that', async () => {
 		const {requests, executor, sent} = setUp();
 		requests.execute(1, execute(10, true));
 		requests.execute(2, execute(10, true));
@@ -77,7 +77,7 @@
 		expect([running.request.frames.length, sent]).toEqual([30, ['1 cancelled']]);
 	});
 
-	it('bounds the bytes of requests that are not whole', async () => {
+	it('limits the total bytes of incomplete requests', async () => {
 		const {requests, sent} = setUp();
 		requests.execute(1, execute(60, true));
 		requests.execute(2, execute(60, true));
@@ -88,7 +88,7 @@
 		expect(sent).toEqual(['2 overloaded']);
 	});
 
-	it('does not run a second request under an id in use', async () => {
+	it('does not run a second request under an id that is in use', async () => {
 		const {requests, executor, failures, sent} = setUp();
 		requests.execute(1, execute());
 		requests.execute(1, execute());
@@ -98,7 +98,7 @@
 		expect([failures.length, sent]).toEqual([1, ['1 answerEnd']]);
 	});
 
-	it('waits for no sign of an asker that has cancelled', async () => {
+	it('expects no messages from a requester that has cancelled its request', async () => {
 		const {requests, executor} = setUp();
 		requests.execute(1, execute());
 		await executor.next();
@@ -107,12 +107,12 @@
 		expect(requests.hasUncancelledRequests).toEqual(false);
 	});
 
-	it('never lets the cancel of one request reach another that came after it', async () => {
+	it('never aborts a later request by the cancel of an earlier one', async () => {
 		const {requests, executor} = setUp();
 		requests.windowBytes = 0;
 		requests.execute(1, execute());
 		const first = await executor.next();
-		// There is no room for its answer, so that the request is still in the book when it is cancelled.
+		// Without credit the answer is not sent, so the request is still in the table when it is cancelled.
 		void first.sink.push(new Uint8Array(10));
 		first.finish(Right(endWith()));
 		await flushed();
--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -1,5 +1,5 @@
 /**
- * The request cycles that run here for one peer.
+ * The request cycles that this node runs for one peer.
  */
 import {Left, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -11,47 +11,47 @@
 import {ServedAnswer} from './served-answer.js';
 import type {PeerOptions} from './types.js';
 
-/** A request that runs, or whose parts still arrive. */
+/** A request that is running or still being received. */
 type ServedRequest = {
-	/** Undefined once the executor is done with its signal. */
+	/** Undefined once the executor has ended: the controller may serve another request then, which a late cancel must not abort. */
 	controller: AbortController | undefined;
 	isCancelled: boolean;
 	readonly answer: ServedAnswer;
-	/** The parts so far; undefined once the request is whole. */
+	/** The parts received so far; undefined once the request is complete. */
 	parts: {readonly execute: Execute; readonly pieces: Uint8Array[]; sizeBytes: number} | undefined;
 };
 
-/** Abort controllers that are kept for further requests. */
+/** Number of abort controllers that are kept for reuse by later requests. */
 const maximumSpareControllers = 64;
 
-/** What the requests need of their link. */
+/** What the requests need from their link. */
 export type ServedRequestsContext = {
 	readonly writer: LinkWriter;
 	readonly executor: HomeExecutor;
 	readonly options: PeerOptions;
-	/** A host by its name, if it is known. */
+	/** Returns the host of this name; undefined if it is not known. */
 	findHost(name: string): Host | undefined;
-	/** Called when a request begins to be served. */
+	/** Called when a request is accepted, before it runs. */
 	onBegin(): void;
-	/** Called when the executor failed in a way that is not a refusal. */
+	/** Called on a failure that is not a refusal: the executor threw, or a request id is in use. */
 	onFailure(error: unknown): void;
 };
 
-/** Runs the requests of one link, a bounded number at one time. */
+/** Runs the requests of one link, with a bounded number in progress. */
 export class ServedRequests {
-	/** Bytes of one answer that may be sent unread; the asker says it in its greeting. */
+	/** Initial credit of each answer in bytes; the requester sends it in its hello. */
 	windowBytes: number;
 
 	private readonly _served = new Map<number, ServedRequest>();
 	private _partsBytes = 0;
-	/** Controllers that aborted nothing: making one for each request is a good part of its cost. */
+	/** Controllers that never aborted, for reuse: creating one per request is a good part of a request's cost. */
 	private readonly _spareControllers: AbortController[] = [];
 
 	constructor(private readonly _context: ServedRequestsContext) {
 		this.windowBytes = _context.options.windowBytes;
 	}
 
-	/** Whether the asker waits for an answer; it may have given up on what it cancelled. */
+	/** Whether the requester waits for an answer; it may have settled cancelled requests already, so these don't count. */
 	get hasUncancelledRequests(): boolean {
 		for (const served of this._served.values()) {
 			if (!served.isCancelled) {
@@ -62,10 +62,10 @@
 		return false;
 	}
 
-	/** Begins a request, or refuses it at once when too many are in progress. */
+	/** Starts a request, or refuses it at once if too many are in progress. */
 	execute(id: number, execute: Execute): void {
 		if (this._served.has(id)) {
-			// An answer under this id would be taken for that of the request before.
+			// The requester would match an answer under this id to the earlier request.
 			this._context.onFailure(new Error(`request id ${id} is in use`));
 			return;
 		}
@@ -88,7 +88,7 @@
 		}
 	}
 
-	/** Takes a further part of a request, and runs it with the last one. */
+	/** Adds a further part of a request; the last part starts the request. */
 	addPart(id: number, part: ExecutePart): void {
 		const served = this._served.get(id);
 		if (!served?.parts || !this._addPart(id, served, part.frames) || part.hasMore) {
@@ -100,7 +100,7 @@
 		void this._run(execute, joinFrames(pieces, sizeBytes), served);
 	}
 
-	/** Asks the executor to stop; a request that is not whole never begins. */
+	/** Aborts the executor's signal; a request that is still being received is refused and never runs. */
 	cancel(id: number): void {
 		const served = this._served.get(id);
 		if (!served) {
@@ -115,12 +115,12 @@
 		}
 	}
 
-	/** Allows more answer bytes of a request. */
+	/** Grants credit for more answer bytes of a request. */
 	addCredit(id: number, sizeBytes: number): void {
 		this._served.get(id)?.answer.addCredit(sizeBytes);
 	}
 
-	/** Stops everything: nobody waits for it any more. */
+	/** Aborts all requests and drops their answers, which nobody waits for once the link has ended. */
 	close(): void {
 		for (const served of this._served.values()) {
 			served.answer.close();
@@ -163,7 +163,7 @@
 		}
 	}
 
-	/** Keeps a part; false when the request was refused because it grew too large. */
+	/** Stores a part; returns false if the request was refused, because incomplete requests take too many bytes. */
 	private _addPart(id: number, served: ServedRequest, piece: Uint8Array): boolean {
 		const parts = served.parts!;
 		parts.pieces.push(piece);
--- a/src/node/peers/testing/link-pair.ts
+++ b/src/node/peers/testing/link-pair.ts
@@ -1,5 +1,5 @@
 /**
- * Two nodes with a link between them over loopback, for tests.
+ * Test fixture: two nodes with a peer link between them over loopback.
  */
 import {
 	createConnection, createServer, type Server, type Socket,
@@ -15,19 +15,19 @@
 import {PeerServer} from '../peer-server.js';
 import type {PeerOptions, PeerServices, PeerTls} from '../types.js';
 
-/** A host of tests. */
+/** Creates a host with default values. */
 export function hostNamed(name: string, peerPort = 0, changes: Partial<Host> = {}): Host {
 	return {
 		name, availabilityZone: 'a', region: 'r', peerHost: '127.0.0.1', peerPort, operatorPort: 0, isLeaving: false, incarnation: '1', ...changes,
 	};
 }
 
-/** A request of tests. */
+/** Creates a request with default values. */
 export function requestWith(changes: Partial<HomeRequest> = {}): HomeRequest {
 	return {
 		group: 'stock',
 		endpoint: 'stock-1',
-		sessionId: 'asker/1/1',
+		sessionId: 'requester/1/1',
 		caller: 'shop',
 		frames: new Uint8Array([81, 0, 0, 0, 4]),
 		access: 'read',
@@ -43,14 +43,14 @@
 	};
 }
 
-/** An end of tests. */
+/** Creates the end of an answer with default values. */
 export function endWith(changes: Partial<HomeEnd> = {}): HomeEnd {
 	return {
 		transactionStatus: 'idle', position: {term: 1, offset: 11}, isHeld: false, queuedMs: 0, ...changes,
 	};
 }
 
-/** A request that an executor of tests runs until the test ends it. */
+/** A request that a `ManualExecutor` runs until the test calls `finish`. */
 export type ManualExecution = {
 	readonly request: HomeRequest;
 	readonly sink: AnswerSink;
@@ -58,7 +58,7 @@
 	finish(result: Either<Refusal, HomeEnd>): void;
 };
 
-/** Executes nothing by itself: the test takes each request and ends it. */
+/** Executes nothing by itself: the test gets each request from `next` and finishes it. */
 export class ManualExecutor implements HomeExecutor {
 	readonly released: string[] = [];
 	private readonly _running: ManualExecution[] = [];
@@ -75,7 +75,7 @@
 		this.released.push(sessionId);
 	}
 
-	/** The next request that arrives. */
+	/** Waits for the next request and returns it. */
 	async next(): Promise<ManualExecution> {
 		await waitUntil(() => this._running.length > 0);
 		return this._running.shift()!;
@@ -83,14 +83,14 @@
 }
 
 function ignore(): void {
-	// Not looked at.
+	// Not checked by these tests.
 }
 
-/** Waits while events come in; throws when a condition does not come true. */
+/** Waits until a condition holds, while events are processed; throws if it does not hold in time. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
 	for (let round = 0; !condition(); round++) {
 		if (round > 5000) {
-			throw new Error('the condition did not come true');
+			throw new Error('the condition did not become true within 5000 checks');
 		}
 
 		await new Promise(resolve => {
@@ -99,7 +99,7 @@
 	}
 }
 
-/** Relays a port, and can be told to fall silent without closing anything. */
+/** Relays a TCP port; `silence` makes it drop all data without closing a connection. */
 export class TcpRelay {
 	port = 0;
 	private _isSilent = false;
@@ -122,7 +122,7 @@
 		this.port = typeof address === 'object' && address ? address.port : 0;
 	}
 
-	/** From now on nothing passes. */
+	/** Drops all data from now on. */
 	silence(): void {
 		this._isSilent = true;
 	}
@@ -150,20 +150,20 @@
 	}
 }
 
-/** The two nodes `asker` and `home`. */
+/** The two nodes `requester` and `home`. */
 export class LinkPair {
 	readonly clock = new VirtualClock();
 	readonly log = new RecordingLog();
 	readonly executor = new ManualExecutor();
-	/** Names of peers that the home was told are lost. */
+	/** Names of the peers whose loss was reported to the home. */
 	readonly lost: string[] = [];
-	/** Announcements that the home received. */
+	/** Announcements and handovers that the home received. */
 	readonly announced: unknown[] = [];
-	/** Counted metrics, as `name` or `name:first label's value`. */
+	/** Counted metrics, as `name` or `name:value of the first label`. */
 	readonly counted: string[] = [];
-	/** Reports of the asker about the home. */
+	/** Reachability reports of the requester about the home. */
 	readonly reports: boolean[] = [];
-	/** Hosts that the asker learned of, beside the home. */
+	/** Hosts other than the home that the requester learned of. */
 	readonly learned: Host[] = [];
 	/** A host that only the home knows. */
 	readonly newcomer = hostNamed('newcomer', 7);
@@ -173,10 +173,10 @@
 
 	constructor(options: Partial<PeerOptions> = {}, tls?: PeerTls) {
 		this.server = new PeerServer(options, tls);
-		this.links = new PeerLinks(this.servicesOf(hostNamed('asker')), options, tls);
+		this.links = new PeerLinks(this.servicesOf(hostNamed('requester')), options, tls);
 	}
 
-	/** Begins to listen and to answer. */
+	/** Starts to listen and to serve links. */
 	async start(): Promise<this> {
 		const port = await this.server.listen('127.0.0.1', 0);
 		this.home = hostNamed('home', port);
@@ -184,7 +184,7 @@
 		return this;
 	}
 
-	/** Runs a request on the home; `pushed` gets what is pushed. */
+	/** Runs a request on the home; pushed frames are added to `pushed`. */
 	async execute(request: HomeRequest, pushed: Uint8Array[] = [], {signal = new AbortController().signal, host = this.home} = {}): Promise<Either<Refusal, HomeEnd>> {
 		const sink = {
 			push(frames: Uint8Array) {
@@ -194,13 +194,13 @@
 		return this.links.executorOf(host).execute(request, sink, signal);
 	}
 
-	/** The kind of refusal, or `answered`. */
+	/** Returns the kind of the refusal, or `answered`. */
 	async kindOf(result: Promise<Either<Refusal, unknown>>): Promise<string> {
 		const settled = await result;
 		return settled.isLeft() ? settled.extract().kind : 'answered';
 	}
 
-	/** Services of a node of this pair. */
+	/** Creates the services of a node of this pair. */
 	servicesOf(self: Host): PeerServices {
 		const metrics: Metrics = {
 			count: (name, labels = {}) => {
@@ -217,7 +217,7 @@
 			homeOf: () => undefined,
 			leave: ignore,
 			learn: host => {
-				if (self.name === 'asker' && host.name !== 'home') {
+				if (self.name === 'requester' && host.name !== 'home') {
 					this.learned.push(host);
 				}
 			},
--- a/src/node/peers/testing/tls-fixture.ts
+++ b/src/node/peers/testing/tls-fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A key pair and an authority made for tests only; they protect nothing.
+ * A certificate, its key and its authority, which are used in tests only and protect nothing.
  */
 import type {PeerTls} from '../types.js';
 
@@ -33,7 +33,7 @@
 fLKcmjMli/LRrlWxpGiL8R6/9x3b2H8VBMU4XoL/o8J43KIYG2tVam4h
 -----END PRIVATE KEY-----`;
 
-/** Mutual TLS; the certificate names `node`. */
+/** Mutual TLS options; the certificate is issued for the name `node`. */
 export const testTls: PeerTls = {
 	authority, certificate, key, serverName: 'node',
 };
--- a/src/node/peers/types.ts
+++ b/src/node/peers/types.ts
@@ -1,5 +1,5 @@
 /**
- * Types that the parts of the peer link share.
+ * Types shared by the modules of the peer link.
  */
 import type {
 	Invariants, Clock, Log, Membership, Metrics,
@@ -7,15 +7,15 @@
 import type {peerDefaults} from './constants.js';
 import type {Envelope} from './generated/quetzalstream/peer.js';
 
-/** Options of the peer links; units are in the names, reasons in `peerDefaults`. */
+/** Options of the peer links; names carry the units, `peerDefaults` explains the values. */
 export type PeerOptions = typeof peerDefaults;
 
-/** Mutual TLS of the links: both sides show a certificate of the authority. PEM. */
+/** Mutual TLS of the links, in PEM: both sides present a certificate issued by the authority. */
 export type PeerTls = {
 	readonly key: string;
 	readonly certificate: string;
 	readonly authority: string;
-	/** Name that peers' certificates carry, where that is not their address. */
+	/** Name in the peers' certificates, if it differs from their address. */
 	readonly serverName?: string;
 };
 
@@ -28,36 +28,36 @@
 	readonly membership: Membership;
 };
 
-/** A link as the requests on it see it. */
+/** The part of a link that its pending requests use. */
 export type LinkContext = {
 	readonly services: PeerServices;
 	readonly options: PeerOptions;
 	send(requestId: number, body: Body): void;
-	/** Takes the request out of the link's book: from now on answers to it are late. */
+	/** Removes the request from the link's table of pending requests; later answers to it count as late. */
 	removeRequest(requestId: number): void;
-	/** Ends the link, because the peer broke the protocol. */
+	/** Ends the link because of a protocol violation by the peer. */
 	fail(detail: string): void;
 };
 
-/** One body of an envelope, told apart by `$case`. */
+/** The body of an envelope; `$case` is the discriminant. */
 export type Body = NonNullable<Envelope['body']>;
 
-/** The body of one kind. */
+/** Body type of one kind. */
 export type BodyOf<K extends Body['$case']> = Extract<Body, {$case: K}>;
 
 /** Names of the kinds of body. */
 export type BodyKind = Body['$case'];
 
-/** Something that has envelopes to send; asked again as long as it has more. */
+/** A source of envelopes to send; the writer calls `take` again as long as `hasMore` is true. */
 export type EnvelopeSource = {
-	/** Whether `take` would give another envelope now. */
+	/** Whether `take` would return another envelope now. */
 	readonly hasMore: boolean;
-	/** The next envelope, or undefined when there is nothing to send any more. */
+	/** Returns the next envelope, or undefined if there is nothing left to send. */
 	take(): Envelope | undefined;
 };
 
-/** A gRPC stream as the writer needs it. */
+/** The part of a gRPC stream that the writer uses. */
 export type BatchStream = {
-	/** False when the stream is full until the next `drain`. */
+	/** Returns false if the stream's buffer is full until the next `drain` event. */
 	write(batch: {envelopes: Envelope[]}): boolean;
 };
--- a/src/node/peers/unanswered.test.ts
+++ b/src/node/peers/unanswered.test.ts
@@ -37,14 +37,14 @@
 
 describe('unanswered', () => {
 	for (const [name, changes, isSent, hasPushed, expected] of rows) {
-		it(`tells what is known of ${name}`, () => {
+		it(`selects the refusal for ${name}`, () => {
 			const progress = progressOf(requestWith(changes), isSent, hasPushed);
 			const answers = causes.map(cause => [cause, unansweredRefusal(cause, progress, '').kind]);
 			expect(Object.fromEntries(answers)).toLooseEqual(expected);
 		});
 	}
 
-	it('never says of a sent write that may have taken effect that it did not run', () => {
+	it('never reports a sent write that may have taken effect as not run', () => {
 		for (const request of [write, commit]) {
 			for (const hasPushed of [false, true]) {
 				const progress = progressOf(requestWith(request), true, hasPushed);
--- a/src/node/peers/unanswered.ts
+++ b/src/node/peers/unanswered.ts
@@ -1,13 +1,14 @@
 /**
- * What the asking side may say about a request that the peer did not answer.
+ * Selects the refusal for a request that the peer did not answer. A write or commit that was sent
+ * and may have taken effect is never reported as not run.
  */
 import {Refusal, type ErrorKind} from '../../common/errors/error-kinds.js';
 import type {HomeRequest} from '../../common/services/services.js';
 
-/** Why no answer is waited for any longer. */
+/** Why the requesting side stopped waiting for the answer. */
 export type UnansweredCause = 'deadline' | 'linkLost' | 'cancelled' | 'receiverFailed';
 
-/** How far a request had come. */
+/** How far a request had come when the requesting side stopped waiting. */
 export type SendProgress
 	= | 'unsent' | 'readSent' | 'readBegun' | 'writeSent'
 		| 'transactionUnsent' | 'transactionReadSent' | 'transactionWriteSent' | 'transactionBegun';
@@ -25,11 +26,12 @@
 	},
 	linkLost: {
 		unsent: 'peerUnavailable',
-		// A read does no harm when it runs twice.
+		// Running a read twice does no harm, so it may be reported as not run.
 		readSent: 'peerUnavailable',
 		readBegun: 'answerCutShort',
 		writeSent: 'outcomeUnknown',
-		// The home rolls back what a lost peer's sessions hold, and no commit was sent.
+		// The home rolls back the transactions of a lost peer's sessions. No commit was sent, so nothing of the
+		// transaction takes effect.
 		transactionUnsent: 'transactionLost',
 		transactionReadSent: 'transactionLost',
 		transactionWriteSent: 'transactionLost',
@@ -57,7 +59,7 @@
 	},
 } as const satisfies Record<UnansweredCause, Record<SendProgress, ErrorKind>>;
 
-/** How far a request has come, from what was sent and received. */
+/** Determines how far a request has come from what was sent and received. */
 export function progressOf(request: HomeRequest, isSent: boolean, hasPushed: boolean): SendProgress {
 	if (!isSent) {
 		return request.isInTransaction ? 'transactionUnsent' : 'unsent';
@@ -75,12 +77,12 @@
 	return hasPushed ? 'readBegun' : 'readSent';
 }
 
-/** The refusal of a request that was given up on. */
+/** Returns the refusal for a request that got no answer. */
 export function unansweredRefusal(cause: UnansweredCause, progress: SendProgress, detail: string): Refusal {
 	return new Refusal(unansweredKinds[cause][progress], detail);
 }
 
-/** The kind that stands for a refusal which does not fit what was received before it. */
+/** Returns the kind for a refusal that is unknown to this node or contradicts the part of the answer received before. */
 export function ambiguousErrorKind(request: HomeRequest): ErrorKind {
 	return request.access === 'write' ? 'outcomeUnknown' : 'answerCutShort';
 }
