--- a/src/node/endpoints/authentication.test.ts
+++ b/src/node/endpoints/authentication.test.ts
@@ -16,13 +16,13 @@
 	return new TextDecoder('latin1').decode(message);
 }
 
-/** Keys that an endpoint keeps of a password, with the proof of its own. */
+/** Computes the client proof that an endpoint expects for a password, and its own signature. */
 function serverSide(password: string, authMessage: string): {clientProof: string; serverSignature: string} {
 	const salted = pbkdf2Sync(password, Buffer.from(salt, 'base64'), 4096, 32, 'sha256');
 	const clientKey = createHmac('sha256', salted).update('Client Key').digest();
 	const storedKey = createHash('sha256').update(clientKey).digest();
 	const signature = createHmac('sha256', storedKey).update(authMessage).digest();
-	// eslint-disable-next-line no-bitwise -- the protocol combines both by exclusive or.
+	// eslint-disable-next-line no-bitwise -- the protocol combines both by XOR.
 	const proof = clientKey.map((byte, index) => byte ^ signature[index]);
 	const serverKey = createHmac('sha256', salted).update('Server Key').digest();
 	return {
@@ -31,7 +31,7 @@
 	};
 }
 
-/** Runs SCRAM up to the client's proof. */
+/** Runs SCRAM up to the client proof. */
 async function scram(password: string) {
 	const authentication = new Authentication({user: 'app', password});
 	const first = textOf(await authentication.answer(request(10, 'SCRAM-SHA-256\0\0')));
@@ -43,17 +43,17 @@
 }
 
 describe('Authentication', () => {
-	it('proves its password by SCRAM-SHA-256 and checks the endpoint\'s proof', async () => {
+	it('proves its password by SCRAM-SHA-256 and verifies the endpoint\'s signature', async () => {
 		const {authentication, final, clientProof, serverSignature} = await scram('secret');
 		expect(final.endsWith(`,p=${clientProof}`)).toEqual(true);
 		expect(await authentication.answer(request(12, `v=${serverSignature}`))).toEqual(undefined);
 		expect(await authentication.answer(request(0))).toEqual(undefined);
 	});
 
-	it('refuses an endpoint that cannot prove itself', async () => {
+	it('refuses an endpoint without a valid SCRAM signature', async () => {
 		const {authentication, clientProof} = await scram('secret');
 		await expect(authentication.answer(request(12, `v=${clientProof}`))).toBeRejectedWith('signature does not match');
-		await expect(authentication.answer(request(0))).toBeRejectedWith('the endpoint did not prove itself');
+		await expect(authentication.answer(request(0))).toBeRejectedWith('authentication ended without the endpoint\'s SCRAM signature');
 	});
 
 	const outOfOrder: Array<[string, Uint8Array, string]> = [
--- a/src/node/endpoints/authentication.ts
+++ b/src/node/endpoints/authentication.ts
@@ -1,5 +1,5 @@
 /**
- * Answers an endpoint's authentication requests: none, clear text, MD5 and SCRAM-SHA-256.
+ * Answers an endpoint's authentication requests: none, cleartext password, MD5 and SCRAM-SHA-256.
  */
 import {createHash} from 'node:crypto';
 import sasl, {type SaslSession} from 'pg/lib/crypto/sasl.js';
@@ -7,16 +7,16 @@
 import {int32At, textAt} from './bytes.js';
 import {ProtocolError} from './protocol-error.js';
 
-/** Whom this program is to the endpoint. */
+/** User and password that this program presents to endpoints. */
 export type Credentials = {
 	readonly user: string;
 	readonly password: string;
 };
 
-/** Answers a request's data, which follows its code; undefined where nothing is to be sent. */
+/** Answers a request; `data` is what follows its code. Returns undefined if nothing is to be sent. */
 type AuthenticationRequestHandler = (authentication: Authentication, data: Uint8Array) => Uint8Array | void | Promise<Uint8Array>;
 
-/** Handlers by the code of the request. */
+/** Handlers by request code. */
 const handlers = new Map<number, AuthenticationRequestHandler>([
 	[0, authentication => {
 		authentication.accept();
@@ -30,7 +30,7 @@
 	}],
 ]);
 
-/** The authentication of one connection. */
+/** Authentication state of one connection. */
 export class Authentication {
 	readonly credentials: Credentials;
 	private _sasl: SaslSession | undefined;
@@ -40,7 +40,7 @@
 		this.credentials = credentials;
 	}
 
-	/** Answers the body of an authentication request; undefined where nothing is to be sent. */
+	/** Answers the body of an authentication request; undefined if nothing is to be sent. Throws if it is invalid. */
 	async answer(body: Uint8Array): Promise<Uint8Array | undefined> {
 		const code = body.length < 4 ? -1 : int32At(body, 0);
 		const handler = handlers.get(code);
@@ -52,10 +52,10 @@
 		return answer ?? undefined;
 	}
 
-	/** The endpoint is content; one that began SCRAM must have shown that it knows the password. */
+	/** Handles AuthenticationOk; an endpoint that started SCRAM must have proved before that it knows the password. */
 	accept(): void {
 		if (this._sasl && !this._isServerVerified) {
-			throw new ProtocolError('the endpoint did not prove itself');
+			throw new ProtocolError('authentication ended without the endpoint\'s SCRAM signature');
 		}
 	}
 
@@ -84,7 +84,7 @@
 	}
 }
 
-/** The method is the protocol's, not a choice. */
+/** Computes the answer to an MD5 request; the PostgreSQL protocol prescribes MD5 for it. */
 function md5Answer({user, password}: Credentials, salt: Uint8Array): string {
 	const inner = createHash('md5').update(password + user).digest('hex');
 	const outer = createHash('md5').update(inner).update(salt).digest('hex');
--- a/src/node/endpoints/constants.ts
+++ b/src/node/endpoints/constants.ts
@@ -1,21 +1,21 @@
 /**
- * Names, message types and defaults of the protocol towards endpoints (docs/ENDPOINTS.md).
+ * Names, message types and defaults of the protocol with endpoints (docs/ENDPOINTS.md).
  */
 
 /** Defaults of the connector's options. */
 export const connectorDefaults = {
-	/** Time for connecting, start-up and authentication together. */
+	/** Time limit for connecting, start-up and authentication together. */
 	connectTimeoutMs: 2000,
-	/** Time for one control order, its wait behind others included. */
+	/** Time limit for one control command, including its wait behind earlier ones. */
 	controlTimeoutMs: 1000,
-	/** Longest single backend message that is taken in. */
+	/** Largest single backend message that is accepted. */
 	maximumMessageBytes: 64 * 1024 * 1024,
 } as const;
 
-/** Start of `application_name` on work connections; the home's id follows. */
+/** Prefix of `application_name` on work connections; the home's id follows. */
 export const workPrefix = 'quetzalstream-work:';
 
-/** Start of `application_name` on control connections; the observer's id follows. */
+/** Prefix of `application_name` on control connections; the observer's id follows. */
 export const controlPrefix = 'quetzalstream-control:';
 
 /** Reported parameter that carries the applied position. */
@@ -24,7 +24,7 @@
 /** Reported parameter that carries an instance's state. */
 export const stateParameter = 'quetzalstream.state';
 
-/** Bytes of a message's type and length. */
+/** Size of a message header: type and length. */
 export const frameHeaderBytes = 5;
 
 /** Type bytes of backend messages. */
--- a/src/node/endpoints/frame-socket.ts
+++ b/src/node/endpoints/frame-socket.ts
@@ -1,13 +1,13 @@
 /**
- * A socket read as batches of whole backend messages, with backpressure: while nobody
- * reads, the socket is paused.
+ * A socket that is read in batches of complete backend messages, with backpressure: it is paused
+ * while a batch waits to be read.
  */
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import {FrameSplitter} from './frame-splitter.js';
 import {messageOf} from './protocol-error.js';
 import type {ByteSocket} from './types.js';
 
-/** Reads and writes whole messages on one socket. One reader at a time. */
+/** Reads and writes complete messages on one socket; only one read may be pending at a time. */
 export class FrameSocket implements Disposable {
 	private readonly _socket: ByteSocket;
 	private readonly _splitter: FrameSplitter;
@@ -31,17 +31,17 @@
 		});
 	}
 
-	/** Why the connection ended, for people. */
+	/** Why the connection ended, for logs and faults. */
 	get closeDetail(): string {
 		return this._closeDetail;
 	}
 
-	/** Whether bytes can still be handed to the socket. */
+	/** Whether bytes can still be written to the socket. */
 	get isWritable(): boolean {
 		return this._socket.writable && !this._socket.destroyed;
 	}
 
-	/** Hands bytes to the socket; false when certainly none of them was sent. */
+	/** Writes bytes to the socket; returns false if it is certain that none of them was sent. */
 	write(bytes: Uint8Array): boolean {
 		if (!this.isWritable) {
 			return false;
@@ -51,7 +51,7 @@
 		return true;
 	}
 
-	/** The next batch of whole messages; undefined once the connection has ended. */
+	/** Resolves with the next batch of complete messages; undefined once the connection has ended. */
 	async read(): Promise<Uint8Array | undefined> {
 		const batch = this._unread.shift();
 		if (batch) {
@@ -68,21 +68,21 @@
 		});
 	}
 
-	/** Gives a rest of a batch back, to be read first. */
+	/** Puts the unread rest of a batch back, to be returned by the next read. */
 	unread(batch: Uint8Array): void {
 		if (batch.length > 0) {
 			this._unread.unshift(batch);
 		}
 	}
 
-	/** Sends the last bytes and ends the connection without waiting for the other side. */
+	/** Sends the last bytes and closes the connection without waiting for the other side. */
 	end(lastBytes: Uint8Array): void {
 		this._closeDetail = 'connection closed by this node';
 		this._socket.end(lastBytes);
 		this._socket.destroySoon();
 	}
 
-	/** Ends the connection at once. */
+	/** Closes the connection at once; `detail` becomes the reason unless it is closed already. */
 	destroy(detail: string): void {
 		if (!this._socket.destroyed) {
 			this._closeDetail = detail;
--- a/src/node/endpoints/frame-splitter.test.ts
+++ b/src/node/endpoints/frame-splitter.test.ts
@@ -6,7 +6,7 @@
 import {frame, join} from './testing/canned-endpoint.js';
 
 describe('FrameSplitter', () => {
-	it('gives back every message once and whole, however the stream is cut', () => {
+	it('returns every message once and complete, however the stream is split', () => {
 		const bodies = fc.array(fc.uint8Array({maxLength: 40}), {minLength: 1, maxLength: 20});
 		const cuts = fc.array(fc.integer({min: 1, max: 30}), {minLength: 1, maxLength: 50});
 		fc.assert(fc.property(bodies, cuts, (messages, sizes) => {
@@ -28,9 +28,9 @@
 		}), {seed: 11});
 	});
 
-	it('refuses lengths that cannot be', () => {
-		expect(() => new FrameSplitter(100).push(Uint8Array.of(68, 0, 0, 0, 3))).toThrow('message length is too small');
-		expect(() => new FrameSplitter(100).push(Uint8Array.of(68, 255, 0, 0, 0))).toThrow('message length is too small');
+	it('refuses invalid message lengths', () => {
+		expect(() => new FrameSplitter(100).push(Uint8Array.of(68, 0, 0, 0, 3))).toThrow('message length is less than 4 bytes');
+		expect(() => new FrameSplitter(100).push(Uint8Array.of(68, 255, 0, 0, 0))).toThrow('message length is less than 4 bytes');
 		expect(() => new FrameSplitter(100).push(Uint8Array.of(68, 0, 0, 0, 101))).toThrow('message exceeds the size limit');
 	});
 });
--- a/src/node/endpoints/frame-splitter.ts
+++ b/src/node/endpoints/frame-splitter.ts
@@ -1,11 +1,11 @@
 /**
- * Cuts a byte stream into batches of whole backend messages without decoding them.
+ * Splits a byte stream into batches of complete backend messages without decoding them.
  */
 import {int32At, joinBytes} from './bytes.js';
 import {frameHeaderBytes} from './constants.js';
 import {ProtocolError} from './protocol-error.js';
 
-/** Collects chunks and gives back whole messages as slices of them. */
+/** Collects chunks and returns complete messages as slices of them. */
 export class FrameSplitter {
 	private readonly _maximumMessageBytes: number;
 	private _buffered: Uint8Array[] = [];
@@ -17,8 +17,9 @@
 	}
 
 	/**
-	 * Takes the next chunk; answers all messages that are whole now, back to back.
-	 * Copies only where a message is spread over chunks, and then once.
+	 * Adds the next chunk and returns all messages that are complete now, back to back; undefined if
+	 * there are none. Throws a ProtocolError on an invalid length. Bytes are copied only if a message
+	 * is spread over several chunks, and then once.
 	 */
 	push(chunk: Uint8Array): Uint8Array | undefined {
 		const data = this._join(chunk);
@@ -71,7 +72,7 @@
 	private _lengthAt(data: Uint8Array, offset: number): number {
 		const lengthBytes = int32At(data, offset);
 		if (lengthBytes < 4) {
-			throw new ProtocolError('message length is too small');
+			throw new ProtocolError('message length is less than 4 bytes');
 		}
 
 		if (lengthBytes > this._maximumMessageBytes) {
--- a/src/node/endpoints/frames.ts
+++ b/src/node/endpoints/frames.ts
@@ -1,5 +1,5 @@
 /**
- * Readers of single backend messages within a batch of whole ones.
+ * Readers of single backend messages within a batch of complete ones.
  */
 import {parsePosition, type LogPosition} from '../../common/positions/log-position.js';
 import {int32At, textAt, uint16At} from './bytes.js';
@@ -7,12 +7,12 @@
 import {ProtocolError} from './protocol-error.js';
 import type {BackendError, FrameRange} from './types.js';
 
-/** Where the message that starts at an offset ends. */
+/** Returns the end, exclusive, of the message that starts at an offset. */
 export function frameEnd(batch: Uint8Array, offset: number): number {
 	return offset + 1 + int32At(batch, offset + 1);
 }
 
-/** Walks the messages of a batch of whole ones. */
+/** Iterates over the messages of a batch of complete ones. */
 export function * framesIn(batch: Uint8Array): Generator<FrameRange> {
 	let offset = 0;
 	while (offset < batch.length) {
@@ -22,7 +22,7 @@
 	}
 }
 
-/** Reads the name and value of a ParameterStatus. */
+/** Reads the name and value of a ParameterStatus; throws a ProtocolError if one is not terminated. */
 export function readParameter(batch: Uint8Array, bodyStart: number, end: number): {name: string; value: string} {
 	const nameEnd = endOfText(batch, bodyStart, end);
 	const valueEnd = endOfText(batch, nameEnd + 1, end);
@@ -32,7 +32,7 @@
 	};
 }
 
-/** Reads the fields of an ErrorResponse that decisions rest on. */
+/** Reads severity, SQLSTATE and message of an ErrorResponse; throws a ProtocolError if it is malformed. */
 export function readError(batch: Uint8Array, bodyStart: number, end: number): BackendError {
 	const fields = new Map<string, string>();
 	let offset = bodyStart;
@@ -44,7 +44,7 @@
 
 	const sqlState = fields.get('C');
 	if (sqlState?.length !== 5) {
-		throw new ProtocolError('error without an SQLSTATE');
+		throw new ProtocolError('error response without an SQLSTATE of 5 characters');
 	}
 
 	const severity = fields.get('V') ?? fields.get('S') ?? '';
@@ -55,10 +55,10 @@
 	};
 }
 
-/** Reads the columns of a DataRow as text; an absent value reads as empty text. */
+/** Reads the columns of a DataRow as text, NULL as empty text; throws a ProtocolError if the row is truncated. */
 export function readRow(batch: Uint8Array, bodyStart: number, end: number): string[] {
 	if (bodyStart + 2 > end) {
-		throw new ProtocolError('row is cut short');
+		throw new ProtocolError('data row is truncated');
 	}
 
 	const columns: string[] = [];
@@ -66,13 +66,13 @@
 	let offset = bodyStart + 2;
 	for (let index = 0; index < count; index++) {
 		if (offset + 4 > end) {
-			throw new ProtocolError('row is cut short');
+			throw new ProtocolError('data row is truncated');
 		}
 
 		const valueBytes = Math.max(0, int32At(batch, offset));
 		offset += 4;
 		if (offset + valueBytes > end) {
-			throw new ProtocolError('row is cut short');
+			throw new ProtocolError('data row is truncated');
 		}
 
 		columns.push(textAt(batch, offset, offset + valueBytes));
@@ -82,7 +82,7 @@
 	return columns;
 }
 
-/** Reads the position that a `quetzalstream.position` report carries. */
+/** Reads the position in a `quetzalstream.position` report; throws a ProtocolError if it is malformed. */
 export function readPosition(value: string): LogPosition {
 	const position = parsePosition(value);
 	if (!position) {
@@ -92,7 +92,7 @@
 	return position;
 }
 
-/** Name of a message type for people. */
+/** Returns a readable name of a message type, for error messages. */
 export function describeType(type: number): string {
 	const known = Object.entries(backendTypes).find(([, code]) => code === type);
 	return known?.[0] ?? `type 0x${type.toString(16)}`;
@@ -101,7 +101,7 @@
 function endOfText(batch: Uint8Array, start: number, end: number): number {
 	const textEnd = batch.indexOf(0, start);
 	if (start >= end || textEnd === -1 || textEnd >= end) {
-		throw new ProtocolError('text is not terminated');
+		throw new ProtocolError('text is not terminated by a zero byte');
 	}
 
 	return textEnd;
--- a/src/node/endpoints/once-emitter.ts
+++ b/src/node/endpoints/once-emitter.ts
@@ -3,12 +3,12 @@
  */
 import {Emitter, type Event} from '../../common/lifecycle/emitter.js';
 
-/** Fires once; a listener that comes later is called soon after it subscribed. */
+/** Fires once; a listener that subscribes after that is called in a microtask. */
 export class OnceEmitter {
 	private readonly _emitter = new Emitter<void>();
 	private _hasFired = false;
 
-	/** The subscriber's side. */
+	/** The event to subscribe to. */
 	readonly event: Event<void> = listener => {
 		if (this._hasFired) {
 			queueMicrotask(() => {
@@ -19,12 +19,12 @@
 		return this._emitter.event(listener);
 	};
 
-	/** Whether the event has happened. */
+	/** Whether the event has fired. */
 	get hasFired(): boolean {
 		return this._hasFired;
 	}
 
-	/** Calls the listeners the first time only. */
+	/** Calls the listeners; further calls have no effect. */
 	fire(): void {
 		if (!this._hasFired) {
 			this._hasFired = true;
--- a/src/node/endpoints/pg-endpoint-connection.test.ts
+++ b/src/node/endpoints/pg-endpoint-connection.test.ts
@@ -6,7 +6,7 @@
 import {SystemClock} from '../system-clock.js';
 import {PgEndpointConnector} from './pg-endpoint-connector.js';
 import {
-	CannedEndpoint, dataRow, errorResponse, frame, int32, join, parameter, ready, welcome, type CannedAnswer,
+	CannedEndpoint, dataRow, errorResponse, frame, int32, join, parameter, ready, startUpMessages, type CannedAnswer,
 } from './testing/canned-endpoint.js';
 
 const connector = new PgEndpointConnector(new SystemClock(), {user: 'app', password: 'secret'});
@@ -18,10 +18,10 @@
 	fixture.server.close();
 });
 
-/** Connects to a server that answers queries; the start-up reports position 1/5. */
+/** Opens a work connection to a server that answers queries; position 1/5 is reported at start-up. */
 async function open(answer: CannedAnswer): Promise<EndpointConnection> {
 	fixture.server = new CannedEndpoint((message, socket) => message.type === 'start'
-		? welcome(parameter('quetzalstream.position', '1/5'))
+		? startUpMessages(parameter('quetzalstream.position', '1/5'))
 		: answer(message, socket));
 	const opened = await connector.connectWork(await fixture.server.listen(), 'node-a');
 	return opened.unsafeCoerce();
@@ -36,7 +36,7 @@
 }
 
 describe('PgEndpointConnection', () => {
-	it('introduces itself as work of its home', async () => {
+	it('names its home and group in the start-up message', async () => {
 		const connection = await open(() => undefined);
 		const [start] = fixture.server.received[0];
 		expect(start?.includes('\0application_name\0quetzalstream-work:node-a\0')).toEqual(true);
@@ -44,7 +44,7 @@
 		connection.dispose();
 	});
 
-	it('relays an answer as it is in one push, without reports and the final message', async () => {
+	it('relays an answer unchanged in one push, without reports and the final message', async () => {
 		const answer = [frame('T', 'columns'), dataRow('1'), done];
 		const connection = await open(() => [...answer, parameter('quetzalstream.position', '2/9'), ready('T')]);
 		const sink = new Collector();
@@ -54,7 +54,7 @@
 		expect(fixture.server.received[0]?.[1]).toEqual('QSELECT 1\0');
 	});
 
-	it('keeps the last reported position and notes the first error', async () => {
+	it('keeps the latest reported position and records the first error', async () => {
 		const connection = await open(() => [errorResponse('23505'), errorResponse('25P02'), frame('N', '\0'), ready('E')]);
 		const sink = new Collector();
 		const end = await connection.exchange(query, sink);
@@ -62,7 +62,7 @@
 		expect(sink.pushes).toEqual([join([errorResponse('23505'), errorResponse('25P02'), frame('N', '\0')])]);
 	});
 
-	it('leaves out asynchronous messages and serves one exchange after the other', async () => {
+	it('drops asynchronous messages and runs one exchange after the other', async () => {
 		let count = 0;
 		const connection = await open(() => {
 			count++;
@@ -76,7 +76,7 @@
 		}
 	});
 
-	it('does not read on while the receiver is busy', async () => {
+	it('does not push further frames while the sink is busy', async () => {
 		const rows = Array.from({length: 100}, () => dataRow('x'.repeat(50_000)));
 		const connection = await open(() => [...rows, done, ready()]);
 		let waiting = 0;
@@ -95,17 +95,17 @@
 		expect(pushedBytes).toEqual(join([...rows, done]).length);
 	});
 
-	const breaks: Array<[string, Uint8Array[], string]> = [
+	const violations: Array<[string, Uint8Array[], string]> = [
 		['an unknown message', [frame('x', 'a')], 'type 0x78 is not expected here'],
 		['a message of another phase', [frame('R', int32(0))], 'authentication is not expected here'],
 		['a request for copy data', [frame('G', 'a')], 'type 0x47 is not expected here'],
-		['a length that cannot be', [Uint8Array.of(68, 0, 0, 0, 1)], 'message length is too small'],
+		['an invalid length', [Uint8Array.of(68, 0, 0, 0, 1)], 'message length is less than 4 bytes'],
 		['a malformed position', [parameter('quetzalstream.position', '2'), ready()], 'position report is malformed'],
-		['an unterminated parameter', [frame('S', 'name')], 'text is not terminated'],
-		['an error without a code', [frame('E', 'Mtext\0\0')], 'error without an SQLSTATE'],
+		['an unterminated parameter', [frame('S', 'name')], 'text is not terminated by a zero byte'],
+		['an error without a code', [frame('E', 'Mtext\0\0')], 'error response without an SQLSTATE of 5 characters'],
 		['a malformed status', [ready('Q')], 'transaction status is malformed'],
 	];
-	for (const [name, frames, detail] of breaks) {
+	for (const [name, frames, detail] of violations) {
 		it(`ends the connection with a fault on ${name}`, async () => {
 			const connection = await open(() => frames);
 			const closed = new Promise<void>(resolve => {
@@ -119,7 +119,7 @@
 		});
 	}
 
-	it('ends the connection when an answer comes that nobody asked for', async () => {
+	it('ends the connection on an answer outside of an exchange', async () => {
 		const connection = await open(() => [done, ready(), done]);
 		const closed = new Promise<void>(resolve => {
 			connection.onClose(resolve);
@@ -129,7 +129,7 @@
 		await closed;
 	});
 
-	it('does not relay a fatal error, and tells its code with the fault', async () => {
+	it('does not relay a fatal error, and reports its code with the fault', async () => {
 		const connection = await open((_message, socket) => {
 			socket.end(join([dataRow('1'), errorResponse('57P01', 'FATAL')]));
 			return undefined;
@@ -140,17 +140,17 @@
 		expect(sink.pushes).toEqual([dataRow('1')]);
 	});
 
-	it('gives up when the receiver fails', async () => {
+	it('ends the exchange with a fault when the sink fails', async () => {
 		const connection = await open(() => [done, ready()]);
 		const end = await connection.exchange(query, {
 			async push() {
-				throw new Error('receiver gone');
+				throw new Error('sink failed');
 			},
 		});
-		expect(end.extract()).toEqual({mayHaveReached: true, detail: 'receiver gone'});
+		expect(end.extract()).toEqual({mayHaveReached: true, detail: 'sink failed'});
 	});
 
-	it('says that nothing was sent on a connection that has ended', async () => {
+	it('reports that nothing was sent on a connection that has ended', async () => {
 		const connection = await open(() => undefined);
 		connection.dispose();
 		const end = await connection.exchange(query, new Collector());
@@ -160,7 +160,7 @@
 		});
 	});
 
-	it('settles what runs at once when it is disposed', async () => {
+	it('settles the exchange in progress at once when it is disposed', async () => {
 		const connection = await open((_message, socket) => {
 			socket.write(dataRow('1'));
 			return undefined;
@@ -173,7 +173,7 @@
 		expect(end.extract()).toEqual({mayHaveReached: true, detail: 'connection closed by this node'});
 	});
 
-	it('cancels over another connection with the key of this one', async () => {
+	it('sends a cancel over a separate connection with the key of its own', async () => {
 		const connection = await open(() => undefined);
 		const running = connection.exchange(query, new Collector());
 		connection.cancel();
@@ -196,7 +196,7 @@
 	];
 	for (const [name, request, expected] of methods) {
 		it(`answers ${name} authentication`, async () => {
-			fixture.server = new CannedEndpoint(message => message.type === 'start' ? [frame('R', request)] : welcome());
+			fixture.server = new CannedEndpoint(message => message.type === 'start' ? [frame('R', request)] : startUpMessages());
 			const opened = await connector.connectWork(await fixture.server.listen(), 'node-a');
 			expect(opened.isRight()).toEqual(true);
 			expect(fixture.server.received[0]?.[1]).toEqual(expected);
@@ -208,7 +208,7 @@
 		['an unknown method', [frame('R', int32(7))], {mayHaveReached: false, detail: 'authentication method 7 is not supported'}],
 		['an unexpected message', [dataRow('1')], {mayHaveReached: false, detail: 'dataRow during start-up'}],
 		['a malformed key', [frame('K', int32(0))], {mayHaveReached: false, detail: 'backend key is malformed'}],
-		['a malformed position', welcome(parameter('quetzalstream.position', 'x')), {mayHaveReached: false, detail: 'position report is malformed'}],
+		['a malformed position', startUpMessages(parameter('quetzalstream.position', 'x')), {mayHaveReached: false, detail: 'position report is malformed'}],
 	];
 	for (const [name, frames, fault] of refusals) {
 		it(`reports ${name} during start-up`, async () => {
@@ -218,7 +218,7 @@
 		});
 	}
 
-	it('reports an endpoint that nobody listens on', async () => {
+	it('reports a fault when nothing listens at the address of the endpoint', async () => {
 		fixture.server = new CannedEndpoint(() => undefined);
 		const address = await fixture.server.listen();
 		fixture.server.close();
@@ -226,10 +226,10 @@
 		expect(opened.isLeft()).toEqual(true);
 	});
 
-	it('gives up on an endpoint that does not answer in time', async () => {
+	it('reports a fault when the endpoint does not answer in time', async () => {
 		fixture.server = new CannedEndpoint(() => undefined);
-		const hasty = new PgEndpointConnector(new SystemClock(), {user: 'app', password: '', connectTimeoutMs: 20});
-		const opened = await hasty.connectWork(await fixture.server.listen(), 'node-a');
+		const impatient = new PgEndpointConnector(new SystemClock(), {user: 'app', password: '', connectTimeoutMs: 20});
+		const opened = await impatient.connectWork(await fixture.server.listen(), 'node-a');
 		expect(opened.extract()).toEqual({mayHaveReached: false, detail: 'no session within 20 ms'});
 		const [socket] = fixture.server.sockets;
 		if (socket && !socket.closed) {
--- a/src/node/endpoints/pg-endpoint-connection.ts
+++ b/src/node/endpoints/pg-endpoint-connection.ts
@@ -1,6 +1,6 @@
 /**
- * A work connection: relays the backend messages of one request cycle at a time as they
- * are, and takes only position reports out of the stream.
+ * A work connection: relays the backend messages of one request cycle at a time without changes.
+ * Parameter reports, notifications, fatal errors and ReadyForQuery are not relayed.
  */
 import {serialize} from 'pg-protocol';
 import {Left, Right, type Either} from 'purify-ts';
@@ -24,12 +24,12 @@
 	errorSqlState: string | undefined;
 };
 
-/** What to do with a message: pass it on, leave it out, or end the cycle. */
+/** What to do with a message: relay it, drop it, or end the request cycle. */
 type FrameAction = 'relay' | 'drop' | 'ready';
 
 type FrameHandler = (connection: PgEndpointConnection, batch: Uint8Array, bodyStart: number, end: number) => FrameAction;
 
-/** Sends a CancelRequest for this connection unless the check has become false. */
+/** Sends a CancelRequest for a connection, unless `isStillWanted` returns false once it could be sent. */
 export type CancelSender = (isStillWanted: () => boolean) => void;
 
 const statuses = new Map<number, TransactionStatus>([
@@ -38,12 +38,12 @@
 	[0x45, 'failed'],
 ]);
 
-/** Handlers by message type; a list, because every relayed row is looked up here. */
+/** Handlers by message type; an array, since the lookup is done for every relayed row. */
 const handlers: Array<FrameHandler | undefined> = Array.from({length: 256});
 
 /** One work connection to one endpoint. */
 export class PgEndpointConnection implements EndpointConnection {
-	/** Fires once when the connection has ended; late listeners are called, too. */
+	/** Fires once when the connection has ended; listeners that subscribe later are called as well. */
 	readonly onClose: Event<void>;
 	private readonly _frames: FrameSocket;
 	private readonly _sendCancel: CancelSender;
@@ -61,7 +61,7 @@
 		void this._run();
 	}
 
-	/** Position that the endpoint reported last on this connection. */
+	/** Latest position that the endpoint reported on this connection. */
 	get position(): LogPosition {
 		return this._position;
 	}
@@ -98,7 +98,7 @@
 		this._finish();
 	}
 
-	/** Takes in a ParameterStatus; only position reports matter. */
+	/** Handles a ParameterStatus; only position reports are used. */
 	handleParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === positionParameter) {
@@ -106,7 +106,7 @@
 		}
 	}
 
-	/** Takes in an ErrorResponse; a fatal one is not relayed, as the connection ends with it. */
+	/** Handles an ErrorResponse; a fatal one is not relayed, since the connection ends with it. */
 	handleError(batch: Uint8Array, bodyStart: number, end: number): FrameAction {
 		const {isFatal, sqlState} = readError(batch, bodyStart, end);
 		if (isFatal) {
@@ -121,7 +121,7 @@
 		return 'relay';
 	}
 
-	/** The connection's task: reads until the connection ends. */
+	/** Reads and handles messages until the connection ends. */
 	private async _run(): Promise<void> {
 		try {
 			for (;;) {
--- a/src/node/endpoints/pg-endpoint-connector.ts
+++ b/src/node/endpoints/pg-endpoint-connector.ts
@@ -16,7 +16,7 @@
 	BackendKey, ByteSocket, ConnectorOptions, StartedSession,
 } from './types.js';
 
-/** Opens connections with one set of credentials. */
+/** Opens work and control connections with one set of credentials. */
 export class PgEndpointConnector implements EndpointConnector {
 	private readonly _clock: Clock;
 	private readonly _options: ConnectorOptions;
@@ -40,7 +40,7 @@
 			new PgInstanceControl(session, this._clock, this._options.controlTimeoutMs)));
 	}
 
-	/** Cancels over a connection of its own; a cycle that ended meanwhile is left alone. */
+	/** Sends a CancelRequest over a separate connection, unless the request cycle has ended by the time it is open. */
 	private _sendCancel(endpoint: EndpointAddress, key: BackendKey | undefined, isStillWanted: () => boolean): void {
 		if (!key) {
 			return;
--- a/src/node/endpoints/pg-instance-control.test.ts
+++ b/src/node/endpoints/pg-instance-control.test.ts
@@ -4,7 +4,7 @@
 import {VirtualClock} from '../../common/testing/virtual-clock.js';
 import {PgEndpointConnector} from './pg-endpoint-connector.js';
 import {
-	CannedEndpoint, dataRow, errorResponse, frame, join, parameter, ready, welcome, type CannedAnswer,
+	CannedEndpoint, dataRow, errorResponse, frame, join, parameter, ready, startUpMessages, type CannedAnswer,
 } from './testing/canned-endpoint.js';
 
 const report = 'replica 3 c1 3/7 3/6 t';
@@ -20,7 +20,7 @@
 async function open(answer: CannedAnswer): Promise<InstanceControl> {
 	fixture.clock = new VirtualClock(0);
 	fixture.server = new CannedEndpoint((message, socket) => message.type === 'start'
-		? welcome(parameter('quetzalstream.state', report))
+		? startUpMessages(parameter('quetzalstream.state', report))
 		: answer(message, socket));
 	const connector = new PgEndpointConnector(fixture.clock, {user: 'app', password: '', controlTimeoutMs: 1000});
 	const opened = await connector.connectControl(await fixture.server.listen(), 'node-a');
@@ -38,7 +38,7 @@
 }
 
 describe('PgInstanceControl', () => {
-	it('gives the report of the start-up to its first listener, and those that follow', async () => {
+	it('passes the report made at start-up to its first listener, and later reports to its listeners', async () => {
 		const control = await open(() => undefined);
 		expect(await next(control.onState)).toEqual(state);
 		const following = next(control.onState);
@@ -48,7 +48,7 @@
 	});
 
 	const accepted = {isAccepted: true, state};
-	const orders: Array<[string, (control: InstanceControl) => Promise<{extract: () => unknown}>, string[], unknown]> = [
+	const commands: Array<[string, (control: InstanceControl) => Promise<{extract: () => unknown}>, string[], unknown]> = [
 		['SELECT quetzalstream_state()', async control => control.readState(), [report], state],
 		['SELECT quetzalstream_raise_term(5, \'o\'\'hara\')', async control => control.raiseTerm(5, 'o\'hara'), ['t', report], accepted],
 		['SELECT quetzalstream_promote(5, \'c\')', async control => control.promote(5, 'c'), ['f', report], {isAccepted: false, state}],
@@ -58,23 +58,23 @@
 		['SELECT quetzalstream_attach(\'node-a\', true)', async control => control.attach('node-a', true), ['f', 'node-b'], {isAttached: false, holder: 'node-b'}],
 		['SELECT quetzalstream_detach(\'node-a\')', async control => control.detach('node-a'), ['t', ''], undefined],
 	];
-	for (const [sql, give, answer, expected] of orders) {
-		it(`gives the order ${sql}`, async () => {
+	for (const [sql, send, answer, expected] of commands) {
+		it(`sends the control command ${sql}`, async () => {
 			const control = await open(() => row(...answer));
-			const result = await give(control);
+			const result = await send(control);
 			expect(result.extract()).toEqual(expected);
 			expect(fixture.server.received[0]?.at(-1)).toEqual(`Q${sql}\0`);
 		});
 	}
 
 	const faults: Array<[string, Uint8Array[], unknown]> = [
-		['an error', [errorResponse('42883'), ready()], {mayHaveReached: true, detail: 'the order was refused', sqlState: '42883'}],
-		['no row', [frame('C', 'SELECT 0\0'), ready()], {mayHaveReached: true, detail: 'the order was answered without a row'}],
+		['an error', [errorResponse('42883'), ready()], {mayHaveReached: true, detail: 'the endpoint refused the control command', sqlState: '42883'}],
+		['no row', [frame('C', 'SELECT 0\0'), ready()], {mayHaveReached: true, detail: 'control command was answered without a row'}],
 		['a malformed state', row('t', 'primary'), {mayHaveReached: true, detail: 'state report is malformed'}],
-		['a malformed flag', row('yes', report), {mayHaveReached: true, detail: 'order answer is malformed'}],
-		['a malformed row', [frame('D', Uint8Array.of(0, 2))], {mayHaveReached: true, detail: 'row is cut short'}],
+		['a malformed flag', row('yes', report), {mayHaveReached: true, detail: 'flag in the answer to a control command is malformed'}],
+		['a malformed row', [frame('D', Uint8Array.of(0, 2))], {mayHaveReached: true, detail: 'data row is truncated'}],
 		['a malformed report', [parameter('quetzalstream.state', 'x'), ...row('t', report)], {mayHaveReached: true, detail: 'state report is malformed'}],
-		['two rows', [dataRow('t', report), ...row('t', report)], {mayHaveReached: true, detail: 'an order was answered by more than one row'}],
+		['two rows', [dataRow('t', report), ...row('t', report)], {mayHaveReached: true, detail: 'control command was answered with more than one row'}],
 	];
 	for (const [name, frames, fault] of faults) {
 		it(`reports ${name}`, async () => {
@@ -84,7 +84,7 @@
 		});
 	}
 
-	it('gives one order at a time, and matches a late answer to its own order', async () => {
+	it('sends one command at a time, and matches a late answer to its own command', async () => {
 		const control = await open(({body}) => body.includes('attach') ? row('t', 'node-a') : undefined);
 		const first = control.raiseTerm(5, 'c');
 		const second = control.readState();
@@ -104,7 +104,7 @@
 		]);
 	});
 
-	it('ends what waits when the connection ends', async () => {
+	it('settles all waiting commands when the connection ends', async () => {
 		const control = await open((_message, socket) => {
 			socket.destroy();
 			return undefined;
--- a/src/node/endpoints/pg-instance-control.ts
+++ b/src/node/endpoints/pg-instance-control.ts
@@ -1,8 +1,9 @@
 /**
- * A control connection: takes in state reports and gives orders, one at a time.
+ * A control connection: receives state reports and sends control commands, one at a time.
  *
- * An order that got no answer in time is given up, but its place in the stream is kept
- * until the answer comes: closing the connection would detach the home that is bound to it.
+ * A command that was sent but not answered in time is settled with a fault. It stays first in the
+ * queue until its answer arrives, so that the answer is not matched to the next command. The
+ * connection is not closed instead, since that would detach the home that is bound to it.
  */
 import {serialize} from 'pg-protocol';
 import {Left, Right, type Either} from 'purify-ts';
@@ -60,9 +61,9 @@
 
 /** One control connection to one instance. */
 export class PgInstanceControl implements InstanceControl {
-	/** Fires once when the connection has ended; late listeners are called, too. */
+	/** Fires once when the connection has ended; listeners that subscribe later are called as well. */
 	readonly onClose: Event<void>;
-	/** Fires on every report; the first listener also gets the one made at start-up. */
+	/** Fires on every state report; the first listener also gets the report made at start-up. */
 	readonly onState: Event<InstanceState>;
 	private readonly _frames: FrameSocket;
 	private readonly _clock: Clock;
@@ -73,11 +74,11 @@
 	private _firstState: InstanceState | undefined;
 	private _fatalSqlState: string | undefined;
 
-	constructor(session: StartedSession, clock: Clock, orderTimeoutMs: number) {
+	constructor(session: StartedSession, clock: Clock, commandTimeoutMs: number) {
 		this.onClose = this._closing.event;
 		this._frames = session.frames;
 		this._clock = clock;
-		this._commandTimeoutMs = orderTimeoutMs;
+		this._commandTimeoutMs = commandTimeoutMs;
 		const report = session.parameters.get(stateParameter);
 		if (report !== undefined) {
 			this._firstState = readState(report);
@@ -134,7 +135,7 @@
 		this._finish();
 	}
 
-	/** Takes in a ParameterStatus; only state reports matter. */
+	/** Handles a ParameterStatus; only state reports are used. */
 	handleParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === stateParameter) {
@@ -143,17 +144,17 @@
 		}
 	}
 
-	/** Takes in the row of the order in progress. */
+	/** Handles the row that answers the command in progress. */
 	handleRow(row: readonly string[]): void {
 		const order = this._commandInProgress();
 		if (order.row) {
-			throw new ProtocolError('an order was answered by more than one row');
+			throw new ProtocolError('control command was answered with more than one row');
 		}
 
 		order.row = row;
 	}
 
-	/** Takes in an error, of the order in progress or of the connection as a whole. */
+	/** Handles an error of the command in progress, or of the connection if there is none. */
 	handleError(sqlState: string): void {
 		const [order] = this._commands;
 		if (order?.isSent) {
@@ -163,7 +164,7 @@
 		}
 	}
 
-	/** Ends the order in progress and sends the next. */
+	/** Settles the command in progress and sends the next one. */
 	completeCommand(): void {
 		const order = this._commandInProgress();
 		this._commands.shift();
@@ -216,13 +217,13 @@
 	private _commandInProgress(): ControlCommand {
 		const [order] = this._commands;
 		if (!order?.isSent) {
-			throw new ProtocolError('answer without an order');
+			throw new ProtocolError('answer without a control command');
 		}
 
 		return order;
 	}
 
-	/** The connection's task: reads until the connection ends. */
+	/** Reads and handles messages until the connection ends. */
 	private async _run(): Promise<void> {
 		try {
 			for (;;) {
@@ -273,13 +274,13 @@
 function settleCommand(order: ControlCommand): void {
 	order.timer?.dispose();
 	if (order.sqlState !== undefined) {
-		order.settle(Left({mayHaveReached: true, detail: 'the order was refused', sqlState: order.sqlState}));
+		order.settle(Left({mayHaveReached: true, detail: 'the endpoint refused the control command', sqlState: order.sqlState}));
 		return;
 	}
 
 	order.settle(order.row
 		? Right(order.row)
-		: Left({mayHaveReached: true, detail: 'the order was answered without a row'}));
+		: Left({mayHaveReached: true, detail: 'control command was answered without a row'}));
 }
 
 function readState(value: string): InstanceState {
@@ -298,10 +299,10 @@
 
 function flagOf(value: string | undefined): Either<EndpointFault, boolean> {
 	const flag = flags.get(value ?? '');
-	return flag === undefined ? Left({mayHaveReached: true, detail: 'order answer is malformed'}) : Right(flag);
+	return flag === undefined ? Left({mayHaveReached: true, detail: 'flag in the answer to a control command is malformed'}) : Right(flag);
 }
 
-/** Writes text as an SQL literal. */
+/** Quotes text as an SQL string literal. */
 function quote(text: string): string {
 	return `'${text.replaceAll('\'', '\'\'')}'`;
 }
--- a/src/node/endpoints/pg-sasl.d.ts
+++ b/src/node/endpoints/pg-sasl.d.ts
@@ -1,8 +1,8 @@
 /**
- * The part of pg's SCRAM-SHA-256 that is used here; pg brings no types for it.
+ * Types for the part of pg's SCRAM-SHA-256 implementation that is used here; pg ships none.
  */
 declare module 'pg/lib/crypto/sasl.js' {
-	/** One SCRAM exchange; `response` is what to send next. */
+	/** One SCRAM exchange; `response` is the next message to send. */
 	export type SaslSession = {
 		readonly mechanism: string;
 		readonly response: string;
--- a/src/node/endpoints/protocol-error.ts
+++ b/src/node/endpoints/protocol-error.ts
@@ -1,13 +1,13 @@
 /**
- * The error by which the endpoint slice reports malformed or unexpected messages to itself.
+ * The error for malformed or unexpected messages of an endpoint, which is used within this folder only.
  */
 
-/** A backend message that is malformed or came out of order; it ends the connection. */
+/** A backend message is malformed or arrived out of order; the error ends the connection. */
 export class ProtocolError extends Error {
 	override readonly name = 'ProtocolError';
 }
 
-/** What a caught value says, for people. */
+/** Returns the message of a caught value, for logs and faults. */
 export function messageOf(error: unknown): string {
 	return error instanceof Error ? error.message : String(error);
 }
--- a/src/node/endpoints/stand-in.test.ts
+++ b/src/node/endpoints/stand-in.test.ts
@@ -50,11 +50,11 @@
 		expect(opened.swap().unsafeCoerce().sqlState).toEqual('55006');
 	});
 
-	it('gives orders, attaches, works and reports positions', async () => {
-		const orders = await control();
-		const state = await orders.readState();
+	it('sends control commands, attaches, runs queries and reports positions', async () => {
+		const observer = await control();
+		const state = await observer.readState();
 		expect(state.unsafeCoerce().role).toEqual('primary');
-		const attached = await orders.attach('node-a', false);
+		const attached = await observer.attach('node-a', false);
 		expect(attached.extract()).toEqual({isAttached: true, holder: 'node-a'});
 		const opened = await connector.connectWork(address(), 'node-a');
 		const work = opened.unsafeCoerce();
@@ -69,13 +69,13 @@
 		expect(begun.end.transactionStatus).toEqual('open');
 		const failed = await run(work, 'INSERT INTO items VALUES (7)');
 		expect(failed.end).toEqual({...read.end, transactionStatus: 'failed', errorSqlState: '23505'});
-		const claim = await orders.raiseTerm(9, 'claim');
+		const claim = await observer.raiseTerm(9, 'claim');
 		expect(claim.unsafeCoerce().state.promisedTerm).toEqual(9);
 		work.dispose();
-		orders.dispose();
+		observer.dispose();
 	});
 
-	it('learns that a forced attach closed its work connection', async () => {
+	it('reports the end of a work connection that a forced attach closed', async () => {
 		const [first, second] = [await control(), await control()];
 		await first.attach('node-a', false);
 		const opened = await connector.connectWork(address(), 'node-a');
--- a/src/node/endpoints/start-up.ts
+++ b/src/node/endpoints/start-up.ts
@@ -1,7 +1,7 @@
 /**
  * Opens a connection to an endpoint: TCP connect, start-up message, authentication, up to
- * the first ReadyForQuery. Nothing of a request is sent here, so every fault says that
- * none can have reached the endpoint.
+ * the first ReadyForQuery. No part of a request is sent here, so every fault says that none
+ * can have reached the endpoint (`mayHaveReached` is false).
  */
 import {serialize} from 'pg-protocol';
 import {Left, Right, type Either} from 'purify-ts';
@@ -28,7 +28,7 @@
 
 type StartUpHandler = (startUp: StartUp, batch: Uint8Array, range: FrameRange) => void | Promise<void>;
 
-/** The endpoint refused the connection in its own words. */
+/** The endpoint refused the connection with an ErrorResponse. */
 class StartUpRefused extends Error {
 	override readonly name = 'StartUpRefused';
 	readonly sqlState: string;
@@ -70,7 +70,7 @@
 	}],
 ]);
 
-/** Connects and starts a session; the time limit covers all of it. */
+/** Connects and starts a session within `connectTimeoutMs`; returns the session or a fault. */
 export async function startSession(
 	endpoint: EndpointAddress,
 	appName: string,
@@ -86,7 +86,7 @@
 		frames, authentication: new Authentication(options), parameters: new Map(), backendKey: undefined, isReady: false,
 	};
 	try {
-		// Queued by the socket until it is connected.
+		// The socket buffers the message until it is connected.
 		frames.write(serialize.startup({
 			user: options.user,
 			database: endpoint.group,
--- a/src/node/endpoints/testing/canned-endpoint.ts
+++ b/src/node/endpoints/testing/canned-endpoint.ts
@@ -1,65 +1,65 @@
 /**
- * A tiny server for tests of the endpoint slice: it answers each frontend message with
- * frames made by hand, so that tests can also send what no endpoint should.
+ * A minimal server for tests of the endpoint connections: it answers each frontend message with
+ * frames that the test supplies, so that tests can also send invalid messages.
  */
 import {once} from 'node:events';
 import {createServer, type Server, type Socket} from 'node:net';
 import type {EndpointAddress} from '../../../common/services/services.js';
 import {joinBytes} from '../bytes.js';
 
-/** Answers one frontend message; the first of a connection has the type `start`. */
+/** Answers one frontend message; the first message of a connection has the type `start`. */
 export type CannedAnswer = (message: {type: string; body: string}, socket: Socket) => Uint8Array[] | undefined;
 
 const encoder = new TextEncoder();
 
-/** One backend message. */
+/** Encodes a backend message. */
 export function frame(type: string, ...parts: Array<Uint8Array | string>): Uint8Array {
 	const bodies = parts.map(part => typeof part === 'string' ? encoder.encode(part) : part);
 	const length = 4 + bodies.reduce((sum, body) => sum + body.length, 0);
 	return join([encoder.encode(type), int32(length), ...bodies]);
 }
 
-/** A ParameterStatus. */
+/** Encodes a ParameterStatus. */
 export function parameter(name: string, value: string): Uint8Array {
 	return frame('S', `${name}\0${value}\0`);
 }
 
-/** An ErrorResponse. */
+/** Encodes an ErrorResponse. */
 export function errorResponse(sqlState: string, severity = 'ERROR'): Uint8Array {
 	return frame('E', `S${severity}\0V${severity}\0C${sqlState}\0Mrefused\0\0`);
 }
 
-/** A DataRow of texts. */
+/** Encodes a DataRow of text values. */
 export function dataRow(...values: string[]): Uint8Array {
 	const columns = values.flatMap(value => [int32(encoder.encode(value).length), encoder.encode(value)]);
 	return frame('D', Uint8Array.of(0, values.length), ...columns);
 }
 
-/** A ReadyForQuery. */
+/** Encodes a ReadyForQuery. */
 export function ready(status = 'I'): Uint8Array {
 	return frame('Z', status);
 }
 
-/** What an endpoint sends at the end of a start-up without authentication. */
-export function welcome(...parameters: Uint8Array[]): Uint8Array[] {
+/** Messages that an endpoint sends at the end of a start-up without authentication. */
+export function startUpMessages(...parameters: Uint8Array[]): Uint8Array[] {
 	return [frame('R', int32(0)), frame('K', int32(7), int32(9)), ...parameters, ready()];
 }
 
-/** A number of 32 bits, most significant byte first. */
+/** Encodes a 32-bit number, most significant byte first. */
 export function int32(value: number): Uint8Array {
 	const bytes = new Uint8Array(4);
 	new DataView(bytes.buffer).setInt32(0, value);
 	return bytes;
 }
 
-/** Puts chunks back to back. */
+/** Concatenates chunks. */
 export function join(chunks: readonly Uint8Array[]): Uint8Array {
 	return joinBytes(chunks, chunks.reduce((sum, chunk) => sum + chunk.length, 0));
 }
 
-/** Listens on a free port and gives canned answers. */
+/** Listens on a free port and answers with canned messages. */
 export class CannedEndpoint {
-	/** Everything that connections sent, by connection. */
+	/** Messages received, by connection, as type and body. */
 	readonly received: string[][] = [];
 	private readonly _server: Server;
 	private readonly _sockets = new Set<Socket>();
--- a/src/node/endpoints/types.ts
+++ b/src/node/endpoints/types.ts
@@ -1,10 +1,10 @@
 /**
- * Types shared by the modules of the endpoint slice.
+ * Types shared by the modules that connect to endpoints.
  */
 import type {EndpointAddress} from '../../common/services/services.js';
 import type {FrameSocket} from './frame-socket.js';
 
-/** What is used of a socket, so that a program may bring a transport of its own. */
+/** The part of a socket that is used here, so that a program can supply its own transport. */
 export type ByteSocket = {
 	readonly writable: boolean;
 	readonly destroyed: boolean;
@@ -21,7 +21,7 @@
 	resume(): unknown;
 };
 
-/** Begins to connect to an endpoint. */
+/** Starts to connect to an endpoint and returns the socket at once. */
 export type Dial = (endpoint: EndpointAddress) => ByteSocket;
 
 /** How the connector reaches endpoints. */
@@ -29,15 +29,15 @@
 	readonly dial: Dial;
 	readonly user: string;
 	readonly password: string;
-	/** Time for connecting, start-up and authentication together. */
+	/** Time limit for connecting, start-up and authentication together. */
 	readonly connectTimeoutMs: number;
-	/** Time for one control order, its wait behind others included. */
+	/** Time limit for one control command, including its wait behind earlier ones. */
 	readonly controlTimeoutMs: number;
-	/** Longest single backend message that is taken in. */
+	/** Largest single backend message that is accepted. */
 	readonly maximumMessageBytes: number;
 };
 
-/** What a CancelRequest names its target by. */
+/** Identifies the connection that a CancelRequest is for. */
 export type BackendKey = {
 	readonly processId: number;
 	readonly secretKey: number;
@@ -46,19 +46,19 @@
 /** A connection after start-up, ready for its first query. */
 export type StartedSession = {
 	readonly frames: FrameSocket;
-	/** Last value of each parameter that was reported during start-up. */
+	/** Parameters reported during start-up, each with its last value. */
 	readonly parameters: ReadonlyMap<string, string>;
 	readonly backendKey: BackendKey | undefined;
 };
 
-/** Place of one whole message within a batch; `end` is exclusive. */
+/** Range of one complete message within a batch; `end` is exclusive. */
 export type FrameRange = {
 	readonly type: number;
 	readonly bodyStart: number;
 	readonly end: number;
 };
 
-/** What an ErrorResponse says. */
+/** Contents of an ErrorResponse. */
 export type BackendError = {
 	readonly isFatal: boolean;
 	readonly sqlState: string;
