--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -13,7 +13,10 @@
 
 /** A request that is running or still being received. */
 type ServedRequest = {
-	/** Undefined once the executor has ended: the controller may serve another request then, which a late cancel must not abort. */
+	/**
+	 * Undefined once the executor has ended: from then on the controller may be reused by another request, which a
+	 * late cancel of this one must not abort.
+	 */
 	controller: AbortController | undefined;
 	isCancelled: boolean;
 	readonly answer: ServedAnswer;
