--- a/src/node/endpoints/frame-splitter.ts
+++ b/src/node/endpoints/frame-splitter.ts
@@ -1,15 +1,15 @@
 /**
- * Cuts a byte stream into batches of whole backend messages without decoding them.
+ * Splits a byte stream into batches of complete backend messages without decoding them.
  */
 import {int32At, joinBytes} from './bytes.js';
 import {frameHeaderBytes} from './constants.js';
 import {ProtocolError} from './protocol-error.js';
 
-/** Collects chunks and gives back whole messages as slices of them. */
+/** Collects chunks and returns complete messages as slices of them. */
 export class FrameSplitter {
 	private readonly _maximumMessageBytes: number;
-	private _kept: Uint8Array[] = [];
-	private _keptBytes = 0;
+	private _buffered: Uint8Array[] = [];
+	private _bufferedBytes = 0;
 	private _neededBytes = 0;
 
 	constructor(maximumMessageBytes: number) {
@@ -17,8 +17,9 @@
 	}
 
 	/**
-	 * Takes the next chunk; answers all messages that are whole now, back to back.
-	 * Copies only where a message is spread over chunks, and then once.
+	 * Adds the next chunk and returns all messages that are complete now, back to back; undefined if
+	 * there are none. Throws a ProtocolError on an invalid length. Bytes are copied only if a message
+	 * is spread over several chunks, and then once.
 	 */
 	push(chunk: Uint8Array): Uint8Array | undefined {
 		const data = this._join(chunk);
@@ -28,27 +29,27 @@
 
 		const end = this._endOfWhole(data);
 		if (end < data.length) {
-			this._kept = [data.subarray(end)];
-			this._keptBytes = data.length - end;
+			this._buffered = [data.subarray(end)];
+			this._bufferedBytes = data.length - end;
 		}
 
 		return end === 0 ? undefined : data.subarray(0, end);
 	}
 
 	private _join(chunk: Uint8Array): Uint8Array | undefined {
-		if (this._keptBytes === 0) {
+		if (this._bufferedBytes === 0) {
 			return chunk;
 		}
 
-		this._kept.push(chunk);
-		this._keptBytes += chunk.length;
-		if (this._keptBytes < this._neededBytes) {
+		this._buffered.push(chunk);
+		this._bufferedBytes += chunk.length;
+		if (this._bufferedBytes < this._neededBytes) {
 			return undefined;
 		}
 
-		const data = joinBytes(this._kept, this._keptBytes);
-		this._kept = [];
-		this._keptBytes = 0;
+		const data = joinBytes(this._buffered, this._bufferedBytes);
+		this._buffered = [];
+		this._bufferedBytes = 0;
 		return data;
 	}
 
@@ -71,7 +72,7 @@
 	private _lengthAt(data: Uint8Array, offset: number): number {
 		const lengthBytes = int32At(data, offset);
 		if (lengthBytes < 4) {
-			throw new ProtocolError('message length is too small');
+			throw new ProtocolError('message length is less than 4 bytes');
 		}
 
 		if (lengthBytes > this._maximumMessageBytes) {
--- a/src/node/endpoints/pg-endpoint-connection.ts
+++ b/src/node/endpoints/pg-endpoint-connection.ts
@@ -1,6 +1,6 @@
 /**
- * A work connection: relays the backend messages of one request cycle at a time as they
- * are, and takes only position reports out of the stream.
+ * A work connection: relays the backend messages of one request cycle at a time without changes.
+ * Parameter reports, notifications, fatal errors and ReadyForQuery are not relayed.
  */
 import {serialize} from 'pg-protocol';
 import {Left, Right, type Either} from 'purify-ts';
@@ -24,12 +24,12 @@
 	errorSqlState: string | undefined;
 };
 
-/** What to do with a message: pass it on, leave it out, or end the cycle. */
-type Duty = 'relay' | 'drop' | 'ready';
+/** What to do with a message: relay it, drop it, or end the request cycle. */
+type FrameAction = 'relay' | 'drop' | 'ready';
 
-type FrameHandler = (connection: PgEndpointConnection, batch: Uint8Array, bodyStart: number, end: number) => Duty;
+type FrameHandler = (connection: PgEndpointConnection, batch: Uint8Array, bodyStart: number, end: number) => FrameAction;
 
-/** Sends a CancelRequest for this connection unless the check has become false. */
+/** Sends a CancelRequest for a connection, unless `isStillWanted` returns false once it could be sent. */
 export type CancelSender = (isStillWanted: () => boolean) => void;
 
 const statuses = new Map<number, TransactionStatus>([
@@ -38,12 +38,12 @@
 	[0x45, 'failed'],
 ]);
 
-/** Handlers by message type; a list, because every relayed row is looked up here. */
+/** Handlers by message type; an array, since the lookup is done for every relayed row. */
 const handlers: Array<FrameHandler | undefined> = Array.from({length: 256});
 
 /** One work connection to one endpoint. */
 export class PgEndpointConnection implements EndpointConnection {
-	/** Fires once when the connection has ended; late listeners are called, too. */
+	/** Fires once when the connection has ended; listeners that subscribe later are called as well. */
 	readonly onClose: Event<void>;
 	private readonly _frames: FrameSocket;
 	private readonly _sendCancel: CancelSender;
@@ -61,7 +61,7 @@
 		void this._run();
 	}
 
-	/** Position that the endpoint reported last on this connection. */
+	/** Latest position that the endpoint reported on this connection. */
 	get position(): LogPosition {
 		return this._position;
 	}
@@ -98,7 +98,7 @@
 		this._finish();
 	}
 
-	/** Takes in a ParameterStatus; only position reports matter. */
+	/** Handles a ParameterStatus; only position reports are used. */
 	handleParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === positionParameter) {
@@ -106,8 +106,8 @@
 		}
 	}
 
-	/** Takes in an ErrorResponse; a fatal one is not relayed, as the connection ends with it. */
-	handleError(batch: Uint8Array, bodyStart: number, end: number): Duty {
+	/** Handles an ErrorResponse; a fatal one is not relayed, since the connection ends with it. */
+	handleError(batch: Uint8Array, bodyStart: number, end: number): FrameAction {
 		const {isFatal, sqlState} = readError(batch, bodyStart, end);
 		if (isFatal) {
 			this._fatalSqlState ??= sqlState;
@@ -121,7 +121,7 @@
 		return 'relay';
 	}
 
-	/** The connection's task: reads until the connection ends. */
+	/** Reads and handles messages until the connection ends. */
 	private async _run(): Promise<void> {
 		try {
 			for (;;) {
@@ -130,7 +130,7 @@
 					break;
 				}
 
-				await this._takeBatch(batch);
+				await this._handleBatch(batch);
 			}
 		} catch (error) {
 			this._frames.destroy(messageOf(error));
@@ -139,13 +139,13 @@
 		this._finish();
 	}
 
-	private async _takeBatch(batch: Uint8Array): Promise<void> {
+	private async _handleBatch(batch: Uint8Array): Promise<void> {
 		let runStart = 0;
 		let offset = 0;
 		while (offset < batch.length) {
 			const end = frameEnd(batch, offset);
-			const duty = this._dutyOf(batch, offset, end);
-			if (duty !== 'relay') {
+			const action = this._actionFor(batch, offset, end);
+			if (action !== 'relay') {
 				const pushing = this._push(batch, runStart, offset);
 				if (pushing) {
 					await pushing;
@@ -154,7 +154,7 @@
 				runStart = end;
 			}
 
-			if (duty === 'ready') {
+			if (action === 'ready') {
 				this._endExchange(batch[offset + frameHeaderBytes]);
 			}
 
@@ -164,19 +164,19 @@
 		await this._push(batch, runStart, batch.length);
 	}
 
-	private _dutyOf(batch: Uint8Array, offset: number, end: number): Duty {
+	private _actionFor(batch: Uint8Array, offset: number, end: number): FrameAction {
 		const type = batch[offset];
 		const handler = handlers[type];
-		const duty = handler?.(this, batch, offset + frameHeaderBytes, end);
-		if (!duty) {
+		const action = handler?.(this, batch, offset + frameHeaderBytes, end);
+		if (!action) {
 			throw new ProtocolError(`${describeType(type)} is not expected here`);
 		}
 
-		if (duty !== 'drop' && !this._exchange && type !== backendTypes.noticeResponse) {
+		if (action !== 'drop' && !this._exchange && type !== backendTypes.noticeResponse) {
 			throw new ProtocolError(`${describeType(type)} outside of an exchange`);
 		}
 
-		return duty;
+		return action;
 	}
 
 	private _push(batch: Uint8Array, start: number, end: number): void | Promise<void> {
--- a/src/node/endpoints/pg-endpoint-connector.ts
+++ b/src/node/endpoints/pg-endpoint-connector.ts
@@ -16,7 +16,7 @@
 	BackendKey, ByteSocket, ConnectorOptions, StartedSession,
 } from './types.js';
 
-/** Opens connections with one set of credentials. */
+/** Opens work and control connections with one set of credentials. */
 export class PgEndpointConnector implements EndpointConnector {
 	private readonly _clock: Clock;
 	private readonly _options: ConnectorOptions;
@@ -28,7 +28,7 @@
 
 	async connectWork(endpoint: EndpointAddress, homeId: string): Promise<Either<EndpointFault, EndpointConnection>> {
 		const started = await startSession(endpoint, workPrefix + homeId, this._options, this._clock);
-		return started.chain(session => build(session, () =>
+		return started.chain(session => createOrFault(session, () =>
 			new PgEndpointConnection(session, isStillWanted => {
 				this._sendCancel(endpoint, session.backendKey, isStillWanted);
 			})));
@@ -36,11 +36,11 @@
 
 	async connectControl(endpoint: EndpointAddress, observerId: string): Promise<Either<EndpointFault, InstanceControl>> {
 		const started = await startSession(endpoint, controlPrefix + observerId, this._options, this._clock);
-		return started.chain(session => build(session, () =>
+		return started.chain(session => createOrFault(session, () =>
 			new PgInstanceControl(session, this._clock, this._options.controlTimeoutMs)));
 	}
 
-	/** Cancels over a connection of its own; a cycle that ended meanwhile is left alone. */
+	/** Sends a CancelRequest over a separate connection, unless the request cycle has ended by the time it is open. */
 	private _sendCancel(endpoint: EndpointAddress, key: BackendKey | undefined, isStillWanted: () => boolean): void {
 		if (!key) {
 			return;
@@ -72,7 +72,7 @@
 	return connect({host, port});
 }
 
-function build<T>(session: StartedSession, create: () => T): Either<EndpointFault, T> {
+function createOrFault<T>(session: StartedSession, create: () => T): Either<EndpointFault, T> {
 	try {
 		return Right(create());
 	} catch (error) {
--- a/src/node/peers/peer-server.ts
+++ b/src/node/peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * The answering side of all links to this node.
+ * The serving side of all links to this node.
  */
 import {Server, status, type ServerDuplexStream} from '@grpc/grpc-js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -10,12 +10,12 @@
 import {ServedLink, type ServedLinkContext} from './served-link.js';
 import type {PeerOptions, PeerServices, PeerTls} from './types.js';
 
-/** Listens for links of peers and passes their requests on. */
+/** Accepts links from peers and passes their requests to the node's handlers. */
 export class PeerServer implements Disposable {
 	private readonly _options: PeerOptions;
 	private readonly _server: Server;
 	private readonly _links = new Set<ServedLink>();
-	private _owner: ServedLinkContext | undefined;
+	private _linkContext: ServedLinkContext | undefined;
 	private _isDraining = false;
 	private _onLastEnded: (() => void) | undefined;
 
@@ -32,7 +32,7 @@
 		});
 	}
 
-	/** Begins to listen; port 0 takes a free one. Resolves with the port. */
+	/** Starts to listen and resolves with the port; port 0 selects a free one. Rejects if the address cannot be bound. */
 	async listen(host: string, port: number): Promise<number> {
 		const address = host.includes(':') ? `[${host}]` : host;
 		return new Promise((resolve, reject) => {
@@ -46,14 +46,14 @@
 		});
 	}
 
-	/** Begins to answer; links that come earlier are turned away. */
+	/** Starts to serve links; links that arrive before this call are refused as unavailable. */
 	serve(services: PeerServices, handlers: PeerHandlers): void {
-		this._owner = {
+		this._linkContext = {
 			services,
 			handlers,
 			options: this._options,
 			onHandshake: link => {
-				this._onGreeted(link);
+				this._onHandshake(link);
 			},
 			onEnded: link => {
 				this._onEnded(link);
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Takes no new links and has peers close theirs once nothing is in progress, within a bound. */
+	/** Refuses new links and asks peers to close theirs once nothing is in progress; waits at most `boundMs` for that. */
 	async drain(boundMs: number): Promise<void> {
 		this._isDraining = true;
 		for (const link of this._links) {
@@ -72,7 +72,7 @@
 		}
 
 		if (this._links.size > 0) {
-			await this._noLinks(boundMs);
+			await this._waitForLinksToEnd(boundMs);
 		}
 	}
 
@@ -84,8 +84,8 @@
 		this._server.forceShutdown();
 	}
 
-	private _onGreeted(link: ServedLink): void {
-		// The asker has one link at a time: an older one is lost, whether or not that was noticed.
+	private _onHandshake(link: ServedLink): void {
+		// A peer opens one link at a time, so an older link of it is lost, even if the loss was not detected yet.
 		for (const other of [...this._links].filter(other => other !== link && other.peer?.name === link.peer?.name)) {
 			other.dispose();
 		}
@@ -94,7 +94,7 @@
 	private _onEnded(link: ServedLink): void {
 		this._links.delete(link);
 		if (link.peer) {
-			this._owner?.handlers.onPeerLost(link.peer.name);
+			this._linkContext?.handlers.onPeerLost(link.peer.name);
 		}
 
 		if (this._links.size === 0) {
@@ -102,9 +102,9 @@
 		}
 	}
 
-	private async _noLinks(boundMs: number): Promise<void> {
+	private async _waitForLinksToEnd(boundMs: number): Promise<void> {
 		return new Promise(resolve => {
-			const bound = this._owner?.services.clock.setTimer(boundMs, resolve);
+			const bound = this._linkContext?.services.clock.setTimer(boundMs, resolve);
 			this._onLastEnded = () => {
 				bound?.dispose();
 				resolve();
@@ -113,12 +113,12 @@
 	}
 
 	private _accept(stream: ServerDuplexStream<Batch, Batch>): void {
-		if (!this._owner || this._isDraining) {
+		if (!this._linkContext || this._isDraining) {
 			stream.emit('error', {code: status.UNAVAILABLE, details: 'not ready'});
 			return;
 		}
 
-		const link = new ServedLink(stream, this._owner);
+		const link = new ServedLink(stream, this._linkContext);
 		this._links.add(link);
 		void link.run();
 	}
--- a/src/node/peers/served-link.ts
+++ b/src/node/peers/served-link.ts
@@ -1,5 +1,5 @@
 /**
- * The answering side of one link: runs what the peer asks and answers it.
+ * The serving side of one link: runs the requests of the peer and answers them.
  */
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -13,12 +13,12 @@
 import {ServedRequests} from './served-requests.js';
 import type {Body, PeerOptions, PeerServices} from './types.js';
 
-/** What the server does around its links. */
+/** What the server provides to its links. */
 export type ServedLinkContext = {
 	readonly services: PeerServices;
 	readonly handlers: PeerHandlers;
 	readonly options: PeerOptions;
-	/** The peer has greeted: earlier links of it are over. */
+	/** Called when the peer's hello has arrived; earlier links of the same peer have to be disposed. */
 	onHandshake(link: ServedLink): void;
 	onEnded(link: ServedLink): void;
 };
@@ -34,7 +34,7 @@
 	private readonly _requests: ServedRequests;
 	private readonly _writer: LinkWriter;
 	private readonly _liveness: LivenessMonitor;
-	private readonly _receivers: BodyHandlers = {
+	private readonly _bodyHandlers: BodyHandlers = {
 		hello: hello => {
 			this._onHello(hello);
 		},
@@ -87,9 +87,9 @@
 
 	constructor(
 		private readonly _stream: ServerDuplexStream<Batch, Batch>,
-		private readonly _owner: ServedLinkContext,
+		private readonly _context: ServedLinkContext,
 	) {
-		const {options, services, handlers} = _owner;
+		const {options, services, handlers} = _context;
 		this._writer = new LinkWriter(options);
 		this._liveness = new LivenessMonitor(services.clock, this, {
 			tickMs: options.livenessTickMs,
@@ -109,7 +109,7 @@
 		});
 	}
 
-	/** The peer, once it has greeted. */
+	/** The peer; undefined until its hello has arrived. */
 	get peer(): Host | undefined {
 		return this._peer;
 	}
@@ -123,12 +123,13 @@
 	}
 
 	private get _handlers(): PeerHandlers {
-		return this._owner.handlers;
+		return this._context.handlers;
 	}
 
-	/** The task of this link, from the greeting to the end. */
+	/** Runs the link from the handshake to its end. */
 	async run(): Promise<void> {
-		// The loop below hears of errors too; this listener only keeps late ones from being thrown.
+		// The loop below gets the errors as well. This listener only keeps errors after the loop from being thrown
+		// as unhandled.
 		this._stream.on('error', ignore);
 		this._stream.on('cancelled', () => {
 			this.dispose();
@@ -144,18 +145,18 @@
 				}
 			}
 		} catch (error) {
-			this._owner.services.log.event('peerLinkFailed', {peer: this._peer?.name, detail: String(error)});
+			this._context.services.log.event('peerLinkFailed', {peer: this._peer?.name, detail: String(error)});
 		}
 
 		this.dispose();
 	}
 
 	onTick(): void {
-		// The asker pings; this side only listens.
+		// The requesting side sends the pings; this side only answers them.
 	}
 
 	onSilent(): void {
-		this._owner.services.metrics.count('peerSilencesTotal');
+		this._context.services.metrics.count('peerSilencesTotal');
 		this.dispose();
 	}
 
@@ -164,7 +165,7 @@
 		this._writer.send(0, {$case: 'closing', value: {}});
 	}
 
-	/** Ends the link and everything that runs for it. */
+	/** Ends the link and aborts all requests that run for it. */
 	dispose(): void {
 		if (this._isEnded) {
 			return;
@@ -175,7 +176,7 @@
 		this._writer.stop();
 		this._requests.close();
 		this._stream.end();
-		this._owner.onEnded(this);
+		this._context.onEnded(this);
 	}
 
 	private _receive({requestId, body}: Envelope): void {
@@ -189,9 +190,9 @@
 		}
 
 		try {
-			handleBody(this._receivers, body, requestId);
+			handleBody(this._bodyHandlers, body, requestId);
 		} catch (error) {
-			// The link carries other requests as well, so it goes on.
+			// The link carries other requests as well, so it is not ended.
 			this._logFailure(error);
 		}
 	}
@@ -203,10 +204,10 @@
 			return;
 		}
 
-		const {options, services} = this._owner;
+		const {options, services} = this._context;
 		this._peer = peer;
 		this._requests.windowBytes = hello.windowBytes;
-		this._owner.onHandshake(this);
+		this._context.onHandshake(this);
 		services.membership.learn(peer);
 		this._writer.send(0, {
 			$case: 'hello',
@@ -230,6 +231,6 @@
 	}
 
 	private _logFailure(error: unknown): void {
-		this._owner.services.log.event('peerHandlerFailed', {peer: this._peer?.name, detail: String(error)});
+		this._context.services.log.event('peerHandlerFailed', {peer: this._peer?.name, detail: String(error)});
 	}
 }
--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -1,5 +1,5 @@
 /**
- * The request cycles that run here for one peer.
+ * The request cycles that this node runs for one peer.
  */
 import {Left, type Either} from 'purify-ts';
 import {Refusal} from '../../common/errors/error-kinds.js';
@@ -11,47 +11,50 @@
 import {ServedAnswer} from './served-answer.js';
 import type {PeerOptions} from './types.js';
 
-/** A request that runs, or whose parts still arrive. */
-type Served = {
-	/** Undefined once the executor is done with its signal. */
+/** A request that is running or still being received. */
+type ServedRequest = {
+	/**
+	 * Undefined once the executor has ended: from then on the controller may be reused by another request, which a
+	 * late cancel of this one must not abort.
+	 */
 	controller: AbortController | undefined;
 	isCancelled: boolean;
 	readonly answer: ServedAnswer;
-	/** The parts so far; undefined once the request is whole. */
+	/** The parts received so far; undefined once the request is complete. */
 	parts: {readonly execute: Execute; readonly pieces: Uint8Array[]; sizeBytes: number} | undefined;
 };
 
-/** Abort controllers that are kept for further requests. */
+/** Number of abort controllers that are kept for reuse by later requests. */
 const maximumSpareControllers = 64;
 
-/** What the requests need of their link. */
+/** What the requests need from their link. */
 export type ServedRequestsContext = {
 	readonly writer: LinkWriter;
 	readonly executor: HomeExecutor;
 	readonly options: PeerOptions;
-	/** A host by its name, if it is known. */
+	/** Returns the host of this name; undefined if it is not known. */
 	findHost(name: string): Host | undefined;
-	/** Called when a request begins to be served. */
+	/** Called when a request is accepted, before it runs. */
 	onBegin(): void;
-	/** Called when the executor failed in a way that is not a refusal. */
+	/** Called on a failure that is not a refusal: the executor threw, or a request id is in use. */
 	onFailure(error: unknown): void;
 };
 
-/** Runs the requests of one link, a bounded number at one time. */
+/** Runs the requests of one link, with a bounded number in progress. */
 export class ServedRequests {
-	/** Bytes of one answer that may be sent unread; the asker says it in its greeting. */
+	/** Initial credit of each answer in bytes; the requester sends it in its hello. */
 	windowBytes: number;
 
-	private readonly _served = new Map<number, Served>();
+	private readonly _served = new Map<number, ServedRequest>();
 	private _partsBytes = 0;
-	/** Controllers that aborted nothing: making one for each request is a good part of its cost. */
+	/** Controllers that never aborted, for reuse: creating one per request is a good part of a request's cost. */
 	private readonly _spareControllers: AbortController[] = [];
 
-	constructor(private readonly _link: ServedRequestsContext) {
-		this.windowBytes = _link.options.windowBytes;
+	constructor(private readonly _context: ServedRequestsContext) {
+		this.windowBytes = _context.options.windowBytes;
 	}
 
-	/** Whether the asker waits for an answer; it may have given up on what it cancelled. */
+	/** Whether the requester waits for an answer; it may have settled cancelled requests already, so these don't count. */
 	get hasUncancelledRequests(): boolean {
 		for (const served of this._served.values()) {
 			if (!served.isCancelled) {
@@ -62,24 +65,24 @@
 		return false;
 	}
 
-	/** Begins a request, or refuses it at once when too many are in progress. */
+	/** Starts a request, or refuses it at once if too many are in progress. */
 	execute(id: number, execute: Execute): void {
 		if (this._served.has(id)) {
-			// An answer under this id would be taken for that of the request before.
-			this._link.onFailure(new Error(`request id ${id} is in use`));
+			// The requester would match an answer under this id to the earlier request.
+			this._context.onFailure(new Error(`request id ${id} is in use`));
 			return;
 		}
 
-		if (this._served.size >= this._link.options.maximumInProgress) {
+		if (this._served.size >= this._context.options.maximumInProgress) {
 			this._refuse(id, new Refusal('overloaded', 'too many requests of one peer'));
 			return;
 		}
 
-		const served: Served = {
+		const served: ServedRequest = {
 			controller: this._spareControllers.pop() ?? new AbortController(), isCancelled: false, answer: this._answerTo(id), parts: undefined,
 		};
 		this._served.set(id, served);
-		this._link.onBegin();
+		this._context.onBegin();
 		if (execute.hasMore) {
 			served.parts = {execute, pieces: [], sizeBytes: 0};
 			this._addPart(id, served, execute.frames);
@@ -88,7 +91,7 @@
 		}
 	}
 
-	/** Takes a further part of a request, and runs it with the last one. */
+	/** Adds a further part of a request; the last part starts the request. */
 	addPart(id: number, part: ExecutePart): void {
 		const served = this._served.get(id);
 		if (!served?.parts || !this._addPart(id, served, part.frames) || part.hasMore) {
@@ -100,7 +103,7 @@
 		void this._run(execute, joinFrames(pieces, sizeBytes), served);
 	}
 
-	/** Asks the executor to stop; a request that is not whole never begins. */
+	/** Aborts the executor's signal; a request that is still being received is refused and never runs. */
 	cancel(id: number): void {
 		const served = this._served.get(id);
 		if (!served) {
@@ -115,12 +118,12 @@
 		}
 	}
 
-	/** Allows more answer bytes of a request. */
+	/** Grants credit for more answer bytes of a request. */
 	addCredit(id: number, sizeBytes: number): void {
 		this._served.get(id)?.answer.addCredit(sizeBytes);
 	}
 
-	/** Stops everything: nobody waits for it any more. */
+	/** Aborts all requests and drops their answers, which nobody waits for once the link has ended. */
 	close(): void {
 		for (const served of this._served.values()) {
 			served.answer.close();
@@ -133,17 +136,17 @@
 	private _answerTo(id: number): ServedAnswer {
 		return new ServedAnswer({
 			requestId: id,
-			writer: this._link.writer,
+			writer: this._context.writer,
 			windowBytes: this.windowBytes,
-			partBytes: this._link.options.partBytes,
-			findHost: name => this._link.findHost(name),
+			partBytes: this._context.options.partBytes,
+			findHost: name => this._context.findHost(name),
 			onSent: () => {
 				this._served.delete(id);
 			},
 		});
 	}
 
-	private async _run(execute: Execute, frames: Uint8Array, served: Served): Promise<void> {
+	private async _run(execute: Execute, frames: Uint8Array, served: ServedRequest): Promise<void> {
 		const controller = served.controller ?? new AbortController();
 		const end = await this._execute(execute, frames, served.answer, controller.signal);
 		served.controller = undefined;
@@ -156,20 +159,20 @@
 
 	private async _execute(execute: Execute, frames: Uint8Array, answer: ServedAnswer, signal: AbortSignal): Promise<Either<Refusal, HomeEnd>> {
 		try {
-			return await this._link.executor.execute(fromExecute(execute, frames), answer, signal);
+			return await this._context.executor.execute(fromExecute(execute, frames), answer, signal);
 		} catch (error) {
-			this._link.onFailure(error);
+			this._context.onFailure(error);
 			return Left(new Refusal('invariantViolated', 'the request failed on the peer'));
 		}
 	}
 
-	/** Keeps a part; false when the request was refused because it grew too large. */
-	private _addPart(id: number, served: Served, piece: Uint8Array): boolean {
+	/** Stores a part; returns false if the request was refused, because incomplete requests take too many bytes. */
+	private _addPart(id: number, served: ServedRequest, piece: Uint8Array): boolean {
 		const parts = served.parts!;
 		parts.pieces.push(piece);
 		parts.sizeBytes += piece.length;
 		this._partsBytes += piece.length;
-		if (this._partsBytes <= this._link.options.maximumFramesBytes) {
+		if (this._partsBytes <= this._context.options.maximumFramesBytes) {
 			return true;
 		}
 
@@ -179,12 +182,12 @@
 		return false;
 	}
 
-	private _dropParts(served: Served): void {
+	private _dropParts(served: ServedRequest): void {
 		this._partsBytes -= served.parts?.sizeBytes ?? 0;
 		served.parts = undefined;
 	}
 
 	private _refuse(id: number, refusal: Refusal): void {
-		this._link.writer.send(id, {$case: 'refused', value: toRefused(refusal)});
+		this._context.writer.send(id, {$case: 'refused', value: toRefused(refusal)});
 	}
 }
