--- a/src/node/callers/answer-writer.ts
+++ b/src/node/callers/answer-writer.ts
@@ -14,7 +14,7 @@
 	private readonly _clock: Clock;
 	private readonly _stallMs: number;
 	private _filter: AnswerFilter | undefined;
-	private _held: Uint8Array | undefined;
+	private _buffered: Uint8Array | undefined;
 
 	constructor(socket: Socket, clock: Clock, stallMs: number) {
 		this._socket = socket;
@@ -25,7 +25,7 @@
 	/** Begins an answer, whose frames go through a filter if there is one. */
 	begin(filter?: AnswerFilter): void {
 		this._filter = filter;
-		this._held = undefined;
+		this._buffered = undefined;
 	}
 
 	push(frames: Uint8Array): void | Promise<void> {
@@ -34,8 +34,8 @@
 			return;
 		}
 
-		const held = this._held;
-		this._held = kept;
+		const held = this._buffered;
+		this._buffered = kept;
 		if (held) {
 			return this._write(held);
 		}
@@ -43,13 +43,13 @@
 
 	/** Drops the piece that was held back. */
 	discardBuffered(): void {
-		this._held = undefined;
+		this._buffered = undefined;
 	}
 
 	/** Ends an answer with further frames. */
 	finish(frames: readonly Uint8Array[]): void | Promise<void> {
-		const held = this._held;
-		this._held = undefined;
+		const held = this._buffered;
+		this._buffered = undefined;
 		this._filter = undefined;
 		if (!held || held.length <= joinedAnswerBytes) {
 			return this._write(joinFrames(held ? [held, ...frames] : frames));
@@ -68,10 +68,10 @@
 			return;
 		}
 
-		return this._drained();
+		return this._waitForDrain();
 	}
 
-	private async _drained(): Promise<void> {
+	private async _waitForDrain(): Promise<void> {
 		// A caller that takes nothing must not keep an endpoint's connection.
 		const timer = this._clock.setTimer(this._stallMs, () => {
 			this._socket.destroy();
--- a/src/node/callers/caller-connection.ts
+++ b/src/node/callers/caller-connection.ts
@@ -38,7 +38,7 @@
 };
 
 /** Parameters that a caller is told at the end of its start-up, beside the token. */
-const reportedAtStart = ['client_encoding', 'DateStyle', 'IntervalStyle', 'TimeZone', 'standard_conforming_strings', 'application_name'];
+const startUpParameterNames = ['client_encoding', 'DateStyle', 'IntervalStyle', 'TimeZone', 'standard_conforming_strings', 'application_name'];
 
 /** Serves one caller. */
 export class CallerConnection implements Disposable {
@@ -51,7 +51,7 @@
 	private _runner: CycleRunner | undefined;
 	private _handler: RequestHandler | undefined;
 	private _reader: FrameReader | undefined;
-	private _isWaiting = false;
+	private _isAwaitingMessage = false;
 	private _isDraining = false;
 
 	constructor(socket: Socket, processId: number, context: ConnectionContext) {
@@ -68,7 +68,7 @@
 			await this._serve(isFull);
 		} catch (error) {
 			this._context.services.log.event('callerFailed', {error: String(error)});
-			this._sayGoodbye(new Refusal('invariantViolated'));
+			this._closeWithError(new Refusal('invariantViolated'));
 		} finally {
 			this._runner?.cancel();
 			this._store.dispose();
@@ -85,14 +85,14 @@
 	/** Ends the connection once it is between requests and outside a transaction. */
 	drain(): void {
 		this._isDraining = true;
-		if (this._isWaiting && this._canLeave()) {
-			this._leave();
+		if (this._isAwaitingMessage && this._isDrainable()) {
+			this._closeForShutdown();
 		}
 	}
 
 	/** Ends the connection at once. */
 	dispose(): void {
-		this._sayGoodbye(new Refusal('shuttingDown'));
+		this._closeWithError(new Refusal('shuttingDown'));
 		this._socket.destroy();
 	}
 
@@ -128,7 +128,7 @@
 		if (end.kind === 'refused') {
 			services.log.event('callerRefused', {kind: end.refusal.kind, address: end.socket.remoteAddress});
 			this._socket = end.socket;
-			this._sayGoodbye(end.refusal);
+			this._closeWithError(end.refusal);
 			return undefined;
 		}
 
@@ -145,7 +145,7 @@
 		const {services, options, codec} = this._context;
 		const group = caller.parameters.database ?? caller.user;
 		if (!services.configuration.group(group)) {
-			this._sayGoodbye(new Refusal('unknownGroup', group));
+			this._closeWithError(new Refusal('unknownGroup', group));
 			return undefined;
 		}
 
@@ -161,7 +161,7 @@
 		for (const [parameter, value] of readSettings(caller.parameters)) {
 			const refusal = writeParameter(session, parameter, value);
 			if (refusal) {
-				this._sayGoodbye(refusal);
+				this._closeWithError(refusal);
 				return undefined;
 			}
 		}
@@ -184,7 +184,7 @@
 		this._socket.once('close', () => {
 			this._runner?.cancel();
 		});
-		this._socket.write(this._greeting(session));
+		this._socket.write(this._startUpResponse(session));
 		await this._handleMessages(caller.reader, this._handler);
 	}
 
@@ -194,15 +194,15 @@
 			// Waits only where something has to be waited for, which spares turns of the event loop.
 			let frame = reader.take();
 			if (!frame) {
-				if (this._isDraining && this._canLeave()) {
-					this._leave();
+				if (this._isDraining && this._isDrainable()) {
+					this._closeForShutdown();
 					return;
 				}
 
-				this._isWaiting = true;
+				this._isAwaitingMessage = true;
 
 				frame = await reader.next();
-				this._isWaiting = false;
+				this._isAwaitingMessage = false;
 			}
 
 			if (!frame) {
@@ -223,15 +223,15 @@
 
 	private _endOfInput(reader: FrameReader): void {
 		if (reader.fault) {
-			this._sayGoodbye(reader.fault);
+			this._closeWithError(reader.fault);
 			return;
 		}
 
 		this._close();
 	}
 
-	private _greeting(session: CallerSession): Uint8Array {
-		const statuses = reportedAtStart.map(name => parameterStatus(name, readParameter(session, name)));
+	private _startUpResponse(session: CallerSession): Uint8Array {
+		const statuses = startUpParameterNames.map(name => parameterStatus(name, readParameter(session, name)));
 		const token = session.marks.takeChangedToken();
 		return joinFrames([
 			authenticationOk,
@@ -245,16 +245,16 @@
 		]);
 	}
 
-	private _canLeave(): boolean {
+	private _isDrainable(): boolean {
 		return this._handler?.isIdle === true && this._reader?.isEmpty === true;
 	}
 
-	private _leave(): void {
-		this._sayGoodbye(new Refusal('shuttingDown'));
+	private _closeForShutdown(): void {
+		this._closeWithError(new Refusal('shuttingDown'));
 	}
 
 	/** Sends a last error and closes. */
-	private _sayGoodbye(refusal: Refusal): void {
+	private _closeWithError(refusal: Refusal): void {
 		if (!this._socket.writableEnded && !this._socket.destroyed) {
 			this._socket.write(errorResponse(refusal, 'FATAL'));
 		}
--- a/src/node/callers/caller-faults.test.ts
+++ b/src/node/callers/caller-faults.test.ts
@@ -6,20 +6,20 @@
 import {testCertificate} from './testing/test-certificate.js';
 import type {CallerOptions} from './types.js';
 
-const benches: CallerServerHarness[] = [];
+const harnesses: CallerServerHarness[] = [];
 
-async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
+async function startHarness(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
 	const bench = new CallerServerHarness(options);
-	benches.push(bench);
+	harnesses.push(bench);
 	return bench.start();
 }
 
 afterEach(async () => {
-	await Promise.all(benches.splice(0).map(async bench => bench.stop()));
+	await Promise.all(harnesses.splice(0).map(async bench => bench.stop()));
 });
 
 /** A server is well if it serves a new caller and logged no unexpected error. */
-async function expectWell(bench: CallerServerHarness): Promise<void> {
+async function expectServing(bench: CallerServerHarness): Promise<void> {
 	const caller = await bench.startRaw();
 	expect(await caller.send(message('Q', 'select 1')).read()).toEqual('T D C S ZI');
 	expect(bench.events.filter(name => name !== 'callerRefused')).toEqual(['callersListening']);
@@ -27,7 +27,7 @@
 
 describe('CallerServer under faulty callers', () => {
 	it('refuses malformed beginnings', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const cases: ReadonlyArray<readonly [bytes: Uint8Array, expected: string]> = [
 			[Uint8Array.of(0, 0, 0, 3), 'E08P01'],
 			[Uint8Array.of(0, 0, 0, 4), 'E08P01'],
@@ -44,11 +44,11 @@
 			expect([bytes, await bench.connectRaw().send(bytes).readToClose()]).toEqual([bytes, expected]);
 		}
 
-		await expectWell(bench);
+		await expectServing(bench);
 	});
 
 	it('offers its own minor version to later protocols, and declines encryption that it has not', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const frames = await bench.connectRaw().send(startUp({}, 0x3_00_02)).read();
 		expect(frames).toEqual('v R S S S S S S S S S K ZI');
 		const caller = bench.connectRaw();
@@ -69,7 +69,7 @@
 	});
 
 	it('refuses data that was sent before the TLS handshake, and survives failed handshakes', async () => {
-		const bench = await startBench({tls: testCertificate});
+		const bench = await startHarness({tls: testCertificate});
 		expect(await bench.connectRaw().send(untypedMessage(80_877_103), startUp()).readToClose()).toEqual('E08P01');
 		const caller = bench.connectRaw();
 		caller.send(untypedMessage(80_877_103));
@@ -80,11 +80,11 @@
 			caller.socket.once('close', resolve);
 		});
 		await closed;
-		await expectWell(bench);
+		await expectServing(bench);
 	});
 
 	it('refuses malformed messages and ends the connection', async () => {
-		const bench = await startBench({maximumMessageBytes: 1000});
+		const bench = await startHarness({maximumMessageBytes: 1000});
 		const cases: ReadonlyArray<readonly [bytes: Uint8Array, expected: string]> = [
 			[Uint8Array.of(0x51, 0, 0, 0, 3), 'E08P01'],
 			[Uint8Array.of(0x51, 0xFF, 0xFF, 0xFF, 0xFF), 'E54000'],
@@ -104,11 +104,11 @@
 		}
 
 		expect(bench.router.ran).toEqual([]);
-		await expectWell(bench);
+		await expectServing(bench);
 	});
 
 	it('refuses messages that it does not carry and goes on', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		expect(await caller.send(message('F', new Uint8Array(10))).read()).toEqual('E0A000 ZI');
 		caller.send(message('d', 'x'), message('c'), message('f', 'x'), message('S'));
@@ -116,7 +116,7 @@
 	});
 
 	it('takes messages in pieces of any size', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = bench.connectRaw();
 		const bytes = [...startUp(), ...message('Q', 'select 1'), ...message('Q', `select '${'x'.repeat(200)}'`)];
 		const answers = caller.read(3);
@@ -132,7 +132,7 @@
 	});
 
 	it('survives random bytes before and after the start-up', async () => {
-		const bench = await startBench({maximumMessageBytes: 100_000});
+		const bench = await startHarness({maximumMessageBytes: 100_000});
 		const code = fc.constantFrom(...'QPBDECHSXFdcfp!');
 		const frame = fc.tuple(code, fc.uint8Array({maxLength: 40})).map(([name, body]) => message(name, body));
 		const bytes = fc.oneof(fc.uint8Array({maxLength: 200}), fc.array(frame, {maxLength: 8}).map(frames => Uint8Array.from(frames.flatMap(part => [...part]))));
@@ -142,11 +142,11 @@
 			caller.socket.end();
 			await caller.readToClose();
 		}), {seed: 4, numRuns: 300});
-		await expectWell(bench);
+		await expectServing(bench);
 	});
 
 	it('bounds its connections and the time of start-up', async () => {
-		const bench = await startBench({maximumConnections: 1});
+		const bench = await startHarness({maximumConnections: 1});
 		const first = await bench.startRaw();
 		expect(await bench.connectRaw().send(startUp()).readToClose()).toEqual('E53300');
 		const closed = new Promise(resolve => {
@@ -154,13 +154,13 @@
 		});
 		first.send(message('X'));
 		await closed;
-		const hasty = await startBench({startUpTimeoutMs: 20});
+		const hasty = await startHarness({startUpTimeoutMs: 20});
 		expect(await hasty.connectRaw().readToClose()).toEqual('');
 		expect(await hasty.connectRaw().send(startUp().subarray(0, 6)).readToClose()).toEqual('');
 	});
 
 	it('bounds what all callers together send', async () => {
-		const bench = await startBench({maximumBufferedBytes: 10_000});
+		const bench = await startHarness({maximumBufferedBytes: 10_000});
 		const [first, second] = await Promise.all([bench.startRaw(), bench.startRaw()]);
 		const long = message('Q', `select '${'x'.repeat(6000)}'`);
 		// Each request gives its room back.
@@ -176,7 +176,7 @@
 	});
 
 	it('ends callers that do not take their answers', async () => {
-		const bench = await startBench({answerStallMs: 20});
+		const bench = await startHarness({answerStallMs: 20});
 		const caller = await bench.startRaw();
 		const closed = new Promise<unknown>(resolve => {
 			bench.router.close = resolve;
--- a/src/node/callers/caller-server.test.ts
+++ b/src/node/callers/caller-server.test.ts
@@ -10,16 +10,16 @@
 import {testCertificate} from './testing/test-certificate.js';
 import type {CallerOptions} from './types.js';
 
-const benches: CallerServerHarness[] = [];
+const harnesses: CallerServerHarness[] = [];
 
-async function startBench(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
+async function startHarness(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
 	const bench = new CallerServerHarness(options);
-	benches.push(bench);
+	harnesses.push(bench);
 	return bench.start();
 }
 
 afterEach(async () => {
-	await Promise.all(benches.splice(0).map(async bench => bench.stop()));
+	await Promise.all(harnesses.splice(0).map(async bench => bench.stop()));
 });
 
 function query(text: string): Uint8Array {
@@ -40,7 +40,7 @@
 
 describe('CallerServer', () => {
 	it('relays simple, parameterised and named statements of a driver', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const client = await bench.connect();
 		const simple = await client.query('select 1');
 		expect(simple.rows).toEqual([{text: 'select 1'}]);
@@ -54,7 +54,7 @@
 	});
 
 	it('relays errors and goes on', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const client = await bench.connect();
 		expect(await codeOfFailure(client.query('select wrong'))).toEqual('42601');
 		expect(await codeOfFailure(client.query('select wrong where $1', [1]))).toEqual('42601');
@@ -63,7 +63,7 @@
 	});
 
 	it('answers pipelined cycles in order and skips to Sync after an error', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		caller.send(query('select 1'), extended('select 2'), sync, extended('select wrong'), extended('select 3'), sync, extended('listen a'), extended('select 4'), flush, sync, sync, query(''));
 		expect(await caller.read(6)).toEqual('T D C S ZI 1 2 T D C S ZI 1 2 T E42601 S ZI E0A000 ZI ZI I ZI');
@@ -71,7 +71,7 @@
 	});
 
 	it('runs at Flush what does not depend on the rest of the cycle', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		caller.send(message('P', 's', 'select 1', new Uint8Array(2)), message('D', 'Ss'), flush, sync);
 		expect(await caller.read()).toEqual('1 t T S ZI');
@@ -82,7 +82,7 @@
 	});
 
 	it('keeps track of transactions and of what its own refusals did to them', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		const steps: ReadonlyArray<readonly [sent: Uint8Array, refusal: Refusal | undefined, got: string, ran: string | undefined]> = [
 			[query('begin'), undefined, 'T D C S ZT', 'begin'],
@@ -122,7 +122,7 @@
 	});
 
 	it('routes read-only transactions as reads and keeps them so', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		caller.send(query('begin read only'), query('select f()'), query('set transaction read write'), query('rollback'), query('select f()'));
 		expect(await caller.read(5)).toEqual('T D C S ZT T D C S ZT E0A000 ZE C S ZI T D C S ZI');
@@ -130,7 +130,7 @@
 	});
 
 	it('says in the hint of an error what a program needs', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		bench.router.refusals.push(new Refusal('overloaded', 'queue of a1 is full', {retryAfterMs: 70}));
 		const [frame = new Uint8Array(0)] = await caller.send(query('select 1')).readFrames();
@@ -145,7 +145,7 @@
 	});
 
 	it('hands out tokens and takes them at start-up and by SET', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const client = await bench.connect();
 		await client.query('insert into t values (1)');
 		const {rows} = await client.query<{'quetzalstream.token': string}>('show quetzalstream.token');
@@ -167,7 +167,7 @@
 	});
 
 	it('refuses start-ups that ask for what is not there', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const cases: ReadonlyArray<readonly [parameters: Readonly<Record<string, string>>, expected: string]> = [
 			[{database: 'other'}, 'E3D000'],
 			[{options: '-c quetzalstream.token=forged'}, 'E22023'],
@@ -182,7 +182,7 @@
 	it('checks passwords', async () => {
 		const users = [{name: 'app', password: 'secret'}, {name: 'till', password: 'md55118a6332e936b236d554fd3db4dfbfa'}, {name: 'guest'}];
 		for (const authentication of ['cleartextPassword', 'md5Password'] as const) {
-			const bench = await startBench({authentication, users});
+			const bench = await startHarness({authentication, users});
 			const outcomes = [
 				codeOfFailure(bench.connect({password: 'secret'})),
 				codeOfFailure(bench.connect({user: 'till', password: 'secret'})),
@@ -196,7 +196,7 @@
 	});
 
 	it('serves over TLS, and only so where it is required', async () => {
-		const bench = await startBench({tls: testCertificate, isTlsRequired: true});
+		const bench = await startHarness({tls: testCertificate, isTlsRequired: true});
 		const client = await bench.connect({ssl: {rejectUnauthorized: false}});
 		const {rows} = await client.query('select 1');
 		expect(rows).toEqual([{text: 'select 1'}]);
@@ -204,7 +204,7 @@
 	});
 
 	it('cancels what is in progress, by the right key only', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		const cancel = (processId: number, secretKey: number) => {
 			const key = message('K', new Uint8Array(8));
@@ -230,7 +230,7 @@
 	});
 
 	it('ends what a caller that goes away was doing', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const caller = await bench.startRaw();
 		const stuck = new Promise<void>(resolve => {
 			bench.router.onBlocked = resolve;
@@ -245,14 +245,14 @@
 	});
 
 	it('gives large answers whole', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const client = await bench.connect();
 		const {rows} = await client.query(largeText);
 		expect(rows.length).toEqual(largeAnswerChunks + 1);
 	});
 
 	it('drains: idle callers at once, others after their request and transaction', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const [idle, busy, open, left] = await Promise.all([bench.startRaw(), bench.startRaw(), bench.startRaw(), bench.startRaw()]);
 		await open.send(query('begin')).read();
 		await left.send(query('begin')).read();
@@ -271,7 +271,7 @@
 	});
 
 	it('runs no request that crosses the last message on its way', async () => {
-		const bench = await startBench();
+		const bench = await startHarness();
 		const idle = await bench.startRaw();
 		const drained = bench.server.drain(200);
 		idle.send(query('insert x'));
--- a/src/node/callers/caller-server.ts
+++ b/src/node/callers/caller-server.ts
@@ -108,7 +108,7 @@
 		this._connections.set(connection.processId, connection);
 		this._countConnections();
 		socket.once('close', () => {
-			this._forget(connection);
+			this._remove(connection);
 		});
 		await connection.run(this._connections.size > maximumConnections);
 	}
@@ -121,7 +121,7 @@
 		return this._lastProcessId;
 	}
 
-	private _forget(connection: CallerConnection): void {
+	private _remove(connection: CallerConnection): void {
 		this._connections.delete(connection.processId);
 		this._countConnections();
 		if (this._connections.size === 0) {
--- a/src/node/callers/credentials.ts
+++ b/src/node/callers/credentials.ts
@@ -6,7 +6,7 @@
 
 const storedPattern = /^md5[\da-f]{32}$/v;
 
-function isSame(a: string, b: string): boolean {
+function isEqualInConstantTime(a: string, b: string): boolean {
 	const first = Buffer.from(a);
 	const second = Buffer.from(b);
 	return first.length === second.length && timingSafeEqual(first, second);
@@ -25,8 +25,8 @@
 	}
 
 	return storedPattern.test(user.password)
-		? isSame(`md5${await md5(given + user.name)}`, user.password)
-		: isSame(given, user.password);
+		? isEqualInConstantTime(`md5${await md5(given + user.name)}`, user.password)
+		: isEqualInConstantTime(given, user.password);
 }
 
 /** Checks the answer to a salted challenge. */
@@ -37,5 +37,5 @@
 
 	const hash = await storedHash(user);
 	const salted = await md5(Buffer.concat([Buffer.from(hash), salt]));
-	return isSame(given, `md5${salted}`);
+	return isEqualInConstantTime(given, `md5${salted}`);
 }
--- a/src/node/callers/cycle-runner.ts
+++ b/src/node/callers/cycle-runner.ts
@@ -21,7 +21,7 @@
 /** Whether the caller waits for ReadyForQuery after the answer. */
 export type AnswerTerminator = 'ready' | 'flush';
 
-const nowhere: AnswerSink = {push: () => undefined};
+const discardingSink: AnswerSink = {push: () => undefined};
 
 /** Runs cycles, one at a time. */
 export class CycleRunner {
@@ -88,7 +88,7 @@
 	async rollBack(): Promise<void> {
 		const session = this._session;
 		if (session.heldEndpoint !== undefined) {
-			await this._execute({frames: queryFrame('ROLLBACK'), access: session.isReadOnlyTransaction ? 'read' : 'write', step: 'rollback'}, nowhere);
+			await this._execute({frames: queryFrame('ROLLBACK'), access: session.isReadOnlyTransaction ? 'read' : 'write', step: 'rollback'}, discardingSink);
 		}
 
 		session.isFailedByProxy = false;
--- a/src/node/callers/request-handler.ts
+++ b/src/node/callers/request-handler.ts
@@ -114,11 +114,11 @@
 	private async _runStatements(frame: Uint8Array, statements: readonly Statement[]): Promise<Continuation> {
 		const relayed = statements.filter(statement => statement.kind === 'relayed');
 		if (this._session.isFailedByProxy && !this._isSavepointRollback(relayed)) {
-			return this._endFailed(relayed, statements.length, () => [commandComplete('ROLLBACK')], 'ready');
+			return this._endFailedTransaction(relayed, statements.length, () => [commandComplete('ROLLBACK')], 'ready');
 		}
 
 		if (relayed.length === 0) {
-			return this._answerHere(answerStatements(statements, {session: this._session, prepared: this._prepared}), 'ready');
+			return this._answerLocally(answerStatements(statements, {session: this._session, prepared: this._prepared}), 'ready');
 		}
 
 		if (relayed.length < statements.length) {
@@ -131,7 +131,7 @@
 		}
 
 		const refusal = await this._runner.run(frame, plan, 'ready');
-		return this._after(refusal);
+		return this._continuationAfter(refusal);
 	}
 
 	/** Whether a rollback to a savepoint can mend the failed transaction at its endpoint. */
@@ -147,7 +147,7 @@
 	}
 
 	/** In a transaction that failed here, only its end is let through. */
-	private async _endFailed(
+	private async _endFailedTransaction(
 		statements: readonly RelayedStatement[],
 		count: number,
 		onEnded: () => readonly Uint8Array[],
@@ -163,7 +163,7 @@
 		return 'goOn';
 	}
 
-	private async _answerHere(answer: LocalAnswer, end: AnswerTerminator): Promise<Continuation> {
+	private async _answerLocally(answer: LocalAnswer, end: AnswerTerminator): Promise<Continuation> {
 		if (!answer.refusal) {
 			await this._runner.finish(answer.frames, end);
 			return 'goOn';
@@ -173,7 +173,7 @@
 		return this._refuse(answer.refusal, end);
 	}
 
-	private _after(refusal: Refusal | undefined): Continuation {
+	private _continuationAfter(refusal: Refusal | undefined): Continuation {
 		return refusal?.answer.severity === 'FATAL' ? 'end' : 'goOn';
 	}
 
@@ -183,11 +183,11 @@
 		}
 
 		const refusal = this._builder.add(frame);
-		return refusal ? this._fail(refusal) : 'goOn';
+		return refusal ? this._refuseUntilSync(refusal) : 'goOn';
 	}
 
 	/** Refuses what was gathered, and what follows up to Sync. */
-	private async _fail(refusal: Refusal): Promise<Continuation> {
+	private async _refuseUntilSync(refusal: Refusal): Promise<Continuation> {
 		this._builder.reset();
 		this._isSkipping = true;
 		return this._refuse(refusal, 'flush');
@@ -204,7 +204,7 @@
 		}
 
 		if (this._builder.hasPortal && !this._session.isInTransaction) {
-			return this._fail(new Refusal('unsupportedStatement', 'Flush after Bind needs an open transaction; send Sync'));
+			return this._refuseUntilSync(new Refusal('unsupportedStatement', 'Flush after Bind needs an open transaction; send Sync'));
 		}
 
 		const continuation = await this._runGathered('flush');
@@ -238,12 +238,12 @@
 	private async _runCycle(cycle: BuiltCycle, end: AnswerTerminator): Promise<Continuation> {
 		const context = {session: this._session, prepared: this._prepared};
 		if (cycle.kind === 'local') {
-			return this._answerHere(answerMessages(cycle.messages, context), end);
+			return this._answerLocally(answerMessages(cycle.messages, context), end);
 		}
 
 		if (this._session.isFailedByProxy && !this._isSavepointRollback(cycle.executed)) {
 			this._isSkipping = end === 'flush';
-			return this._endFailed(cycle.executed, cycle.executed.length, () => answerMessages(cycle.messages, context).frames, end);
+			return this._endFailedTransaction(cycle.executed, cycle.executed.length, () => answerMessages(cycle.messages, context).frames, end);
 		}
 
 		if (cycle.plan.refusal !== undefined) {
@@ -253,7 +253,7 @@
 		const filter = cycle.expected.length > 0 ? new AnswerFilter(cycle.expected, this._prepared) : undefined;
 		const refusal = await this._runner.run(cycle.frames, cycle.plan, end, filter);
 		this._isSkipping = end === 'flush' && refusal !== undefined;
-		return this._after(refusal);
+		return this._continuationAfter(refusal);
 	}
 }
 
--- a/src/node/callers/start-up.ts
+++ b/src/node/callers/start-up.ts
@@ -77,7 +77,7 @@
 		});
 		this._gateway.removeSocketHandlers(socket);
 		this._steps = new Map<number, Step>([
-			[requestCodes.ssl, async () => this._secure()],
+			[requestCodes.ssl, async () => this._upgradeToTls()],
 			[requestCodes.gss, async () => this._decline()],
 			[requestCodes.cancel, async message => this._readCancel(message)],
 		]);
@@ -121,7 +121,7 @@
 			: ended;
 	}
 
-	private async _secure(): Promise<StartUpResult | undefined> {
+	private async _upgradeToTls(): Promise<StartUpResult | undefined> {
 		const {secureContext} = this._context;
 		if (!secureContext || this._socket instanceof TLSSocket) {
 			return this._decline();
--- a/src/node/callers/testing/caller-server-harness.ts
+++ b/src/node/callers/testing/caller-server-harness.ts
@@ -19,7 +19,7 @@
 	},
 };
 
-function notAsked(): never {
+function unexpectedCall(): never {
 	throw new Error('not asked for here');
 }
 
@@ -31,8 +31,8 @@
 	onChange: () => toDisposable(() => undefined),
 	groups: () => [group],
 	group: name => name === group.name ? group : undefined,
-	callerPolicy: notAsked,
-	endpointPolicy: notAsked,
+	callerPolicy: unexpectedCall,
+	endpointPolicy: unexpectedCall,
 };
 
 /** One server with its router, and the callers of one test. */
@@ -49,7 +49,7 @@
 			router: this.router,
 			configuration,
 			clock,
-			log: {event: this._note.bind(this)},
+			log: {event: this._recordEvent.bind(this)},
 			metrics: {count: () => undefined, gauge: () => undefined, observe: () => undefined},
 			signer: new HmacTokenSigner('shared key'),
 			node: {name: 'n1', incarnation: 'i1', availabilityZone: 'a'},
@@ -94,7 +94,7 @@
 		this.server.dispose();
 	}
 
-	private _note(name: LogEventName): void {
+	private _recordEvent(name: LogEventName): void {
 		this.events.push(name);
 	}
 }
--- a/src/node/operators/coalesced-refresh.ts
+++ b/src/node/operators/coalesced-refresh.ts
@@ -7,8 +7,8 @@
 export class CoalescedRefresh {
 	private readonly _clock: Clock;
 	private readonly _keepMs: number;
-	private readonly _act: () => Promise<void>;
-	private _round: Promise<void> | undefined;
+	private readonly _performRefresh: () => Promise<void>;
+	private _refresh: Promise<void> | undefined;
 	private _isRunning = false;
 	private _startedAtMs = 0;
 
@@ -16,24 +16,24 @@
 	constructor(clock: Clock, keepMs: number, act: () => Promise<void>) {
 		this._clock = clock;
 		this._keepMs = keepMs;
-		this._act = act;
+		this._performRefresh = act;
 	}
 
 	/** Resolves at the end of the round that counts now. */
 	async run(): Promise<void> {
 		const nowMs = this._clock.nowMs();
-		if (this._round === undefined || (!this._isRunning && nowMs - this._startedAtMs >= this._keepMs)) {
+		if (this._refresh === undefined || (!this._isRunning && nowMs - this._startedAtMs >= this._keepMs)) {
 			this._startedAtMs = nowMs;
-			this._round = this._start();
+			this._refresh = this._start();
 		}
 
-		return this._round;
+		return this._refresh;
 	}
 
 	private async _start(): Promise<void> {
 		this._isRunning = true;
 		try {
-			await this._act();
+			await this._performRefresh();
 		} finally {
 			this._isRunning = false;
 		}
--- a/src/node/operators/configuration-routes.ts
+++ b/src/node/operators/configuration-routes.ts
@@ -26,10 +26,10 @@
 		: sendRefusal(reply, result.swap().unsafeCoerce());
 }
 
-type Wish = {readonly operations?: readonly Operation[]; readonly document?: ConfigurationDocument};
+type DesiredChange = {readonly operations?: readonly Operation[]; readonly document?: ConfigurationDocument};
 
 /** The operations of a wish; a document is compared with what is in force. */
-function operationsOf(wish: Wish, model: ConfigurationModel): Either<readonly Problem[], readonly Operation[]> {
+function operationsOf(wish: DesiredChange, model: ConfigurationModel): Either<readonly Problem[], readonly Operation[]> {
 	return wish.document === undefined
 		? Right(wish.operations ?? [])
 		: fromDocument(wish.document).map(wanted => diffModels(model, wanted));
--- a/src/node/operators/failover-record.ts
+++ b/src/node/operators/failover-record.ts
@@ -30,18 +30,18 @@
 export class FailoverRecord implements Disposable {
 	private readonly _services: FailoverRecordServices;
 	private readonly _options: typeof failoverRecordDefaults;
-	private readonly _round: CoalescedRefresh;
+	private readonly _refresh: CoalescedRefresh;
 	private readonly _sleep: WakeableSleep;
 	private _last: Failover | undefined;
 	/** The failover that the table is to hold; a newer one replaces it. */
-	private _wanted: Failover | undefined;
+	private _pending: Failover | undefined;
 	private _isWriting = false;
 	private _isDisposed = false;
 
 	constructor(services: FailoverRecordServices, options: Partial<typeof failoverRecordDefaults> = {}) {
 		this._services = services;
 		this._options = {...failoverRecordDefaults, ...options};
-		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => {
+		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => {
 			await this._read();
 		});
 		this._sleep = new WakeableSleep(services.clock);
@@ -54,13 +54,13 @@
 
 	/** Looks into the table, unless that was done a short while ago. */
 	async refresh(): Promise<void> {
-		return this._round.run();
+		return this._refresh.run();
 	}
 
 	/** Takes in a failover that this node carried out, and records it in the background. */
 	note(failover: Failover): void {
-		this._learn(failover);
-		this._wanted = failover;
+		this._updateLast(failover);
+		this._pending = failover;
 		if (!this._isWriting && !this._isDisposed) {
 			void this._write();
 		}
@@ -71,7 +71,7 @@
 		this._sleep.dispose();
 	}
 
-	private _learn(failover: Failover): void {
+	private _updateLast(failover: Failover): void {
 		if (this._last === undefined || failover.at > this._last.at) {
 			this._last = failover;
 		}
@@ -79,11 +79,11 @@
 
 	private async _write(): Promise<void> {
 		this._isWriting = true;
-		for (let attempt = 0; attempt < this._options.attempts && this._wanted && !this._isDisposed; attempt++) {
-			const wanted = this._wanted;
-			const isDone = await this._attempt(wanted);
-			if (isDone && this._wanted === wanted) {
-				this._wanted = undefined;
+		for (let attempt = 0; attempt < this._options.attempts && this._pending && !this._isDisposed; attempt++) {
+			const wanted = this._pending;
+			const isDone = await this._tryWrite(wanted);
+			if (isDone && this._pending === wanted) {
+				this._pending = undefined;
 			} else if (!isDone) {
 				await this._sleep.wait(this._options.retryMs * (2 ** attempt));
 			}
@@ -93,7 +93,7 @@
 	}
 
 	/** Whether the table holds this failover, or a later one. */
-	private async _attempt(wanted: Failover): Promise<boolean> {
+	private async _tryWrite(wanted: Failover): Promise<boolean> {
 		const read = await this._read();
 		if (!read) {
 			return false;
@@ -120,7 +120,7 @@
 		const item = read.orDefault(undefined);
 		const failover = item && decode(item);
 		if (failover) {
-			this._learn(failover);
+			this._updateLast(failover);
 		}
 
 		return {revision: item?.revision ?? 0, failover};
--- a/src/node/operators/group-view-collector.ts
+++ b/src/node/operators/group-view-collector.ts
@@ -18,24 +18,24 @@
 	readonly ownView: (group: string) => GroupView | undefined;
 };
 
-type HeardView = {readonly view: GroupView; readonly atMs: number};
+type ReceivedView = {readonly view: GroupView; readonly atMs: number};
 
 /** Asks homes about groups that this node does not follow; a bounded number at one time. */
 export class GroupViewCollector {
 	private readonly _services: GroupViewCollectorServices;
 	private readonly _options: typeof statusDefaults;
-	private readonly _round: CoalescedRefresh;
-	private readonly _heard = new Map<string, HeardView>();
+	private readonly _refresh: CoalescedRefresh;
+	private readonly _receivedViews = new Map<string, ReceivedView>();
 
 	constructor(services: GroupViewCollectorServices, options: Partial<typeof statusDefaults> = {}) {
 		this._services = services;
 		this._options = {...statusDefaults, ...options};
-		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._askAll());
+		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._requestAll());
 	}
 
 	/** Resolves once every group that this node does not follow was asked about. */
 	async refresh(): Promise<void> {
-		return this._round.run();
+		return this._refresh.run();
 	}
 
 	/** The newest view of a group; undefined when nobody told of it lately. */
@@ -45,32 +45,32 @@
 			return own;
 		}
 
-		const heard = this._heard.get(group);
+		const heard = this._receivedViews.get(group);
 		const isRecent = heard !== undefined && this._services.clock.nowMs() - heard.atMs < this._options.forgetMs;
 		return isRecent ? heard.view : undefined;
 	}
 
-	private async _askAll(): Promise<void> {
+	private async _requestAll(): Promise<void> {
 		const groups = this._services.configuration.groups();
 		const names = new Set(groups.map(({name}) => name));
-		for (const name of this._heard.keys()) {
+		for (const name of this._receivedViews.keys()) {
 			if (!names.has(name)) {
-				this._heard.delete(name);
+				this._receivedViews.delete(name);
 			}
 		}
 
 		const others = groups.filter(({name}) => this._services.ownView(name) === undefined);
-		await forEachConcurrently(others, this._options.groupsAtOnce, async group => this._ask(group));
+		await forEachConcurrently(others, this._options.groupsAtOnce, async group => this._request(group));
 	}
 
-	private async _ask(group: GroupDefinition): Promise<void> {
+	private async _request(group: GroupDefinition): Promise<void> {
 		const {peers, clock} = this._services;
 		for (const home of this._homesOf(group)) {
 			const answer = await peers.groupView(home, group.name, this._options.groupViewTimeoutMs);
 			const view = answer.toMaybe().extract();
 			// A node that does not follow the group answers too, without instances.
 			if (view && view.instances.length > 0) {
-				this._heard.set(group.name, {view, atMs: clock.nowMs()});
+				this._receivedViews.set(group.name, {view, atMs: clock.nowMs()});
 				return;
 			}
 		}
--- a/src/node/operators/node-readiness.ts
+++ b/src/node/operators/node-readiness.ts
@@ -31,7 +31,7 @@
 	private readonly _services: ReadinessServices;
 	private readonly _options: typeof readinessDefaults;
 	private readonly _sleep: WakeableSleep;
-	private _misses = 0;
+	private _consecutiveFailures = 0;
 	private _isDisposed = false;
 
 	constructor(services: ReadinessServices, options: Partial<typeof readinessDefaults> = {}) {
@@ -51,7 +51,7 @@
 			return {isReady: false, reason: 'no configuration is in force yet'};
 		}
 
-		return this._misses >= this._options.missesToCutOff
+		return this._consecutiveFailures >= this._options.missesToCutOff
 			? {isReady: false, reason: 'cut off: neither an endpoint nor another node can be reached'}
 			: {isReady: true, reason: 'serving'};
 	}
@@ -66,7 +66,7 @@
 
 	/** Looks once. */
 	async checkConnectivity(): Promise<void> {
-		this._misses = await this._reachesAnybody() ? 0 : this._misses + 1;
+		this._consecutiveFailures = await this._hasConnectivity() ? 0 : this._consecutiveFailures + 1;
 	}
 
 	dispose(): void {
@@ -75,7 +75,7 @@
 	}
 
 	/** Nodes are asked only when no endpoint is heard. A node that knows no other cannot be replaced by one. */
-	private async _reachesAnybody(): Promise<boolean> {
+	private async _hasConnectivity(): Promise<boolean> {
 		const {membership, peers, random, hasReachableInstance: hearsAnyInstance} = this._services;
 		const others = membership.hosts().filter(({name}) => name !== membership.self.name);
 		if (hearsAnyInstance() || others.length === 0) {
--- a/src/node/operators/operator-authentication.ts
+++ b/src/node/operators/operator-authentication.ts
@@ -37,7 +37,7 @@
 	private readonly _accepted = new Map<string, {readonly user: string; readonly untilMs: number}>();
 	private readonly _digestKey = randomBytes(32);
 	/** Checked for unknown users, so that they take as long as known ones. */
-	private readonly _decoy: Promise<string>;
+	private readonly _dummyPassword: Promise<string>;
 	/** Checks under way by digest; a page asks for several files at one time. */
 	private readonly _checks = new Map<string, Promise<boolean>>();
 
@@ -47,7 +47,7 @@
 		this._passwords = new Map(credentials.map(({user, password}) => [user, password]));
 		this._limiter = new FailureLimiter(clock, this._options);
 		const secret = randomBytes(16).toString('base64');
-		this._decoy = credentials.some(({password}) => isHashed(password)) ? hashPassword(secret) : Promise.resolve(secret);
+		this._dummyPassword = credentials.some(({password}) => isHashed(password)) ? hashPassword(secret) : Promise.resolve(secret);
 	}
 
 	/** The operator's name. Whoever was accepted before is not held up by others' failures. */
@@ -83,7 +83,7 @@
 
 	private async _startCheck({user, password}: OperatorCredentials, digest: string): Promise<boolean> {
 		const stored = this._passwords.get(user);
-		const check = this._decoy.then(async decoy => {
+		const check = this._dummyPassword.then(async decoy => {
 			const isSame = await checkPassword(password, stored ?? decoy);
 			return isSame && stored !== undefined;
 		}).finally(() => {
--- a/src/node/operators/operator-client.ts
+++ b/src/node/operators/operator-client.ts
@@ -59,14 +59,14 @@
 export type ChangeList = {readonly version: number; readonly changes: readonly Change[]};
 
 /** The API is this program's own: an answer is only checked to be an object. */
-function answerOf<T>() {
+function answerSchema<T>() {
 	return z.custom<T>(value => typeof value === 'object' && value !== null);
 }
 
-const refusalSchema = answerOf<OperatorRefusal>().refine(refusal => typeof refusal.kind === 'string');
+const refusalSchema = answerSchema<OperatorRefusal>().refine(refusal => typeof refusal.kind === 'string');
 
 /** Outcomes after which the same proposal may be sent again, since it applies once. */
-const resendable = new Set<ClientRefusal['kind']>(['noAnswer', 'unknown', 'failed']);
+const retryableKinds = new Set<ClientRefusal['kind']>(['noAnswer', 'unknown', 'failed']);
 
 type Query = Readonly<Record<string, string | number | undefined>>;
 
@@ -139,8 +139,8 @@
 		const proposal = {...body, changeId: body.changeId ?? randomUUID()};
 		for (let attempt = 1; ; attempt++) {
 			const answer = await this._send<{change: Change}>('POST', path, proposal);
-			const isOpen = answer.isLeft() && resendable.has(answer.swap().unsafeCoerce().kind);
-			if (!isOpen || attempt >= this._options.attempts) {
+			const isOutcomeUnknown = answer.isLeft() && retryableKinds.has(answer.swap().unsafeCoerce().kind);
+			if (!isOutcomeUnknown || attempt >= this._options.attempts) {
 				return answer.map(({change}) => change);
 			}
 
@@ -163,7 +163,7 @@
 				signal: AbortSignal.timeout(timeoutMs),
 			});
 			const answer: unknown = await response.json();
-			return response.ok ? Right(answerOf<T>().parse(answer)) : Left(refusalSchema.parse(answer));
+			return response.ok ? Right(answerSchema<T>().parse(answer)) : Left(refusalSchema.parse(answer));
 		} catch (error) {
 			return Left({kind: 'noAnswer', detail: describeFailure(error)});
 		}
--- a/src/node/operators/operator-server.ts
+++ b/src/node/operators/operator-server.ts
@@ -103,7 +103,7 @@
 	private _registerHooks(): void {
 		const {metrics} = this._services;
 		this._server.decorateRequest('operator', '');
-		this._server.addHook('onRequest', async (request, reply) => this._admit(request, reply));
+		this._server.addHook('onRequest', async (request, reply) => this._authorize(request, reply));
 		this._server.addHook('onResponse', async (_request, reply) => {
 			metrics.count('operatorRequestsTotal', {status: String(reply.statusCode)});
 		});
@@ -112,7 +112,7 @@
 	}
 
 	/** Sends a refusal, which ends the request, unless it may go on. */
-	private async _admit(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply | undefined> {
+	private async _authorize(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply | undefined> {
 		const [path = ''] = request.url.split('?', 1);
 		if (openPaths.has(path) || (path === metricsPath && this._options.isMetricsOpen)) {
 			return undefined;
--- a/src/node/operators/reach.ts
+++ b/src/node/operators/reach.ts
@@ -22,13 +22,13 @@
 export class ReachProbe implements ReachSource {
 	private readonly _services: ReachServices;
 	private readonly _options: typeof reachDefaults;
-	private readonly _round: CoalescedRefresh;
+	private readonly _refresh: CoalescedRefresh;
 	private readonly _latest = new Map<string, NodeReach>();
 
 	constructor(services: ReachServices, options: Partial<typeof reachDefaults> = {}) {
 		this._services = services;
 		this._options = {...reachDefaults, ...options};
-		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._probeAll());
+		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._probeAll());
 	}
 
 	/** What each node answered last, also while a round is on its way; without those never asked. */
@@ -37,7 +37,7 @@
 	}
 
 	async nodes(): Promise<readonly NodeReach[]> {
-		await this._round.run();
+		await this._refresh.run();
 		return [...this._latest.values()].toSorted((a, b) => a.name < b.name ? -1 : 1);
 	}
 
--- a/src/node/operators/request-schemas.ts
+++ b/src/node/operators/request-schemas.ts
@@ -17,24 +17,24 @@
 };
 
 /** What is wanted: single operations, or a whole document that the configuration is to become. */
-const wantedFields = {
+const desiredChangeFields = {
 	operations: operationsSchema.optional(),
 	document: documentSchema.optional(),
 };
 
-function hasOneWish({operations, document}: {operations?: unknown; document?: unknown}): boolean {
+function hasExactlyOneForm({operations, document}: {operations?: unknown; document?: unknown}): boolean {
 	return (operations === undefined) !== (document === undefined);
 }
 
-const oneWishMessage = 'expected either operations or document';
+const exactlyOneFormMessage = 'expected either operations or document';
 
 /** Body of `POST /api/changes`. */
-export const proposeSchema = z.strictObject({...proposalFields, ...wantedFields}).refine(hasOneWish, oneWishMessage);
+export const proposeSchema = z.strictObject({...proposalFields, ...desiredChangeFields}).refine(hasExactlyOneForm, exactlyOneFormMessage);
 
 /** Body of `POST /api/changes/preview`. */
 export const previewSchema = z.union([
 	z.strictObject({undoOf: z.int().min(1)}),
-	z.strictObject(wantedFields).refine(hasOneWish, oneWishMessage),
+	z.strictObject(desiredChangeFields).refine(hasExactlyOneForm, exactlyOneFormMessage),
 ]);
 
 /** Body of `POST /api/changes/:number/undo`. */
