--- a/src/node/callers/answer-writer.ts
+++ b/src/node/callers/answer-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes answers to a caller: holds the last piece back, so that it goes out in one write
- * with what ends the answer, and waits for a caller that takes its answer slowly.
+ * Writes answers to a caller. The last piece of an answer is buffered, so that it is sent in
+ * one write with the frames that end the answer. A caller that reads slowly slows the writer.
  */
 import type {Socket} from 'node:net';
 import type {AnswerSink, Clock} from '../../common/services/services.js';
@@ -8,7 +8,7 @@
 import {joinFrames} from '../../common/statements/frames.js';
 import {joinedAnswerBytes} from './constants.js';
 
-/** The sink of one connection. */
+/** Writes the answers of one connection. */
 export class AnswerWriter implements AnswerSink {
 	private readonly _socket: Socket;
 	private readonly _clock: Clock;
@@ -22,42 +22,42 @@
 		this._stallMs = stallMs;
 	}
 
-	/** Begins an answer, whose frames go through a filter if there is one. */
+	/** Begins an answer; its frames pass through the filter if one is given. */
 	begin(filter?: AnswerFilter): void {
 		this._filter = filter;
 		this._buffered = undefined;
 	}
 
 	push(frames: Uint8Array): void | Promise<void> {
-		const kept = this._filter ? this._filter.apply(frames) : frames;
-		if (kept.length === 0) {
+		const filtered = this._filter ? this._filter.apply(frames) : frames;
+		if (filtered.length === 0) {
 			return;
 		}
 
-		const held = this._buffered;
-		this._buffered = kept;
-		if (held) {
-			return this._write(held);
+		const buffered = this._buffered;
+		this._buffered = filtered;
+		if (buffered) {
+			return this._write(buffered);
 		}
 	}
 
-	/** Drops the piece that was held back. */
+	/** Drops the buffered piece. */
 	discardBuffered(): void {
 		this._buffered = undefined;
 	}
 
-	/** Ends an answer with further frames. */
+	/** Ends an answer: writes the buffered piece and the frames given. */
 	finish(frames: readonly Uint8Array[]): void | Promise<void> {
-		const held = this._buffered;
+		const buffered = this._buffered;
 		this._buffered = undefined;
 		this._filter = undefined;
-		if (!held || held.length <= joinedAnswerBytes) {
-			return this._write(joinFrames(held ? [held, ...frames] : frames));
+		if (!buffered || buffered.length <= joinedAnswerBytes) {
+			return this._write(joinFrames(buffered ? [buffered, ...frames] : frames));
 		}
 
-		// Two buffers in one system call, where a copy would cost more.
+		// Corking sends both buffers in one system call; copying them into one would cost more.
 		this._socket.cork();
-		this._socket.write(held);
+		this._socket.write(buffered);
 		const written = this._write(joinFrames(frames));
 		this._socket.uncork();
 		return written;
@@ -72,7 +72,7 @@
 	}
 
 	private async _waitForDrain(): Promise<void> {
-		// A caller that takes nothing must not keep an endpoint's connection.
+		// A caller that does not read its answer must not occupy an endpoint's connection.
 		const timer = this._clock.setTimer(this._stallMs, () => {
 			this._socket.destroy();
 		});
--- a/src/node/callers/caller-connection.ts
+++ b/src/node/callers/caller-connection.ts
@@ -1,4 +1,4 @@
-/** One caller's connection, from accepting it to its close: one task, written straight down. */
+/** One caller's connection, from accept to close, served by one sequential task. */
 import {randomInt} from 'node:crypto';
 import type {Socket} from 'node:net';
 import type {SecureContext} from 'node:tls';
@@ -33,16 +33,16 @@
 	readonly codec: SessionTokenCodec;
 	readonly classifier: StatementClassifier;
 	readonly budget: ReceiveBudget;
-	/** Hands a cancel request to the connection that it names. */
+	/** Passes a cancel request on to the connection that it names. */
 	cancel(processId: number, secretKey: number): void;
 };
 
-/** Parameters that a caller is told at the end of its start-up, beside the token. */
+/** Parameters whose values a caller receives at the end of start-up, in addition to the session token. */
 const startUpParameterNames = ['client_encoding', 'DateStyle', 'IntervalStyle', 'TimeZone', 'standard_conforming_strings', 'application_name'];
 
 /** Serves one caller. */
 export class CallerConnection implements Disposable {
-	/** Names the connection in cancel requests, together with the secret key. */
+	/** Identifies the connection in cancel requests, together with the secret key. */
 	readonly processId: number;
 	readonly secretKey = randomInt(2 ** 31);
 	private readonly _context: ConnectionContext;
@@ -58,11 +58,11 @@
 		this._socket = socket;
 		this.processId = processId;
 		this._context = context;
-		// Without a listener an error of the socket would end the process; its close follows.
+		// Without a listener, a socket error would end the process. The socket emits `close` after it.
 		socket.on('error', () => undefined);
 	}
 
-	/** Serves the caller until its connection ends. */
+	/** Serves the caller until its connection is closed. */
 	async run(isFull: boolean): Promise<void> {
 		try {
 			await this._serve(isFull);
@@ -75,14 +75,14 @@
 		}
 	}
 
-	/** Cancels what is in progress if the key is right. */
+	/** Cancels the request in progress if the key matches. */
 	cancel(secretKey: number): void {
 		if (secretKey === this.secretKey) {
 			this._runner?.cancel();
 		}
 	}
 
-	/** Ends the connection once it is between requests and outside a transaction. */
+	/** Closes the connection as soon as it is between requests and outside a transaction. */
 	drain(): void {
 		this._isDraining = true;
 		if (this._isAwaitingMessage && this._isDrainable()) {
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Ends the connection at once. */
+	/** Sends a last error and closes the connection at once. */
 	dispose(): void {
 		this._closeWithError(new Refusal('shuttingDown'));
 		this._socket.destroy();
@@ -140,7 +140,7 @@
 		return undefined;
 	}
 
-	/** Makes the session that the start-up message asks for; undefined when it was refused. */
+	/** Creates the session that the start-up message asks for; undefined if it was refused. */
 	private _open(caller: AuthenticatedCaller): CallerSession | undefined {
 		const {services, options, codec} = this._context;
 		const group = caller.parameters.database ?? caller.user;
@@ -191,7 +191,7 @@
 	private async _handleMessages(reader: FrameReader, handler: RequestHandler): Promise<void> {
 		let continuation: Continuation = 'goOn';
 		while (continuation === 'goOn') {
-			// Waits only where something has to be waited for, which spares turns of the event loop.
+			// Awaits only if there is something to wait for, which saves turns of the event loop.
 			let frame = reader.take();
 			if (!frame) {
 				if (this._isDraining && this._isDrainable()) {
@@ -253,7 +253,7 @@
 		this._closeWithError(new Refusal('shuttingDown'));
 	}
 
-	/** Sends a last error and closes. */
+	/** Sends a last error and closes the connection. */
 	private _closeWithError(refusal: Refusal): void {
 		if (!this._socket.writableEnded && !this._socket.destroyed) {
 			this._socket.write(errorResponse(refusal, 'FATAL'));
@@ -262,10 +262,11 @@
 		this._close();
 	}
 
-	/** Closes after what was written has gone out. */
+	/** Closes the connection after the data written so far has been sent. */
 	private _close(): void {
 		const socket = this._socket;
-		// A request that crosses the last message on its way is answered by that, so it must not run.
+		// The caller may have sent a request before it received the last message. It takes that message
+		// for the answer, so the request must not run.
 		this._reader?.dispose();
 		socket.end();
 		const timer = this._context.services.clock.setTimer(closeGraceMs, () => {
--- a/src/node/callers/caller-faults.test.ts
+++ b/src/node/callers/caller-faults.test.ts
@@ -9,25 +9,25 @@
 const harnesses: CallerServerHarness[] = [];
 
 async function startHarness(options: Partial<CallerOptions> = {}): Promise<CallerServerHarness> {
-	const bench = new CallerServerHarness(options);
-	harnesses.push(bench);
-	return bench.start();
+	const harness = new CallerServerHarness(options);
+	harnesses.push(harness);
+	return harness.start();
 }
 
 afterEach(async () => {
-	await Promise.all(harnesses.splice(0).map(async bench => bench.stop()));
+	await Promise.all(harnesses.splice(0).map(async harness => harness.stop()));
 });
 
-/** A server is well if it serves a new caller and logged no unexpected error. */
-async function expectServing(bench: CallerServerHarness): Promise<void> {
-	const caller = await bench.startRaw();
+/** Expects that the server serves a new caller and has logged no unexpected event. */
+async function expectServing(harness: CallerServerHarness): Promise<void> {
+	const caller = await harness.startRaw();
 	expect(await caller.send(message('Q', 'select 1')).read()).toEqual('T D C S ZI');
-	expect(bench.events.filter(name => name !== 'callerRefused')).toEqual(['callersListening']);
+	expect(harness.events.filter(name => name !== 'callerRefused')).toEqual(['callersListening']);
 }
 
 describe('CallerServer under faulty callers', () => {
-	it('refuses malformed beginnings', async () => {
-		const bench = await startHarness();
+	it('refuses malformed start-up messages', async () => {
+		const harness = await startHarness();
 		const cases: ReadonlyArray<readonly [bytes: Uint8Array, expected: string]> = [
 			[Uint8Array.of(0, 0, 0, 3), 'E08P01'],
 			[Uint8Array.of(0, 0, 0, 4), 'E08P01'],
@@ -41,17 +41,17 @@
 			[untypedMessage(80_877_102), ''],
 		];
 		for (const [bytes, expected] of cases) {
-			expect([bytes, await bench.connectRaw().send(bytes).readToClose()]).toEqual([bytes, expected]);
+			expect([bytes, await harness.connectRaw().send(bytes).readToClose()]).toEqual([bytes, expected]);
 		}
 
-		await expectServing(bench);
+		await expectServing(harness);
 	});
 
-	it('offers its own minor version to later protocols, and declines encryption that it has not', async () => {
-		const bench = await startHarness();
-		const frames = await bench.connectRaw().send(startUp({}, 0x3_00_02)).read();
+	it('offers its own minor version to callers with a later one, and declines encryption that it does not support', async () => {
+		const harness = await startHarness();
+		const frames = await harness.connectRaw().send(startUp({}, 0x3_00_02)).read();
 		expect(frames).toEqual('v R S S S S S S S S S K ZI');
-		const caller = bench.connectRaw();
+		const caller = harness.connectRaw();
 		caller.send(untypedMessage(80_877_104));
 		caller.socket.once('data', () => {
 			caller.send(untypedMessage(80_877_103));
@@ -69,9 +69,9 @@
 	});
 
 	it('refuses data that was sent before the TLS handshake, and survives failed handshakes', async () => {
-		const bench = await startHarness({tls: testCertificate});
-		expect(await bench.connectRaw().send(untypedMessage(80_877_103), startUp()).readToClose()).toEqual('E08P01');
-		const caller = bench.connectRaw();
+		const harness = await startHarness({tls: testCertificate});
+		expect(await harness.connectRaw().send(untypedMessage(80_877_103), startUp()).readToClose()).toEqual('E08P01');
+		const caller = harness.connectRaw();
 		caller.send(untypedMessage(80_877_103));
 		caller.socket.once('data', () => {
 			caller.send(new Uint8Array(100));
@@ -80,11 +80,11 @@
 			caller.socket.once('close', resolve);
 		});
 		await closed;
-		await expectServing(bench);
+		await expectServing(harness);
 	});
 
 	it('refuses malformed messages and ends the connection', async () => {
-		const bench = await startHarness({maximumMessageBytes: 1000});
+		const harness = await startHarness({maximumMessageBytes: 1000});
 		const cases: ReadonlyArray<readonly [bytes: Uint8Array, expected: string]> = [
 			[Uint8Array.of(0x51, 0, 0, 0, 3), 'E08P01'],
 			[Uint8Array.of(0x51, 0xFF, 0xFF, 0xFF, 0xFF), 'E54000'],
@@ -98,26 +98,26 @@
 			[message('X'), ''],
 		];
 		for (const [bytes, expected] of cases) {
-			const caller = await bench.startRaw();
+			const caller = await harness.startRaw();
 
 			expect([bytes, await caller.send(bytes).readToClose()]).toEqual([bytes, expected]);
 		}
 
-		expect(bench.router.ran).toEqual([]);
-		await expectServing(bench);
+		expect(harness.router.ran).toEqual([]);
+		await expectServing(harness);
 	});
 
-	it('refuses messages that it does not carry and goes on', async () => {
-		const bench = await startHarness();
-		const caller = await bench.startRaw();
+	it('refuses unsupported messages and continues the session', async () => {
+		const harness = await startHarness();
+		const caller = await harness.startRaw();
 		expect(await caller.send(message('F', new Uint8Array(10))).read()).toEqual('E0A000 ZI');
 		caller.send(message('d', 'x'), message('c'), message('f', 'x'), message('S'));
 		expect(await caller.read()).toEqual('ZI');
 	});
 
-	it('takes messages in pieces of any size', async () => {
-		const bench = await startHarness();
-		const caller = bench.connectRaw();
+	it('accepts messages that arrive in small pieces', async () => {
+		const harness = await startHarness();
+		const caller = harness.connectRaw();
 		const bytes = [...startUp(), ...message('Q', 'select 1'), ...message('Q', `select '${'x'.repeat(200)}'`)];
 		const answers = caller.read(3);
 		for (let offset = 0; offset < bytes.length; offset += 7) {
@@ -132,57 +132,57 @@
 	});
 
 	it('survives random bytes before and after the start-up', async () => {
-		const bench = await startHarness({maximumMessageBytes: 100_000});
+		const harness = await startHarness({maximumMessageBytes: 100_000});
 		const code = fc.constantFrom(...'QPBDECHSXFdcfp!');
 		const frame = fc.tuple(code, fc.uint8Array({maxLength: 40})).map(([name, body]) => message(name, body));
 		const bytes = fc.oneof(fc.uint8Array({maxLength: 200}), fc.array(frame, {maxLength: 8}).map(frames => Uint8Array.from(frames.flatMap(part => [...part]))));
 		await fc.assert(fc.asyncProperty(fc.boolean(), bytes, async (isStarted, sent) => {
-			const caller = isStarted ? await bench.startRaw() : bench.connectRaw();
+			const caller = isStarted ? await harness.startRaw() : harness.connectRaw();
 			caller.send(sent);
 			caller.socket.end();
 			await caller.readToClose();
 		}), {seed: 4, numRuns: 300});
-		await expectServing(bench);
+		await expectServing(harness);
 	});
 
-	it('bounds its connections and the time of start-up', async () => {
-		const bench = await startHarness({maximumConnections: 1});
-		const first = await bench.startRaw();
-		expect(await bench.connectRaw().send(startUp()).readToClose()).toEqual('E53300');
+	it('limits the number of connections and the time of start-up', async () => {
+		const harness = await startHarness({maximumConnections: 1});
+		const first = await harness.startRaw();
+		expect(await harness.connectRaw().send(startUp()).readToClose()).toEqual('E53300');
 		const closed = new Promise(resolve => {
 			first.socket.once('close', resolve);
 		});
 		first.send(message('X'));
 		await closed;
-		const hasty = await startHarness({startUpTimeoutMs: 20});
-		expect(await hasty.connectRaw().readToClose()).toEqual('');
-		expect(await hasty.connectRaw().send(startUp().subarray(0, 6)).readToClose()).toEqual('');
+		const shortTimeout = await startHarness({startUpTimeoutMs: 20});
+		expect(await shortTimeout.connectRaw().readToClose()).toEqual('');
+		expect(await shortTimeout.connectRaw().send(startUp().subarray(0, 6)).readToClose()).toEqual('');
 	});
 
-	it('bounds what all callers together send', async () => {
-		const bench = await startHarness({maximumBufferedBytes: 10_000});
-		const [first, second] = await Promise.all([bench.startRaw(), bench.startRaw()]);
+	it('limits the bytes that all callers together send', async () => {
+		const harness = await startHarness({maximumBufferedBytes: 10_000});
+		const [first, second] = await Promise.all([harness.startRaw(), harness.startRaw()]);
 		const long = message('Q', `select '${'x'.repeat(6000)}'`);
-		// Each request gives its room back.
+		// Each request releases its reserved bytes.
 		expect(await first.send(long, long, long).read(3)).toEqual('T D C S ZI T D C S ZI T D C S ZI');
-		// A message that is begun and a cycle that is not whole both take room.
+		// A partly received message and an incomplete cycle both keep their bytes reserved.
 		first.send(message('P', '', `select '${'x'.repeat(6000)}'`, new Uint8Array(2)), message('H'));
 		await first.send(message('S')).read();
 		first.send(message('P', '', `select '${'x'.repeat(6000)}'`, new Uint8Array(2)));
-		const third = await bench.startRaw();
+		const third = await harness.startRaw();
 		expect(await second.send(long.subarray(0, 10)).readToClose()).toEqual('E53000');
 		expect(await first.send(message('S')).read()).toEqual('1 S ZI');
 		expect(await third.send(long).read()).toEqual('T D C S ZI');
 	});
 
-	it('ends callers that do not take their answers', async () => {
-		const bench = await startHarness({answerStallMs: 20});
-		const caller = await bench.startRaw();
+	it('closes the connections of callers that do not read their answers', async () => {
+		const harness = await startHarness({answerStallMs: 20});
+		const caller = await harness.startRaw();
 		const closed = new Promise<unknown>(resolve => {
-			bench.router.close = resolve;
+			harness.router.close = resolve;
 		});
 		caller.socket.pause();
 		caller.send(message('Q', 'select large'));
-		expect(await closed).toEqual(bench.router.ran[0]?.session);
+		expect(await closed).toEqual(harness.router.ran[0]?.session);
 	});
 });
--- a/src/node/callers/caller-server.ts
+++ b/src/node/callers/caller-server.ts
@@ -1,4 +1,4 @@
-/** Accepts callers and keeps their connections within bounds. */
+/** Accepts callers and limits the number of their connections. */
 import {
 	createServer, type Server, type Socket,
 } from 'node:net';
@@ -12,7 +12,7 @@
 import {ReceiveBudget} from './receive-budget.js';
 import type {CallerOptions, CallerServices} from './types.js';
 
-/** Largest process identifier; callers read it as a signed number. */
+/** Largest process identifier; callers read it as a signed 32-bit number. */
 const maximumProcessId = 0x7F_FF_FF_FF;
 
 /** Serves callers on one port. */
@@ -34,12 +34,12 @@
 		});
 	}
 
-	/** Connections that callers have at the moment. */
+	/** Number of open caller connections. */
 	get connections(): number {
 		return this._connections.size;
 	}
 
-	/** Listens; port 0 takes a free one. Returns the port. */
+	/** Starts to listen and returns the port; port 0 selects a free one. */
 	async listen(host: string, port: number): Promise<number> {
 		await loadParser();
 		const listenedPort = await listenOn(this._server, {host, port, backlog: 1024});
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * Takes no new connections, lets requests and transactions in progress finish, and ends
-	 * the connections as they become idle; what is left after the bound is ended anyway.
+	 * Accepts no new connections, lets requests and transactions in progress finish, and closes
+	 * each connection as soon as it is idle; after `boundMs` all remaining ones are closed.
 	 */
 	async drain(boundMs: number): Promise<void> {
 		this._server.close();
@@ -70,7 +70,7 @@
 		this.dispose();
 	}
 
-	/** Ends everything at once. */
+	/** Stops listening and closes all connections at once. */
 	dispose(): void {
 		this._server.close();
 		for (const connection of this._connections.values()) {
@@ -84,13 +84,14 @@
 			services: this._services,
 			options: this._options,
 			users: new Map(this._options.users.map(user => [user.name, user])),
-			// One for all connections: making one costs more than a handshake.
+			// Shared by all connections, because creating a secure context costs more than a handshake.
 			secureContext: this._options.tls && createSecureContext(this._options.tls),
 			codec: new SessionTokenCodec(signer, previousSigners),
 			classifier: new StatementClassifier(),
 			budget: new ReceiveBudget(this._options.maximumBufferedBytes),
-			// A cancel request that the balancer hands to another node finds nothing there: it is
-			// answered by the close of its connection, as always, and cancels nothing.
+			// The load balancer may send a cancel request to a node that does not serve the caller. No
+			// connection there has both this identifier and this key, so nothing is cancelled; the
+			// connection of the request is closed without a message, as after every cancel request.
 			cancel: (processId, secretKey) => {
 				this._connections.get(processId)?.cancel(secretKey);
 			},
--- a/src/node/callers/constants.ts
+++ b/src/node/callers/constants.ts
@@ -1,7 +1,7 @@
-/** Options of the caller front, their defaults and bounds. */
+/** Option defaults, limits and protocol codes of the caller listener. */
 import type {CallerOptions} from './types.js';
 
-/** Defaults of the caller front's options. */
+/** Defaults of the caller listener's options. */
 export const callerDefaults: CallerOptions = {
 	authentication: 'none',
 	users: [],
@@ -16,22 +16,22 @@
 	serverVersion: '15.0',
 };
 
-/** Longest message before a caller has been let in, in bytes. */
+/** Maximum size of a message before the caller is authenticated, in bytes. */
 export const maximumStartUpBytes = 10 * 1024;
 
-/** Received bytes beyond the message in work at which reading pauses. */
+/** Buffered bytes above which reading from a socket pauses, unless the next message needs more to be whole. */
 export const readAheadBytes = 64 * 1024;
 
-/** Answers up to this size are joined with what ends them into one write, in bytes. */
+/** Maximum size of the last piece of an answer that is copied into one buffer with the frames that end the answer, in bytes. */
 export const joinedAnswerBytes = 64 * 1024;
 
-/** Connections over the maximum that are told so in the protocol's own way. */
+/** Connections over the maximum that are refused with an error message of the protocol; further ones are closed without a message. */
 export const maximumRefusedConnections = 64;
 
-/** Time that a caller has to close its side after the last message. */
+/** Time that a caller has to close its side after the last message before its socket is destroyed. */
 export const closeGraceMs = 1000;
 
-/** Codes that stand in place of a protocol version in a start-up message. */
+/** Request codes that a start-up message carries in place of a protocol version. */
 export const requestCodes = {
 	cancel: 80_877_102,
 	ssl: 80_877_103,
--- a/src/node/callers/credentials.ts
+++ b/src/node/callers/credentials.ts
@@ -1,4 +1,4 @@
-/** Checks the passwords that callers give. */
+/** Checks the passwords that callers send. */
 import {Buffer} from 'node:buffer';
 import {timingSafeEqual} from 'node:crypto';
 import {md5} from 'pg-gateway';
@@ -12,13 +12,13 @@
 	return first.length === second.length && timingSafeEqual(first, second);
 }
 
-/** The hash of password and name, as the database stores it. */
+/** The hash of password and user name, as the database stores it after the prefix `md5`. */
 async function storedHash(user: CallerUser): Promise<string> {
 	const password = user.password ?? '';
 	return storedPattern.test(password) ? password.slice(3) : md5(password + user.name);
 }
 
-/** Checks a password sent as it is. */
+/** Whether a password that was sent in clear text is the user's. */
 export async function checkPassword(user: CallerUser | undefined, given: string): Promise<boolean> {
 	if (user?.password === undefined) {
 		return false;
@@ -29,7 +29,7 @@
 		: isEqualInConstantTime(given, user.password);
 }
 
-/** Checks the answer to a salted challenge. */
+/** Whether the response to an MD5 challenge with this salt fits the user's password. */
 export async function checkSaltedHash(user: CallerUser | undefined, given: string, salt: Uint8Array): Promise<boolean> {
 	if (user?.password === undefined) {
 		return false;
--- a/src/node/callers/cycle-runner.ts
+++ b/src/node/callers/cycle-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the request cycles of one session through the router and ends their answers. */
+/** Runs the request cycles of one session through the router and completes their answers. */
 import {Refusal} from '../../common/errors/error-kinds.js';
 import type {CallerSession} from '../../common/sessions/caller-session.js';
 import type {
@@ -18,7 +18,7 @@
 	readonly metrics: Metrics;
 };
 
-/** Whether the caller waits for ReadyForQuery after the answer. */
+/** How an answer ends: with ReadyForQuery, or without it as after Flush. */
 export type AnswerTerminator = 'ready' | 'flush';
 
 const discardingSink: AnswerSink = {push: () => undefined};
@@ -28,7 +28,7 @@
 	private readonly _session: CallerSession;
 	private readonly _writer: AnswerWriter;
 	private readonly _services: RunnerServices;
-	/** Used for one request after another until it has aborted one: making one costs as much as a whole turn of the event loop. */
+	/** Reused for successive requests until it has aborted one, because creating a controller costs as much as a whole turn of the event loop. */
 	private _abort: AbortController | undefined;
 	private _isRunning = false;
 
@@ -60,16 +60,16 @@
 		return undefined;
 	}
 
-	/** Answers with a refusal; in a transaction it fails the transaction. */
+	/** Answers with a refusal, which fails the transaction if one is open. */
 	async refuse(refusal: Refusal, end: AnswerTerminator): Promise<void> {
 		this._services.metrics.count('callerRefusalsTotal', {kind: refusal.kind});
 		this._session.isFailedByProxy ||= this._session.transactionStatus !== 'idle';
-		// What was held back may say that the statement completed.
+		// The buffered piece may say that the statement completed.
 		this._writer.discardBuffered();
 		await this.finish([errorResponse(refusal)], refusal.answer.severity === 'FATAL' ? 'flush' : end);
 	}
 
-	/** Ends an answer: the frames given, the token if it changed, ReadyForQuery. */
+	/** Ends an answer with the given frames, the session token if it changed, and ReadyForQuery if `end` asks for it. */
 	finish(frames: readonly Uint8Array[], end: AnswerTerminator): void | Promise<void> {
 		const trailer = [...frames];
 		const token = this._session.marks.takeChangedToken();
@@ -84,7 +84,7 @@
 		return this._writer.finish(trailer);
 	}
 
-	/** Ends a transaction that an answer of this proxy failed. */
+	/** Ends a transaction that a refusal of this proxy failed, also at its endpoint if one holds it. */
 	async rollBack(): Promise<void> {
 		const session = this._session;
 		if (session.heldEndpoint !== undefined) {
@@ -98,14 +98,17 @@
 		}
 	}
 
-	/** Asks that the cycle in progress ends early; without one there is nothing to cancel. */
+	/** Aborts the cycle in progress; does nothing if there is none. */
 	cancel(): void {
 		if (this._isRunning) {
 			this._abort?.abort(new Refusal('cancelled'));
 		}
 	}
 
-	/** The signal for a cycle that begins now; whoever takes it lets go of it when the cycle ends. */
+	/**
+	 * The abort signal for a cycle that begins now. Later cycles use it too, so its listeners
+	 * must be removed when the cycle ends.
+	 */
 	private _beginAbortable(): AbortSignal {
 		if (!this._abort || this._abort.signal.aborted) {
 			this._abort = new AbortController();
@@ -115,7 +118,7 @@
 		return this._abort.signal;
 	}
 
-	/** Runs a cycle and keeps the session's transaction status. */
+	/** Runs a cycle and updates the session's transaction status. */
 	private async _execute(cycle: RequestCycle, sink: AnswerSink): Promise<Refusal | undefined> {
 		const session = this._session;
 		const wasInTransaction = session.transactionStatus !== 'idle';
@@ -135,7 +138,7 @@
 		if (isEnded && (endsTransaction || !wasInTransaction)) {
 			session.transactionStatus = 'idle';
 		} else if (wasInTransaction) {
-			// The caller believes to be in a transaction until it ends it.
+			// To the caller, the transaction stays open until the caller ends it.
 			session.isFailedByProxy = true;
 		}
 
--- a/src/node/callers/frame-reader.ts
+++ b/src/node/callers/frame-reader.ts
@@ -1,6 +1,7 @@
 /**
- * Cuts what a socket receives into whole messages. Checks the length in each header before
- * it gathers the message, and pauses the socket when the connection falls behind.
+ * Splits the bytes that a socket receives into whole messages. Checks the length in each header
+ * before it buffers the message, and pauses the socket when messages arrive faster than they
+ * are taken.
  */
 import type {Socket} from 'node:net';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -13,19 +14,19 @@
 
 /** Reads messages from one socket. */
 export class FrameReader implements Disposable {
-	/** Longest message that is taken, in bytes of its length field. */
+	/** Maximum length of a message in bytes, as its length field counts them. */
 	maximumBytes: number;
 	private readonly _socket: Socket;
 	private readonly _budget: ReceiveBudget;
 	private _chunks: Uint8Array[] = [];
 	private _bufferedBytes = 0;
-	/** Bytes that must have come before the next look at them. */
+	/** Bytes that must be buffered before a waiting reader is woken. */
 	private _neededBytes = 0;
-	/** Bytes of messages that were begun or taken and are not settled. */
+	/** Bytes reserved in the budget for the message being received and for taken ones that are not yet released. */
 	private _reservedBytes = 0;
-	/** Whether the next message is among the reserved bytes. */
+	/** Whether the reserved bytes include the next message. */
 	private _isNextReserved = false;
-	/** Bytes before the length: one for the code, none in start-up messages. */
+	/** Bytes before the length field: one for the message code, none in start-up messages. */
 	private _codeBytes = 0;
 	private _isEnded = false;
 	private _fault: Refusal | undefined;
@@ -43,17 +44,17 @@
 		socket.on('close', this._onEnd);
 	}
 
-	/** Why no further message can be read. */
+	/** Why no further message can be read; undefined while reading goes on. */
 	get fault(): Refusal | undefined {
 		return this._fault;
 	}
 
-	/** Whether nothing has come beyond the messages that were taken. */
+	/** Whether no bytes are buffered beyond the messages that were taken. */
 	get isEmpty(): boolean {
 		return this._bufferedBytes === 0;
 	}
 
-	/** The next message once it has come; undefined at the end or after a fault. */
+	/** Waits for the next whole message; undefined at the end of the input or after a fault. */
 	async next(codeBytes = 1): Promise<Uint8Array | undefined> {
 		for (;;) {
 			const frame = this.take(codeBytes);
@@ -67,7 +68,7 @@
 		}
 	}
 
-	/** The next message if it has come whole. */
+	/** The next message if it has been received whole; otherwise undefined. */
 	take(codeBytes = 1): Uint8Array | undefined {
 		this._codeBytes = codeBytes;
 		const frameBytes = this._frameBytes();
@@ -79,10 +80,13 @@
 
 		this._neededBytes = 0;
 		this._isNextReserved = false;
-		return this._cut(frameBytes);
+		return this._removeBytes(frameBytes);
 	}
 
-	/** Says that the messages taken so far are not kept any longer. */
+	/**
+	 * Releases the bytes reserved for the messages taken so far. While they include the next
+	 * message, nothing is released; a later call does that.
+	 */
 	releaseTaken(): void {
 		if (!this._isNextReserved) {
 			this._budget.release(this._reservedBytes);
@@ -90,7 +94,7 @@
 		}
 	}
 
-	/** Stops reading; what was received and not taken is lost. */
+	/** Stops reading; messages that were received and not taken are lost. */
 	dispose(): void {
 		this._socket.off('data', this._onData);
 		this._socket.off('end', this._onEnd);
@@ -117,14 +121,14 @@
 		this._wakeUp();
 	}
 
-	/** Whole size of the next message; undefined while its header has not come. */
+	/** Size of the next message with its header, in bytes; undefined until the header has been received, or after a fault. */
 	private _frameBytes(): number | undefined {
 		const headerBytes = this._codeBytes + lengthBytes;
 		if (this._fault !== undefined || this._bufferedBytes < headerBytes) {
 			return undefined;
 		}
 
-		const length = readUint32(this._head(headerBytes), this._codeBytes);
+		const length = readUint32(this._firstChunk(headerBytes), this._codeBytes);
 		if (length < lengthBytes) {
 			this._fault = new Refusal('malformedMessage', 'message length is too small');
 			return undefined;
@@ -139,7 +143,7 @@
 		return this._reserve(frameBytes) ? frameBytes : undefined;
 	}
 
-	/** Reserves room for the next message before it is gathered. */
+	/** Reserves the bytes of the next message before it is buffered; false if the budget has no room for them. */
 	private _reserve(frameBytes: number): boolean {
 		if (this._isNextReserved) {
 			return true;
@@ -155,8 +159,8 @@
 		return true;
 	}
 
-	/** First chunk, made to hold at least so many bytes. */
-	private _head(bytes: number): Uint8Array {
+	/** The first chunk, joined with the others if it holds fewer than `bytes`. */
+	private _firstChunk(bytes: number): Uint8Array {
 		const [first] = this._chunks;
 		if (first && first.length >= bytes) {
 			return first;
@@ -167,8 +171,8 @@
 		return joined;
 	}
 
-	private _cut(bytes: number): Uint8Array {
-		const head = this._head(bytes);
+	private _removeBytes(bytes: number): Uint8Array {
+		const head = this._firstChunk(bytes);
 		this._bufferedBytes -= bytes;
 		if (head.length === bytes) {
 			this._chunks.shift();
--- a/src/node/callers/receive-budget.ts
+++ b/src/node/callers/receive-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds what all callers together have sent and what is not yet handled. One caller's
- * message is bounded by itself, but thousands of callers could each send a long one.
+ * Limits the bytes that all callers together have sent and that are not yet handled. The
+ * length of each message is limited too, but thousands of callers could each send a long one.
  */
 
 /** Counts bytes against one limit. */
--- a/src/node/callers/request-handler.ts
+++ b/src/node/callers/request-handler.ts
@@ -13,7 +13,7 @@
 import type {RelayedStatement, Statement, TransactionState} from '../../common/statements/types.js';
 import type {AnswerTerminator, CycleRunner} from './cycle-runner.js';
 
-/** Whether the connection goes on. */
+/** Whether the connection continues after a message. */
 export type Continuation = 'goOn' | 'end';
 
 type Handle = (frame: Uint8Array) => Continuation | Promise<Continuation>;
@@ -31,7 +31,7 @@
 	private readonly _prepared = new PreparedStatements();
 	private readonly _builder: CycleBuilder;
 	private readonly _handlers: ReadonlyMap<number, Handle>;
-	/** After an error of the extended protocol everything up to Sync is skipped. */
+	/** Whether messages up to the next Sync are skipped, as after an error of the extended protocol. */
 	private _isSkipping = false;
 
 	constructor(session: CallerSession, runner: CycleRunner, classifier: StatementClassifier) {
@@ -39,7 +39,7 @@
 		this._runner = runner;
 		this._classifier = classifier;
 		this._builder = new CycleBuilder(this._prepared, classifier);
-		const onExtended: Handle = async frame => this._gather(frame);
+		const onExtended: Handle = async frame => this._addMessage(frame);
 		this._handlers = new Map<number, Handle>([
 			[frontendCodes.query, async frame => this._query(frame)],
 			[frontendCodes.parse, onExtended],
@@ -55,7 +55,7 @@
 		]);
 	}
 
-	/** Whether no message is kept for a cycle that is not yet whole. */
+	/** Whether no message is buffered for a request cycle that is not yet complete. */
 	get isBetweenCycles(): boolean {
 		return this._builder.isEmpty;
 	}
@@ -134,19 +134,22 @@
 		return this._continuationAfter(refusal);
 	}
 
-	/** Whether a rollback to a savepoint can mend the failed transaction at its endpoint. */
+	/**
+	 * Whether the statement rolls back to a savepoint of a transaction that its endpoint still
+	 * holds; if so, the transaction no longer counts as failed.
+	 */
 	private _isSavepointRollback(statements: readonly RelayedStatement[]): boolean {
-		const isMending = this._session.heldEndpoint !== undefined
+		const isRecoverable = this._session.heldEndpoint !== undefined
 			&& statements.length === 1
 			&& statements[0]?.transaction.kind === 'rollbackTo';
-		if (isMending) {
+		if (isRecoverable) {
 			this._session.isFailedByProxy = false;
 		}
 
-		return isMending;
+		return isRecoverable;
 	}
 
-	/** In a transaction that failed here, only its end is let through. */
+	/** In a transaction that a refusal of this proxy failed, accepts only the statement that ends it. */
 	private async _endFailedTransaction(
 		statements: readonly RelayedStatement[],
 		count: number,
@@ -177,7 +180,7 @@
 		return refusal?.answer.severity === 'FATAL' ? 'end' : 'goOn';
 	}
 
-	private _gather(frame: Uint8Array): Continuation | Promise<Continuation> {
+	private _addMessage(frame: Uint8Array): Continuation | Promise<Continuation> {
 		if (this._isSkipping) {
 			return 'goOn';
 		}
@@ -186,7 +189,7 @@
 		return refusal ? this._refuseUntilSync(refusal) : 'goOn';
 	}
 
-	/** Refuses what was gathered, and what follows up to Sync. */
+	/** Refuses the buffered messages and skips what follows up to Sync. */
 	private async _refuseUntilSync(refusal: Refusal): Promise<Continuation> {
 		this._builder.reset();
 		this._isSkipping = true;
@@ -194,9 +197,9 @@
 	}
 
 	/**
-	 * Runs what was gathered as a cycle of its own, which is the same to the caller while
-	 * nothing was bound, and inside a transaction. Elsewhere it would end the caller's
-	 * implicit transaction early, so it is refused.
+	 * Runs the buffered messages as a cycle of their own. To the caller this makes no difference
+	 * if nothing was bound, or inside a transaction. In all other cases it would end the caller's
+	 * implicit transaction early, so the Flush is refused.
 	 */
 	private async _flush(): Promise<Continuation> {
 		if (this._isSkipping || this._builder.isEmpty) {
@@ -207,13 +210,13 @@
 			return this._refuseUntilSync(new Refusal('unsupportedStatement', 'Flush after Bind needs an open transaction; send Sync'));
 		}
 
-		const continuation = await this._runGathered('flush');
+		const continuation = await this._runBuffered('flush');
 		return continuation;
 	}
 
 	private async _sync(): Promise<Continuation> {
 		if (!this._isSkipping && !this._builder.isEmpty) {
-			return this._runGathered('ready');
+			return this._runBuffered('ready');
 		}
 
 		this._isSkipping = false;
@@ -221,7 +224,7 @@
 		return 'goOn';
 	}
 
-	private async _runGathered(end: AnswerTerminator): Promise<Continuation> {
+	private async _runBuffered(end: AnswerTerminator): Promise<Continuation> {
 		const built = this._builder.build(this._transaction);
 		return built
 			.map(async cycle => this._runCycle(cycle, end))
@@ -229,7 +232,7 @@
 			.extract();
 	}
 
-	/** Refuses a whole cycle; after Flush, also what follows up to Sync. */
+	/** Refuses a whole cycle; if Flush ended it, also skips what follows up to Sync. */
 	private async _failCycle(refusal: Refusal, end: AnswerTerminator): Promise<Continuation> {
 		this._isSkipping = end === 'flush';
 		return this._refuse(refusal, end);
--- a/src/node/callers/start-up-parameters.ts
+++ b/src/node/callers/start-up-parameters.ts
@@ -3,7 +3,7 @@
 
 const bodyOffset = 8;
 
-/** Whether the body is pairs of texts up to an empty one, so that reading it ends. */
+/** Whether the body is pairs of name and value that end with an empty name, so that parsing it terminates. */
 export function isWellFormedStartUp(message: Uint8Array): boolean {
 	let offset = bodyOffset;
 	let isName = true;
@@ -24,7 +24,7 @@
 	return false;
 }
 
-/** Code of a request, or the protocol version. */
+/** Request code of a start-up message, or its protocol version. */
 export function readRequestCode(message: Uint8Array): number {
 	return readUint32(message, 4);
 }
@@ -39,7 +39,7 @@
 	]);
 }
 
-/** Parameters of the start-up message that are no settings. */
+/** Parameters of the start-up message that are not session settings. */
 const reservedNames: ReadonlySet<string> = new Set(['user', 'database', 'options', 'replication']);
 
 /** The settings that a start-up message asks for, in order. */
--- a/src/node/callers/start-up.ts
+++ b/src/node/callers/start-up.ts
@@ -1,10 +1,10 @@
 /**
- * The beginning of a caller's connection: TLS, start-up message and authentication.
+ * Start-up of a caller's connection: TLS, start-up message and authentication.
  *
- * `pg-gateway` reads the start-up message and speaks the authentication; it is handed one
- * whole message of bounded length at a time, because it bounds neither by itself. TLS is
- * set up here, since the library makes a context per connection and leaves failed
- * handshakes unhandled.
+ * `pg-gateway` parses the start-up message and carries out the authentication exchange. It
+ * is given one whole message of limited length at a time, because it does not limit their
+ * length by itself. TLS is set up here, because the library creates a secure context for
+ * each connection and does not handle failed handshakes.
  */
 import {Buffer} from 'node:buffer';
 import type {Socket} from 'node:net';
@@ -23,7 +23,7 @@
 import {isWellFormedStartUp, readRequestCode} from './start-up-parameters.js';
 import type {CallerOptions, CallerUser} from './types.js';
 
-/** A caller that was let in. */
+/** A caller that was authenticated. */
 export type AuthenticatedCaller = {
 	readonly kind: 'started';
 	/** The socket, or the TLS socket over it. */
@@ -34,7 +34,7 @@
 	readonly parameters: Readonly<Record<string, string>>;
 };
 
-/** How the beginning of a connection ended. */
+/** Outcome of the start-up of a connection. */
 export type StartUpResult
 	= | AuthenticatedCaller
 		| {readonly kind: 'cancel'; readonly processId: number; readonly secretKey: number}
@@ -47,7 +47,7 @@
 	readonly users: ReadonlyMap<string, CallerUser>;
 	readonly secureContext: SecureContext | undefined;
 	readonly budget: ReceiveBudget;
-	/** Whether the node has as many callers as it may have. */
+	/** Whether the node has reached its maximum number of callers. */
 	readonly isAtCallerLimit: boolean;
 };
 
@@ -58,7 +58,7 @@
 const declined = Buffer.from('N');
 const negotiateCode = 0x76;
 
-/** Sees one connection through its beginning. */
+/** Runs the start-up of one connection. */
 export class StartUp {
 	private readonly _context: StartUpContext;
 	private readonly _gateway: PostgresConnection;
@@ -72,7 +72,7 @@
 		this._reader = new FrameReader(socket, maximumStartUpBytes, context.budget);
 		this._gateway = new PostgresConnection(socket, {
 			authMode: context.options.authentication,
-			// With passwords the library goes on and asks for one.
+			// If passwords are used, the library goes on and requests one.
 			onStartup: () => context.options.authentication === 'none',
 		});
 		this._gateway.removeSocketHandlers(socket);
@@ -127,7 +127,7 @@
 			return this._decline();
 		}
 
-		// Bytes that came before the handshake could be somebody else's.
+		// Bytes received before the handshake are unencrypted, so a third party could have injected them.
 		if (!this._reader.isEmpty) {
 			return this._refuse(new Refusal('malformedMessage', 'data before the TLS handshake'));
 		}
@@ -162,7 +162,7 @@
 		await this._gateway.handleMessage(Buffer.from(message));
 		const parameters = this._gateway.clientInfo?.parameters;
 		if (!parameters) {
-			// The library has said why.
+			// The library has already told the caller why.
 			return ended;
 		}
 
@@ -218,7 +218,7 @@
 	}
 }
 
-/** Resolves once the handshake is done; undefined when it failed. */
+/** Resolves with the TLS socket once the handshake is done; undefined if it failed. */
 async function openTls(socket: Socket, secureContext: SecureContext): Promise<TLSSocket | undefined> {
 	const secured = new TLSSocket(socket, {isServer: true, secureContext});
 	return new Promise(resolve => {
@@ -234,10 +234,10 @@
 	});
 }
 
-/** The first frame after authentication. */
+/** AuthenticationOk, the first frame after a successful authentication. */
 export const authenticationOk = makeFrame(0x52, new Uint8Array(4));
 
-/** BackendKeyData. */
+/** BackendKeyData, which tells the caller what to send in a cancel request. */
 export function backendKeyData(processId: number, secretKey: number): Uint8Array {
 	const body = new Uint8Array(8);
 	writeUint32(body, 0, processId);
--- a/src/node/callers/testing/caller-server-harness.ts
+++ b/src/node/callers/testing/caller-server-harness.ts
@@ -1,4 +1,4 @@
-/** Starts caller servers for tests and ends what a test started. */
+/** Starts caller servers for tests and stops everything that a test started. */
 import pg from 'pg';
 import {toDisposable} from '../../../common/lifecycle/disposable.js';
 import type {Clock, Configuration, LogEventName} from '../../../common/services/services.js';
@@ -20,7 +20,7 @@
 };
 
 function unexpectedCall(): never {
-	throw new Error('not asked for here');
+	throw new Error('unexpected call: the test configuration has no policies');
 }
 
 const group = {
--- a/src/node/callers/testing/fake-router.ts
+++ b/src/node/callers/testing/fake-router.ts
@@ -1,4 +1,4 @@
-/** Stands for everything behind the caller front in its tests. */
+/** Stands in for everything behind the caller listener in its tests. */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../../common/errors/error-kinds.js';
 import type {
@@ -27,7 +27,7 @@
 export const largeAnswerChunks = 100;
 const largePieceBytes = 100_000;
 
-/** Cuts joined messages apart. */
+/** Splits joined messages into single ones. */
 export function splitFrames(frames: Uint8Array): Uint8Array[] {
 	const found: Uint8Array[] = [];
 	for (let offset = 0; offset < frames.length;) {
@@ -39,13 +39,13 @@
 	return found;
 }
 
-/** Answers each cycle like one endpoint would, and notes it. */
+/** Answers each cycle as one endpoint would, and records it. */
 export class FakeRouter implements Router {
 	readonly ran: ExecutedCycle[] = [];
 	readonly closed: RoutedSession[] = [];
 	/** Refusals for the next cycles, first to last. */
 	readonly refusals: Refusal[] = [];
-	/** Called when a cycle has begun to wait. */
+	/** Called when a cycle starts to wait for its abort. */
 	onBlocked: (() => void) | undefined;
 	private _offset = 0;
 
--- a/src/node/callers/testing/raw-caller.ts
+++ b/src/node/callers/testing/raw-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends bytes of the protocol as a test wants them. */
+/** A caller that sends and receives raw messages of the protocol. */
 import {Buffer} from 'node:buffer';
 import net, {type Socket} from 'node:net';
 import {
@@ -72,7 +72,7 @@
 		return this;
 	}
 
-	/** Messages of so many answers, each up to ReadyForQuery, or up to the close. */
+	/** Reads the messages of the given number of answers, each up to ReadyForQuery, or up to the close of the connection. */
 	async readFrames(answers = 1): Promise<readonly Uint8Array[]> {
 		for (;;) {
 			const end = this._endOf(answers);
@@ -100,7 +100,7 @@
 		return this.read(Number.POSITIVE_INFINITY);
 	}
 
-	/** The end of so many answers in what was received; zero when it has not come. */
+	/** Offset in the received bytes at which the given number of answers ends; zero if they have not been received. */
 	private _endOf(answers: number): number {
 		let found = 0;
 		let offset = 0;
--- a/src/node/callers/types.ts
+++ b/src/node/callers/types.ts
@@ -1,21 +1,21 @@
-/** Types of the caller front. */
+/** Types of the caller listener. */
 import type {TokenlessReads, TokenSigner} from '../../common/sessions/types.js';
 import type {
 	Clock, Configuration, Log, Metrics, Router,
 } from '../../common/services/services.js';
 
-/** How callers prove who they are. */
+/** How callers authenticate. */
 export type Authentication = 'none' | 'cleartextPassword' | 'md5Password';
 
 /** A user that callers connect as. */
 export type CallerUser = {
 	readonly name: string;
-	/** Plain, or `md5` and the hash of password and name, as the database stores it. */
+	/** Plain text, or `md5` followed by the hash of password and user name, as the database stores it. */
 	readonly password?: string;
 	readonly labels?: Readonly<Record<string, string>>;
 };
 
-/** Options of the caller front. */
+/** Options of the caller listener. */
 export type CallerOptions = {
 	readonly authentication: Authentication;
 	readonly users: readonly CallerUser[];
@@ -25,17 +25,17 @@
 	readonly tokenlessReads: TokenlessReads;
 	readonly maximumConnections: number;
 	readonly maximumMessageBytes: number;
-	/** Bytes that all callers together may have sent without an answer. */
+	/** Maximum bytes of messages that are being received or handled, over all callers together. */
 	readonly maximumBufferedBytes: number;
-	/** Time from accepting a connection to the end of authentication. */
+	/** Maximum time from accepting a connection to the end of authentication. */
 	readonly startUpTimeoutMs: number;
-	/** Longest time that a caller may leave an answer untaken. */
+	/** Time that a caller may leave an answer unread before its connection is closed. */
 	readonly answerStallMs: number;
-	/** What callers are told as `server_version`. */
+	/** Value that callers receive for the parameter `server_version`. */
 	readonly serverVersion: string;
 };
 
-/** What the caller front needs from the node. */
+/** What the caller listener needs from the node. */
 export type CallerServices = {
 	readonly router: Router;
 	readonly configuration: Configuration;
@@ -43,7 +43,7 @@
 	readonly log: Log;
 	readonly metrics: Metrics;
 	readonly signer: TokenSigner;
-	/** Signers of keys that are being replaced; their tokens are still taken. */
+	/** Signers of keys that are being replaced; their tokens are still accepted. */
 	readonly previousSigners?: readonly TokenSigner[];
 	readonly node: {readonly name: string; readonly incarnation: string; readonly availabilityZone: string};
 	readonly options?: Partial<CallerOptions>;
