--- a/src/node/callers/answer-writer.ts
+++ b/src/node/callers/answer-writer.ts
@@ -1,6 +1,6 @@
 /**
  * Writes answers to a caller. The last piece of an answer is buffered, so that it is sent in
- * one write with the frames that end the answer. A caller that reads slowly slows the writer.
+ * one write with the frames that end the answer. Writing waits while the caller reads slowly.
  */
 import type {Socket} from 'node:net';
 import type {AnswerSink, Clock} from '../../common/services/services.js';
--- a/src/node/callers/frame-reader.ts
+++ b/src/node/callers/frame-reader.ts
@@ -44,7 +44,7 @@
 		socket.on('close', this._onEnd);
 	}
 
-	/** Why no further message can be read; undefined while reading goes on. */
+	/** Why no further message can be read; undefined if there was no fault. */
 	get fault(): Refusal | undefined {
 		return this._fault;
 	}
