--- a/src/node/operators/coalesced-refresh.ts
+++ b/src/node/operators/coalesced-refresh.ts
@@ -1,9 +1,9 @@
 /**
- * Rounds of questions that all who ask at about the same time share.
+ * A refresh that all who ask for it at about the same time share.
  */
 import type {Clock} from '../../common/services/services.js';
 
-/** Begins a round when somebody asks, no two at one time, and none soon after another. */
+/** Starts a refresh on request, never two at the same time, and none soon after another. */
 export class CoalescedRefresh {
 	private readonly _clock: Clock;
 	private readonly _keepMs: number;
@@ -12,14 +12,14 @@
 	private _isRunning = false;
 	private _startedAtMs = 0;
 
-	/** A round counts for `keepMs` from its beginning. */
+	/** A refresh is reused for `keepMs` from its start. */
 	constructor(clock: Clock, keepMs: number, act: () => Promise<void>) {
 		this._clock = clock;
 		this._keepMs = keepMs;
 		this._performRefresh = act;
 	}
 
-	/** Resolves at the end of the round that counts now. */
+	/** Resolves at the end of the latest refresh; starts a new one if that is too old. */
 	async run(): Promise<void> {
 		const nowMs = this._clock.nowMs();
 		if (this._refresh === undefined || (!this._isRunning && nowMs - this._startedAtMs >= this._keepMs)) {
--- a/src/node/operators/configuration-routes.ts
+++ b/src/node/operators/configuration-routes.ts
@@ -19,7 +19,7 @@
 } from './request-schemas.js';
 import type {OperatorServices} from './types.js';
 
-/** Sends what was asked for, or the refusal. */
+/** Sends the result of a request, or the refusal. */
 export function sendResult<T>(reply: FastifyReply, result: Either<OperatorRefusal, T>, status = 200): FastifyReply {
 	return result.isRight()
 		? reply.status(status).send(result.unsafeCoerce())
@@ -28,14 +28,14 @@
 
 type DesiredChange = {readonly operations?: readonly Operation[]; readonly document?: ConfigurationDocument};
 
-/** The operations of a wish; a document is compared with what is in force. */
-function operationsOf(wish: DesiredChange, model: ConfigurationModel): Either<readonly Problem[], readonly Operation[]> {
-	return wish.document === undefined
-		? Right(wish.operations ?? [])
-		: fromDocument(wish.document).map(wanted => diffModels(model, wanted));
+/** The operations of a desired change; a document is compared with the configuration in force. */
+function operationsOf(desiredChange: DesiredChange, model: ConfigurationModel): Either<readonly Problem[], readonly Operation[]> {
+	return desiredChange.document === undefined
+		? Right(desiredChange.operations ?? [])
+		: fromDocument(desiredChange.document).map(wanted => diffModels(model, wanted));
 }
 
-/** Name of the rule that orders a group's primary from the page or the command line. */
+/** Name of the rule by which the page and the command line order a group's primary. */
 export function orderRuleName(group: string): string {
 	return `primary.${group}`;
 }
@@ -103,12 +103,12 @@
 			return sendResult(reply, body.mapLeft(problems => invalidRequest(problems)));
 		}
 
-		const wish = body.unsafeCoerce();
-		if ('undoOf' in wish) {
-			return sendResult(reply, await this._services.undo.preview(wish.undoOf));
+		const desiredChange = body.unsafeCoerce();
+		if ('undoOf' in desiredChange) {
+			return sendResult(reply, await this._services.undo.preview(desiredChange.undoOf));
 		}
 
-		return sendResult(reply, operationsOf(wish, this._services.history.model)
+		return sendResult(reply, operationsOf(desiredChange, this._services.history.model)
 			.chain(operations => this._services.changeLog.preview(operations))
 			.mapLeft(problems => invalidRequest(problems)));
 	}
@@ -121,7 +121,7 @@
 
 		const {operations: _operations, document, ...proposal} = body.unsafeCoerce();
 		if (document !== undefined && proposal.basedOn > this._services.history.version) {
-			// A document is compared with the number that its author had seen, never with an older one.
+			// This node lags. A document must be compared with the version that its author had seen, never with an older one.
 			await this._services.changeLog.catchUp();
 		}
 
--- a/src/node/operators/constants.ts
+++ b/src/node/operators/constants.ts
@@ -14,47 +14,47 @@
 
 /** Options of the authentication. */
 export const authenticationDefaults = {
-	/** Failures of one address within the window before it is told to wait. */
+	/** Failed attempts of one address within the window before it has to wait. */
 	failuresAllowed: 10,
 	failureWindowMs: 60_000,
-	/** Addresses whose failures are remembered; the oldest are forgotten beyond it. */
+	/** Maximum number of addresses whose failures are counted; beyond it the oldest are dropped. */
 	addressesRemembered: 1000,
-	/** Password checks at one time; each costs a few ten milliseconds of a core. */
+	/** Maximum number of concurrent password checks; each takes some tens of milliseconds of CPU time. */
 	checksAtOnce: 4,
 	busyRetryMs: 1000,
-	/** Accepted credentials are remembered this long, so that not every request costs a check. */
+	/** Time for which accepted credentials are cached, so that not every request needs a password check. */
 	acceptedKeepMs: 600_000,
 	acceptedRemembered: 100,
 };
 
-/** Options of asking the nodes which configuration they have in force. */
+/** Options of the probes that ask the nodes which configuration they have in force. */
 export const reachDefaults = {
 	probeTimeoutMs: 1000,
 	probesAtOnce: 32,
-	/** An answer is used again for this long; many pages may watch one change. */
+	/** Time for which answers are reused, since many pages may watch one change. */
 	keepMs: 1000,
 };
 
 /** Options of the status. */
 export const statusDefaults = {
-	/** Longest wait for what is asked of others; what has not come by then shows as it was last known. */
+	/** Maximum wait for the answers of other nodes; what is missing by then is shown as last known. */
 	waitMs: 1000,
-	/** Longest age of what another node said about a group before it counts as not known. */
+	/** Maximum age of another node's view of a group; an older one counts as unknown. */
 	forgetMs: 10_000,
-	/** What a home said about a group is used again for this long; many pages may watch. */
+	/** Time for which views received from homes are reused, since many pages may watch the status. */
 	keepMs: 1000,
-	/** Time that one home has to say what it knows of a group. */
+	/** Time that one home has to answer with its view of a group. */
 	groupViewTimeoutMs: 500,
-	/** Homes of one group that are asked, one after the other. */
+	/** Maximum number of homes of one group that are asked, one after the other until one answers. */
 	homesAsked: 3,
 	groupsAtOnce: 16,
 	/** Entries behind its primary from which a replica counts as lagging. */
 	laggingEntries: 1000,
-	/** Time that the newest configuration has to reach a node before it counts as split. */
+	/** Time that the newest configuration has to reach all nodes; after it, a node with an older one counts as degraded. */
 	splitAfterMs: 10_000,
-	/** Things of one kind that are named one by one. */
+	/** Maximum number of nodes with the same problem that are named one by one; more are summarised. */
 	namedOneByOne: 4,
-	/** Lines of what is degraded; the rest is counted. */
+	/** Maximum number of findings that are listed; further ones are only counted. */
 	degradedLines: 40,
 };
 
@@ -62,22 +62,22 @@
 export const failoverRecordDefaults = {
 	partition: 'status',
 	sort: 'lastFailover',
-	/** What the table said is used again for this long. */
+	/** Time for which the record read from the table is reused. */
 	keepMs: 5000,
-	/** Writes of one record; it is shown to people, and nothing rests on it. */
+	/** Maximum number of attempts to write the record, which is then given up: it is only displayed, and nothing depends on it. */
 	attempts: 6,
-	/** Pause after a failed write; doubles with each. */
+	/** Backoff after the first failed write; doubles with each further one. */
 	retryMs: 500,
 };
 
 /** Options of the readiness. */
 export const readinessDefaults = {
-	/** Time between two looks for somebody who can be reached. */
+	/** Time between two connectivity checks. */
 	lookMs: 1000,
 	probeTimeoutMs: 500,
-	/** Nodes asked in one look, one after the other until one answers. */
+	/** Maximum number of nodes probed in one check, one after the other until one answers. */
 	nodesAsked: 3,
-	/** Looks in a row that reached nobody before the node counts as cut off. */
+	/** Consecutive failed connectivity checks before the node counts as cut off. */
 	missesToCutOff: 3,
 };
 
@@ -88,7 +88,7 @@
 	retryPauseMs: 1000,
 };
 
-/** Entries answered at one time. */
+/** Default and maximum number of entries in one response. */
 export const pageSizes = {
 	changes: 20,
 	changesMaximum: 100,
--- a/src/node/operators/failover-record.test.ts
+++ b/src/node/operators/failover-record.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('FailoverRecord', () => {
-	it('shows on one node what another did, the latest of all', async () => {
+	it('shows the latest failover of all nodes on each of them', async () => {
 		const {clock, first, second} = build();
 		first.note(failover(2));
 		second.note(failover(1));
@@ -35,7 +35,7 @@
 		expect(first.last).toEqual(failover(3));
 	});
 
-	it('keeps its own while the platform is down, and records it afterwards', async () => {
+	it('keeps its own failover while the platform is down, and writes it to the table afterwards', async () => {
 		const {clock, platform, first, second} = build();
 		platform.faults.outage = 'refused';
 		first.note(failover(1));
--- a/src/node/operators/failover-record.ts
+++ b/src/node/operators/failover-record.ts
@@ -1,6 +1,6 @@
 /**
- * The last failover of the whole system, kept as one item of the table, so that every
- * node's page shows it. It is for people; nothing rests on it.
+ * The last failover of the whole system, stored as one item of the table, so that the page of
+ * every node shows it. It is only displayed; nothing depends on it.
  */
 import {z} from 'zod';
 import {WakeableSleep} from '../../common/lifecycle/timing.js';
@@ -22,18 +22,18 @@
 export type FailoverRecordServices = {
 	readonly table: Table;
 	readonly clock: Clock;
-	/** Tells this process's writes from others'. */
+	/** Distinguishes the writes of this process from those of others. */
 	readonly writerId: string;
 };
 
-/** Remembers the last failover that this node saw, its own or another's. */
+/** Keeps the last failover that this node knows of, its own or that of another node. */
 export class FailoverRecord implements Disposable {
 	private readonly _services: FailoverRecordServices;
 	private readonly _options: typeof failoverRecordDefaults;
 	private readonly _refresh: CoalescedRefresh;
 	private readonly _sleep: WakeableSleep;
 	private _last: Failover | undefined;
-	/** The failover that the table is to hold; a newer one replaces it. */
+	/** The failover that is to be written to the table; a newer one replaces it. */
 	private _pending: Failover | undefined;
 	private _isWriting = false;
 	private _isDisposed = false;
@@ -52,12 +52,12 @@
 		return this._last;
 	}
 
-	/** Looks into the table, unless that was done a short while ago. */
+	/** Reads the table, unless that was done within `keepMs`. */
 	async refresh(): Promise<void> {
 		return this._refresh.run();
 	}
 
-	/** Takes in a failover that this node carried out, and records it in the background. */
+	/** Accepts a failover that this node carried out, and writes it to the table in the background. */
 	note(failover: Failover): void {
 		this._updateLast(failover);
 		this._pending = failover;
@@ -92,7 +92,7 @@
 		this._isWriting = false;
 	}
 
-	/** Whether the table holds this failover, or a later one. */
+	/** Tries to write the failover; true if the table then holds it, or a later one. */
 	private async _tryWrite(wanted: Failover): Promise<boolean> {
 		const read = await this._read();
 		if (!read) {
@@ -127,7 +127,7 @@
 	}
 }
 
-/** Undefined when something else wrote the item; it is then written anew. */
+/** Undefined if the item is not a valid record; it is then overwritten. */
 function decode({body}: TableItem): Failover | undefined {
 	return parseJsonWith(failoverSchema, body).toMaybe().extract();
 }
--- a/src/node/operators/failure-limiter.ts
+++ b/src/node/operators/failure-limiter.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds how often one address may fail to authenticate.
+ * Limits how often one address may fail to authenticate.
  */
 import type {Clock} from '../../common/services/services.js';
 import {type authenticationDefaults} from './constants.js';
@@ -17,19 +17,19 @@
 		this._options = options;
 	}
 
-	/** Time until the address may try again; zero when it may now. */
+	/** Time until the address may try again; zero if it may try now. */
 	remainingWaitMs(address: string): number {
 		const failures = this._failures.get(address);
 		if (failures === undefined || failures.count < this._options.failuresAllowed) {
 			return 0;
 		}
 
-		const leftMs = failures.sinceMs + this._options.failureWindowMs - this._clock.nowMs();
-		if (leftMs <= 0) {
+		const remainingMs = failures.sinceMs + this._options.failureWindowMs - this._clock.nowMs();
+		if (remainingMs <= 0) {
 			this._failures.delete(address);
 		}
 
-		return Math.max(0, leftMs);
+		return Math.max(0, remainingMs);
 	}
 
 	note(address: string): void {
--- a/src/node/operators/group-view-collector.ts
+++ b/src/node/operators/group-view-collector.ts
@@ -1,5 +1,5 @@
 /**
- * Views of all groups: this node's own where it follows the group, else those of a home.
+ * Collects views of all groups: this node's own if it follows the group, otherwise that of a home.
  */
 import type {
 	Clock, Configuration, GroupDefinition, GroupView, Host, Membership, Peers,
@@ -8,7 +8,7 @@
 import {statusDefaults} from './constants.js';
 import {CoalescedRefresh} from './coalesced-refresh.js';
 
-/** What the observer needs from the rest of the node. */
+/** What the collector needs from the rest of the node. */
 export type GroupViewCollectorServices = {
 	readonly configuration: Pick<Configuration, 'groups'>;
 	readonly membership: Pick<Membership, 'self' | 'homeOf'>;
@@ -20,7 +20,7 @@
 
 type ReceivedView = {readonly view: GroupView; readonly atMs: number};
 
-/** Asks homes about groups that this node does not follow; a bounded number at one time. */
+/** Asks homes for the views of groups that this node does not follow, with limited concurrency. */
 export class GroupViewCollector {
 	private readonly _services: GroupViewCollectorServices;
 	private readonly _options: typeof statusDefaults;
@@ -33,12 +33,12 @@
 		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._requestAll());
 	}
 
-	/** Resolves once every group that this node does not follow was asked about. */
+	/** Resolves once the view of every group that this node does not follow was requested. */
 	async refresh(): Promise<void> {
 		return this._refresh.run();
 	}
 
-	/** The newest view of a group; undefined when nobody told of it lately. */
+	/** The newest view of a group; undefined if none was received recently. */
 	view(group: string): GroupView | undefined {
 		const own = this._services.ownView(group);
 		if (own) {
--- a/src/node/operators/node-readiness.test.ts
+++ b/src/node/operators/node-readiness.test.ts
@@ -35,7 +35,7 @@
 }
 
 describe('NodeReadiness', () => {
-	it('waits for a configuration, and ends with the drain', () => {
+	it('is not ready before a configuration is in force, nor while the node drains', () => {
 		const {world, readiness} = build();
 		world.isConfigured = false;
 		expect(readiness.current.isReady).toEqual(false);
@@ -45,7 +45,7 @@
 		expect(readiness.current).toEqual({isReady: false, reason: 'draining'});
 	});
 
-	it('ends when neither an endpoint nor a node can be reached for a while, and comes back', async () => {
+	it('is not ready after a time without a reachable endpoint or node, and becomes ready again', async () => {
 		const {clock, world, readiness} = build();
 		void readiness.run();
 		await clock.advance(5000);
@@ -65,11 +65,11 @@
 		expect(clock.pendingTimers).toEqual(0);
 	});
 
-	it('stays ready when there is no other node to take its place', async () => {
+	it('stays ready if there is no other node to take its place', async () => {
 		const {world, readiness} = build();
 		world.hearsAnyInstance = false;
 		world.others = [];
-		for (let look = 0; look < 5; look++) {
+		for (let check = 0; check < 5; check++) {
 			await readiness.checkConnectivity();
 		}
 
--- a/src/node/operators/node-readiness.ts
+++ b/src/node/operators/node-readiness.ts
@@ -1,5 +1,5 @@
 /**
- * Whether the platform's balancer should send callers to this node.
+ * Whether the platform's load balancer should send callers to this node.
  */
 import {WakeableSleep} from '../../common/lifecycle/timing.js';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -9,7 +9,7 @@
 import {readinessDefaults} from './constants.js';
 import type {Readiness} from './types.js';
 
-/** What the readiness follows. */
+/** What the readiness is determined from. */
 export type ReadinessServices = {
 	readonly membership: Pick<Membership, 'self' | 'hosts'>;
 	readonly peers: Pick<Peers, 'probe'>;
@@ -17,15 +17,16 @@
 	readonly random: Random;
 	/** Whether a configuration is in force on this node. */
 	readonly isConfigured: () => boolean;
-	/** Whether an instance of any group reported to this node not long ago. */
+	/** Whether an instance of any group reported to this node recently. */
 	readonly hasReachableInstance: () => boolean;
 };
 
 /**
- * Not ready before a configuration is in force, while the node drains, and while it reaches
- * neither an endpoint nor another node: then every statement would be refused here, and
- * another node may do better. A node that reaches anybody stays ready, because its
- * refusals tell callers more than a balancer without targets does.
+ * Determines the readiness of the node. It is not ready before a configuration is in force,
+ * while it drains, and while it reaches neither an endpoint nor another node: it would then
+ * refuse every statement, and another node may be able to serve it. A node that reaches any
+ * endpoint or node stays ready, because its refusals tell callers more than a load balancer
+ * without targets does.
  */
 export class NodeReadiness implements Disposable {
 	private readonly _services: ReadinessServices;
@@ -40,7 +41,7 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** The answer for the balancer. */
+	/** The readiness as the load balancer gets it. */
 	get current(): Readiness {
 		const {membership, isConfigured} = this._services;
 		if (membership.self.isLeaving) {
@@ -56,7 +57,7 @@
 			: {isReady: true, reason: 'serving'};
 	}
 
-	/** The task that looks for somebody who can be reached. */
+	/** Checks the connectivity at intervals until disposed. */
 	async run(): Promise<void> {
 		while (!this._isDisposed) {
 			await this.checkConnectivity();
@@ -64,7 +65,7 @@
 		}
 	}
 
-	/** Looks once. */
+	/** Checks the connectivity once. */
 	async checkConnectivity(): Promise<void> {
 		this._consecutiveFailures = await this._hasConnectivity() ? 0 : this._consecutiveFailures + 1;
 	}
@@ -74,11 +75,14 @@
 		this._sleep.dispose();
 	}
 
-	/** Nodes are asked only when no endpoint is heard. A node that knows no other cannot be replaced by one. */
+	/**
+	 * Probes other nodes only if no endpoint reported recently. A node that knows no other node
+	 * counts as connected, because no other could serve its callers.
+	 */
 	private async _hasConnectivity(): Promise<boolean> {
-		const {membership, peers, random, hasReachableInstance: hearsAnyInstance} = this._services;
+		const {membership, peers, random, hasReachableInstance} = this._services;
 		const others = membership.hosts().filter(({name}) => name !== membership.self.name);
-		if (hearsAnyInstance() || others.length === 0) {
+		if (hasReachableInstance() || others.length === 0) {
 			return true;
 		}
 
--- a/src/node/operators/node-status.test.ts
+++ b/src/node/operators/node-status.test.ts
@@ -44,7 +44,7 @@
 	};
 }
 
-/** Node `h1` follows `stock` itself; `h2` is home of everything else. */
+/** Node `h1` follows `stock` itself; `h2` is the home of all endpoints. */
 function build() {
 	const clock = new VirtualClock();
 	const hosts = ['h1', 'h2', 'h3'].map((name, index) => listedHost(name, {availabilityZone: zones[index]}));
@@ -77,7 +77,7 @@
 		groups: () => [groupNamed('stock'), groupNamed('sales')],
 		group: groupNamed,
 		callerPolicy() {
-			throw new Error('not asked for');
+			throw new Error('unexpected call of callerPolicy');
 		},
 		endpointPolicy: (endpoint: string) => ({
 			isDraining: endpoint === 'sales-c', acceptsReads: true, primaryPreference: 0, isOrderedPrimary: false,
@@ -105,7 +105,7 @@
 }
 
 describe('NodeStatusSource', () => {
-	it('shows the groups that it follows and, from a home, those that it does not', async () => {
+	it('shows its own view of a group that it follows, and that of a home for other groups', async () => {
 		const {read, last, world} = build();
 		const status = await read();
 		expect(status.degraded).toEqual([]);
@@ -118,7 +118,7 @@
 		expect(world.asked).toEqual(1);
 	});
 
-	it('says what is known still while a home is silent, and that it is not known later', async () => {
+	it('shows the last known view while a home does not answer, and none once that is too old', async () => {
 		const {read, world, clock} = build();
 		await read();
 		world.silent.add('h2');
@@ -130,7 +130,7 @@
 		expect([later.groups[1].primary, later.degraded.map(({subject}) => subject)]).toEqual(['', ['sales', 'h2']]);
 	});
 
-	it('tells a lost primary, a lost majority and troubled replicas', async () => {
+	it('reports a lost primary, a lost majority and degraded replicas', async () => {
 		const {read, world} = build();
 		const lost = {isReachable: false};
 		world.views.set('stock', viewOf('stock', [instance('stock-a', 100, lost), instance('stock-b', 100, lost), instance('stock-c', 100)]));
@@ -142,15 +142,15 @@
 		]));
 		const {degraded} = await read();
 		expect(degraded.map(({subject, reason}) => `${subject} ${reason}`)).toEqual([
-			'stock its primary stock-a is not heard, so writes wait until it is back or replaced',
-			'stock only 1 of 3 endpoints are heard: no write can be confirmed and nothing promoted',
-			'stock-b is not heard',
+			'stock its primary stock-a cannot be reached, so writes wait until it is reachable again or replaced',
+			'stock only 1 of 3 endpoints can be reached: no write can be confirmed and no replica promoted',
+			'stock-b cannot be reached',
 			'sales-b is being rebuilt',
 			'sales-c is 4900 entries behind',
 		]);
 	});
 
-	it('tells nodes that keep an older configuration, once the newest had its time', async () => {
+	it('reports nodes that keep an older configuration, once the newest had time to reach them', async () => {
 		const {read, world, clock} = build();
 		world.versions.set('h3', 3);
 		const soon = await read();
@@ -160,7 +160,7 @@
 		expect(later.degraded).toEqual([{subject: 'h3', reason: 'has configuration 3 in force, the newest is 4'}]);
 	});
 
-	it('reads shares and troubles from the metrics', async () => {
+	it('reads the replica read share and degradations from the metrics', async () => {
 		const {read, world} = build();
 		world.counts.push(
 			{labels: {metric: 'answeredRequestsTotal', access: 'read', role: 'replica'}, value: 30},
--- a/src/node/operators/node-status.ts
+++ b/src/node/operators/node-status.ts
@@ -1,5 +1,5 @@
 /**
- * The system as this node sees it.
+ * Puts together the status of the system as this node sees it.
  */
 import {lagEntries} from '../../common/groups/quorum.js';
 import {withTimeout} from '../../common/lifecycle/timing.js';
@@ -29,11 +29,11 @@
 	readonly clock: Clock;
 };
 
-/** Puts the status together when it is asked for; what others do not tell in time shows as last known. */
+/** Puts the status together for each request; what other nodes do not report in time is shown as last known. */
 export class NodeStatusSource implements StatusSource {
 	private readonly _services: NodeStatusServices;
 	private readonly _options: typeof statusDefaults;
-	/** The newest configuration that any node was seen with, and since when. */
+	/** The newest configuration version seen on any node, and since when. */
 	private _newest = {version: 0, sinceMs: 0};
 
 	constructor(services: NodeStatusServices, options: Partial<typeof statusDefaults> = {}) {
@@ -81,13 +81,14 @@
 		const {configuration, membership} = this._services;
 		const {name, availabilityZone} = endpoint;
 		const instance = view?.instances.find(other => other.endpoint === name);
-		const isHeard = instance?.isReachable ?? false;
+		const isInstanceReachable = instance?.isReachable ?? false;
 		return {
 			name,
 			availabilityZone,
-			// What is not heard may have changed since; only the group's own word stands.
-			role: isHeard || name === view?.primary ? instance?.state?.role : undefined,
-			isReachable: isHeard,
+			// The role of an unreachable instance may have changed since its last report. It is shown
+			// only for the endpoint that the group's view names as primary.
+			role: isInstanceReachable || name === view?.primary ? instance?.state?.role : undefined,
+			isReachable: isInstanceReachable,
 			isDraining: configuration.endpointPolicy(name).isDraining,
 			lagEntries: lagOf(name, view),
 			home: membership.homeOf(endpoint)?.name,
@@ -108,7 +109,7 @@
 		return nodes.toSorted((a, b) => a.name < b.name ? -1 : 1);
 	}
 
-	/** The newest version that all nodes have had the time to get; zero while it is too new. */
+	/** The newest configuration version, once all nodes have had the time to get it; zero before. */
 	private _expectedVersion(nodes: readonly NodeStatus[]): number {
 		const nowMs = this._services.clock.nowMs();
 		const version = Math.max(0, ...nodes.map(({configurationVersion}) => configurationVersion ?? 0));
@@ -135,7 +136,7 @@
 	}
 }
 
-/** Entries that a replica has not applied of what the primary was last seen with; undefined when not comparable. */
+/** Entries that a replica has not applied of those that the primary last reported; undefined if the reports are not comparable. */
 function lagOf(endpoint: string, view: GroupView | undefined): number | undefined {
 	const stateOf = (name: string) => view?.instances.find(instance => instance.endpoint === name)?.state;
 	const state = stateOf(endpoint);
@@ -144,7 +145,7 @@
 		return undefined;
 	}
 
-	// Reports of two instances are not from one moment: a replica's may be the later one.
+	// The two instances do not report at the same moment: a replica's report may be later, and its position ahead.
 	const entries = Math.max(0, lagEntries(state.applied, target.received));
 	return Number.isFinite(entries) ? entries : undefined;
 }
--- a/src/node/operators/operator-authentication.ts
+++ b/src/node/operators/operator-authentication.ts
@@ -10,7 +10,7 @@
 import {checkPassword, hashPassword, isHashed} from './password-check.js';
 import type {OperatorCredentials} from './types.js';
 
-/** Why an operator was not let in. */
+/** Why an operator was refused. */
 export type AuthenticationRefusal
 	= | {readonly kind: 'unauthorized'}
 		| {readonly kind: 'tooManyFailures'; readonly retryAfterMs: number};
@@ -27,18 +27,18 @@
 	return colon === -1 ? undefined : {user: text.slice(0, colon), password: text.slice(colon + 1)};
 }
 
-/** Lets operators in. */
+/** Authenticates operators. */
 export class OperatorAuthentication {
 	private readonly _clock: Clock;
 	private readonly _options: typeof authenticationDefaults;
 	private readonly _passwords: ReadonlyMap<string, string>;
 	private readonly _limiter: FailureLimiter;
-	/** Digests of accepted headers, under a key of this process, and until when they hold. */
+	/** Cache of accepted credentials by their digest under a key of this process, with the time when they expire. */
 	private readonly _accepted = new Map<string, {readonly user: string; readonly untilMs: number}>();
 	private readonly _digestKey = randomBytes(32);
-	/** Checked for unknown users, so that they take as long as known ones. */
+	/** Password that is checked for unknown users, so that the check takes as long as for known ones. */
 	private readonly _dummyPassword: Promise<string>;
-	/** Checks under way by digest; a page asks for several files at one time. */
+	/** Checks in progress by digest, shared by concurrent requests, since a page loads several files at one time. */
 	private readonly _checks = new Map<string, Promise<boolean>>();
 
 	constructor(clock: Clock, credentials: readonly OperatorCredentials[], options: Partial<typeof authenticationDefaults> = {}) {
@@ -50,7 +50,7 @@
 		this._dummyPassword = credentials.some(({password}) => isHashed(password)) ? hashPassword(secret) : Promise.resolve(secret);
 	}
 
-	/** The operator's name. Whoever was accepted before is not held up by others' failures. */
+	/** Resolves with the operator's name. Cached credentials are accepted even while their address has to wait because of failures. */
 	async authenticate(header: string | undefined, address: string): Promise<Either<AuthenticationRefusal, string>> {
 		const given = parseBasic(header);
 		if (given === undefined) {
@@ -83,9 +83,9 @@
 
 	private async _startCheck({user, password}: OperatorCredentials, digest: string): Promise<boolean> {
 		const stored = this._passwords.get(user);
-		const check = this._dummyPassword.then(async decoy => {
-			const isSame = await checkPassword(password, stored ?? decoy);
-			return isSame && stored !== undefined;
+		const check = this._dummyPassword.then(async dummyPassword => {
+			const isMatch = await checkPassword(password, stored ?? dummyPassword);
+			return isMatch && stored !== undefined;
 		}).finally(() => {
 			this._checks.delete(digest);
 		});
--- a/src/node/operators/operator-client.test.ts
+++ b/src/node/operators/operator-client.test.ts
@@ -8,18 +8,18 @@
 const drain = {op: 'put', kind: 'rule', value: {name: 'drain.zone.zone-a', selector: {zones: ['zone-a']}, effect: {kind: 'drain'}}} as const;
 
 describe('OperatorClient', () => {
-	it('sees a change through, from its preview to its undo', async () => {
+	it('previews, proposes and undoes a change', async () => {
 		const {operatorServer} = await makeOperatorServer();
 		const port = await operatorServer.listen('127.0.0.1', 0);
 		const client = new OperatorClient({url: `http://127.0.0.1:${port}`, user: 'ann', password: 'plain'});
 		const {version, document} = (await client.configuration()).unsafeCoerce(); // eslint-disable-line unicorn/no-await-expression-member
-		const wish = {document: {...document, rules: [drain.value]}};
-		const preview = await client.preview(wish);
+		const desiredChange = {document: {...document, rules: [drain.value]}};
+		const preview = await client.preview(desiredChange);
 		const {warnings} = preview.unsafeCoerce();
 		expect(warnings.map(({id}) => id)).toEqual(['primaryLeaves:orders', 'primaryLeaves:stock']);
-		const refused = await client.propose(wish, {basedOn: version});
+		const refused = await client.propose(desiredChange, {basedOn: version});
 		expect(refused.swap().unsafeCoerce().kind).toEqual('unacknowledged');
-		const accepted = await client.propose(wish, {basedOn: version, acknowledged: warnings.map(({id}) => id)});
+		const accepted = await client.propose(desiredChange, {basedOn: version, acknowledged: warnings.map(({id}) => id)});
 		expect(accepted.unsafeCoerce().operations.map(({op, kind}) => [op, kind])).toEqual([['put', 'rule']]);
 		const conflict = await client.orderPrimary('stock', 'stock-b', {basedOn: version});
 		expect(conflict.swap().unsafeCoerce()).toLooseEqual({kind: 'conflict', version: 2, changes: [accepted.unsafeCoerce()]});
@@ -37,7 +37,7 @@
 		operatorServer.dispose();
 	});
 
-	it('sends a proposal without an answer again under one identity', async () => {
+	it('resends a proposal without a response under the same change identifier', async () => {
 		const identities: string[] = [];
 		const server = createServer((request, response) => {
 			request.setEncoding('utf8');
--- a/src/node/operators/operator-client.ts
+++ b/src/node/operators/operator-client.ts
@@ -17,25 +17,25 @@
 import {clientDefaults} from './constants.js';
 import type {ChangeReach, SystemStatus} from './types.js';
 
-/** Why there is no result. `noAnswer`: none came, so whether it took effect is not known. */
+/** Why there is no result. `noAnswer`: no response came, so it is not known whether the request took effect. */
 export type ClientRefusal = OperatorRefusal | {readonly kind: 'noAnswer'; readonly detail: string};
 
-/** Where the API is and who asks. */
+/** Address of the API and credentials of the operator. */
 export type OperatorClientOptions = {
 	/** Such as `http://10.0.0.1:8080`. */
 	readonly url: string;
 	readonly user: string;
 	readonly password: string;
 	readonly timeoutMs?: number;
-	/** Sends of one proposal while its outcome is not known. */
+	/** Maximum number of times that one proposal is sent while its outcome is not known. */
 	readonly attempts?: number;
 	readonly retryPauseMs?: number;
 };
 
-/** What is wanted: operations, or the whole document that the configuration is to become. */
+/** The desired change: operations, or the whole document that replaces the configuration. */
 export type DesiredChange = {readonly operations: unknown} | {readonly document: unknown};
 
-/** What goes with a proposal. The identity is made where none is given. */
+/** Options of a proposal. The change identifier is generated if none is given. */
 export type ProposalOptions = {
 	readonly basedOn: number;
 	readonly changeId?: string;
@@ -43,7 +43,7 @@
 	readonly acknowledged?: readonly string[];
 };
 
-/** Whose statement is explained. */
+/** Which caller, group and kind of access the explanation is for. */
 export type ExplainQuery = {
 	readonly user: string;
 	readonly group: string;
@@ -52,20 +52,20 @@
 	readonly access?: 'read' | 'write';
 };
 
-/** The configuration in force and its number. */
+/** The configuration in force and its version. */
 export type VersionedDocument = {readonly version: number; readonly document: ConfigurationDocument};
 
-/** Part of the log, newest first. */
+/** Part of the change log, newest first. */
 export type ChangeList = {readonly version: number; readonly changes: readonly Change[]};
 
-/** The API is this program's own: an answer is only checked to be an object. */
+/** The API belongs to this program, so a response is only checked to be an object. */
 function answerSchema<T>() {
 	return z.custom<T>(value => typeof value === 'object' && value !== null);
 }
 
 const refusalSchema = answerSchema<OperatorRefusal>().refine(refusal => typeof refusal.kind === 'string');
 
-/** Outcomes after which the same proposal may be sent again, since it applies once. */
+/** Refusals after which the same proposal may be sent again, since it is applied only once. */
 const retryableKinds = new Set<ClientRefusal['kind']>(['noAnswer', 'unknown', 'failed']);
 
 type Query = Readonly<Record<string, string | number | undefined>>;
@@ -115,13 +115,13 @@
 	}
 
 	/** What a change would do; proposes nothing. */
-	async preview(wish: DesiredChange | {readonly undoOf: number}): Promise<Either<ClientRefusal, Preview>> {
-		return this._send('POST', '/api/changes/preview', wish);
+	async preview(desiredChange: DesiredChange | {readonly undoOf: number}): Promise<Either<ClientRefusal, Preview>> {
+		return this._send('POST', '/api/changes/preview', desiredChange);
 	}
 
 	/** Proposes a change; sends it again while its outcome is not known. */
-	async propose(wish: DesiredChange, options: ProposalOptions): Promise<Either<ClientRefusal, Change>> {
-		return this._propose('/api/changes', {...wish, ...options});
+	async propose(desiredChange: DesiredChange, options: ProposalOptions): Promise<Either<ClientRefusal, Change>> {
+		return this._propose('/api/changes', {...desiredChange, ...options});
 	}
 
 	/** Undoes a change by a new one. */
@@ -135,7 +135,7 @@
 	}
 
 	private async _propose(path: string, body: ProposalOptions & {readonly endpoint?: string}): Promise<Either<ClientRefusal, Change>> {
-		// One identity for all sends: whichever of them arrives first is the only one to apply.
+		// All attempts carry one change identifier: only the first one to arrive is applied.
 		const proposal = {...body, changeId: body.changeId ?? randomUUID()};
 		for (let attempt = 1; ; attempt++) {
 			const answer = await this._send<{change: Change}>('POST', path, proposal);
@@ -176,7 +176,7 @@
 	}
 }
 
-/** What went wrong with a request; the reason of a failed connection is below the error. */
+/** Describes why a request failed; the reason of a failed connection is in the error's cause. */
 function describeFailure(error: unknown): string {
 	if (!(error instanceof Error)) {
 		return String(error);
--- a/src/node/operators/operator-server.test.ts
+++ b/src/node/operators/operator-server.test.ts
@@ -56,7 +56,7 @@
 		});
 	}
 
-	it('makes an address wait after failures, but not an operator who was let in before', async () => {
+	it('refuses an address after failed attempts, but not an operator who was accepted before', async () => {
 		const {request, clock} = await setUp();
 		await request('GET', '/api/status');
 		for (let count = 0; count < authenticationDefaults.failuresAllowed; count++) {
@@ -74,14 +74,14 @@
 
 	const proposal = {changeId: 'from-page-1', basedOn: 1, operations: [drain]};
 	const malformed: ReadonlyArray<[title: string, payload: unknown, headers: Record<string, string>, status: number, path?: string]> = [
-		['text that is no JSON', '{"a":', {}, 400, '$'],
+		['text that is not JSON', '{"a":', {}, 400, '$'],
 		['an empty body', '', {}, 400, '$'],
 		['a field of a wrong type', {...proposal, basedOn: 'x'}, {}, 400, '$.basedOn'],
 		['a field that does not exist', {...proposal, extra: 1}, {}, 400, '$'],
 		['a wrong operation', {...proposal, operations: [{...drain, value: {...drain.value, effect: {kind: 'drain', isDraining: 1}}}]}, {}, 400, '$.operations[0].value.effect.isDraining'],
-		['a reference to nothing', {...proposal, operations: [{...drain, value: {...drain.value, selector: {zones: ['x']}}}]}, {}, 400, '$.rules["drain.zone.zone-b"].selector.zones'],
+		['a reference to an unknown zone', {...proposal, operations: [{...drain, value: {...drain.value, selector: {zones: ['x']}}}]}, {}, 400, '$.rules["drain.zone.zone-b"].selector.zones'],
 		['neither operations nor document', {changeId: 'from-page-1', basedOn: 1}, {}, 400, '$'],
-		['another type', 'a=b', {'content-type': 'application/x-www-form-urlencoded'}, 415],
+		['another content type', 'a=b', {'content-type': 'application/x-www-form-urlencoded'}, 415],
 		['a large body', {...proposal, note: 'x'.repeat(70_000)}, {}, 413],
 		['another origin', proposal, {origin: 'https://evil.example'}, 403],
 		['another site', proposal, {'sec-fetch-site': 'cross-site'}, 403],
@@ -96,7 +96,7 @@
 		});
 	}
 
-	it('previews, accepts, repeats, conflicts, redoes and undoes', async () => {
+	it('previews, accepts, repeats and undoes changes, and reports conflicts', async () => {
 		const {request, history} = await setUp();
 		const preview = await request('POST', '/api/changes/preview', {operations: [drain]});
 		expect(preview.body().touched).toEqual({
@@ -120,7 +120,7 @@
 		expect(list.body().changes?.map(({number}) => number)).toEqual([3, 2]);
 	});
 
-	it('compares a document with the number that its author had seen', async () => {
+	it('compares a document with the version that its author had seen', async () => {
 		const {request, history, changeLog} = await setUp();
 		const {body} = await request('GET', '/api/configuration');
 		const {document} = body();
@@ -135,7 +135,7 @@
 		expect(nothing.status).toEqual(400);
 	});
 
-	it('compares a document with what its author had seen, also on a node that lags', async () => {
+	it('compares a document with the version that its author had seen, also on a node that lags', async () => {
 		const {request, platform, history} = await setUp();
 		const ahead = await makeOperatorServer({}, platform);
 		await ahead.changeLog.propose({
@@ -150,7 +150,7 @@
 		expect([accepted.status, [...history.model.caller.keys()]]).toEqual([201, ['kiosk']]);
 	});
 
-	it('says when to come back while the table is down, and still answers what it knows', async () => {
+	it('sends a retry delay while the table is down, and still answers what it knows', async () => {
 		const {request, client} = await setUp();
 		client.faults.outage = 'refused';
 		const refused = await request('POST', '/api/changes', proposal);
@@ -164,7 +164,7 @@
 		expect([explanation.status, explanation.body().version]).toEqual([200, 1]);
 	});
 
-	it('serves balancer, metrics and page', async () => {
+	it('serves health checks, metrics and the page', async () => {
 		const {request, readiness} = await setUp();
 		readiness.isReady = false;
 		const open = await Promise.all(['/healthz', '/readyz', '/metrics', '/', '/page.js'].map(async url => request('GET', url, undefined, {authorization: ''})));
--- a/src/node/operators/operator-server.ts
+++ b/src/node/operators/operator-server.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server of operators: API, page, metrics and health.
+ * The operators' HTTP server: API, page, metrics and health.
  */
 import fastify, {
 	type FastifyError, type FastifyInstance, type FastifyReply, type FastifyRequest,
@@ -22,7 +22,7 @@
 	/* eslint-enable @typescript-eslint/consistent-type-definitions */
 }
 
-/** Routes for the platform's balancer, which has no credentials. */
+/** Routes for the platform's load balancer, which has no credentials. */
 const openPaths = new Set(['/healthz', '/readyz']);
 
 const metricsPath = '/metrics';
@@ -67,19 +67,19 @@
 		registerPage(this._server);
 	}
 
-	/** Listens; resolves with the port. */
+	/** Starts to listen; resolves with the port. */
 	async listen(host: string, port: number): Promise<number> {
 		await this._server.listen({host, port});
 		const address = this._server.server.address();
 		return typeof address === 'object' && address !== null ? address.port : port;
 	}
 
-	/** The server itself, for requests without a socket. */
+	/** The underlying server, for requests that are injected without a socket. */
 	get server(): FastifyInstance {
 		return this._server;
 	}
 
-	/** Takes no new requests; resolves once those in progress are answered. */
+	/** Stops accepting requests; resolves once those in progress are answered. */
 	async close(): Promise<void> {
 		await this._server.close();
 	}
@@ -96,7 +96,7 @@
 			forceCloseConnections: 'idle',
 			logger: false,
 		} as const;
-		// The type of an instance follows its kind of server; the routes need neither.
+		// The type of an instance depends on its kind of server, which does not matter to the routes.
 		return tls === undefined ? fastify(common) : fastify({...common, https: {...tls}});
 	}
 
@@ -111,7 +111,7 @@
 		this._server.setErrorHandler<FastifyError>(async (error, _request, reply) => this._sendError(error, reply));
 	}
 
-	/** Sends a refusal, which ends the request, unless it may go on. */
+	/** Checks whether a request is allowed; if not, sends a refusal, which ends the request. */
 	private async _authorize(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply | undefined> {
 		const [path = ''] = request.url.split('?', 1);
 		if (openPaths.has(path) || (path === metricsPath && this._options.isMetricsOpen)) {
@@ -145,6 +145,6 @@
 		}
 
 		this._services.log.event('operatorServerFailed', {error: error.stack ?? error.message});
-		return sendRefusal(reply, {kind: 'failed', detail: 'the request failed inside the program; its log says more'});
+		return sendRefusal(reply, {kind: 'failed', detail: 'the request failed with an internal error; see the log of the node'});
 	}
 }
--- a/src/node/operators/page-files.ts
+++ b/src/node/operators/page-files.ts
@@ -1,17 +1,17 @@
 /**
- * The operators' page: a few plain files beside the package, read once.
+ * The operators' page: static files of the package, read once at start.
  */
 import {existsSync, readFileSync} from 'node:fs';
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
 import type {FastifyInstance} from 'fastify';
 
-/** Where the files are, seen from the package's root. */
+/** Folder of the files, relative to the package's root. */
 const pageFolder = path.join('src', 'node', 'operators', 'page');
 
 const scripts = ['page.js', 'dom.js', 'forms.js', 'status-view.js', 'change-view.js', 'history-view.js', 'proposal.js'];
 
-/** The files by the path that they are served at. */
+/** The files and the URL paths that they are served at. */
 const files = [
 	{url: '/', name: 'index.html', type: 'text/html; charset=utf-8'},
 	{url: '/page.css', name: 'page.css', type: 'text/css; charset=utf-8'},
@@ -28,7 +28,7 @@
 	return folder;
 }
 
-/** Nothing of the page comes from elsewhere, and no other site may frame it. */
+/** The page loads nothing from other origins, and no other site may show it in a frame. */
 const pageHeaders = {
 	'content-security-policy': 'default-src \'self\'; frame-ancestors \'none\'; img-src \'self\' data:; base-uri \'none\'; form-action \'self\'',
 	'cache-control': 'no-cache',
--- a/src/node/operators/page/change-view.js
+++ b/src/node/operators/page/change-view.js
@@ -2,12 +2,12 @@
  * The forms that make a change.
  */
 import {
-	byId, element, paragraph, say, send,
+	byId, element, paragraph, showMessage, send,
 } from './dom.js';
 import {forms} from './forms.js';
 import {preview} from './proposal.js';
 
-/** The configuration that the forms offer things from. */
+/** The configuration whose entries the forms offer. */
 let configuration;
 
 function optionsOf({options}) {
@@ -75,7 +75,7 @@
 	try {
 		operations = form.operations(values, configuration);
 	} catch (error) {
-		say(`That cannot be read: ${error.message}`);
+		showMessage(`The input is not valid: ${error.message}`);
 		return;
 	}
 
--- a/src/node/operators/page/dom.js
+++ b/src/node/operators/page/dom.js
@@ -3,7 +3,7 @@
  */
 const {document, location} = globalThis;
 
-/** The element of an id. */
+/** The element with an id. */
 export function byId(id) {
 	return document.querySelector(`#${id}`);
 }
@@ -24,8 +24,8 @@
 }
 
 /** A paragraph. */
-export function paragraph(text, look) {
-	return element('p', {class: look}, text);
+export function paragraph(text, className) {
+	return element('p', {class: className}, text);
 }
 
 /** A list. */
@@ -34,10 +34,10 @@
 }
 
 /** A button that calls back; disabled while the call lasts, so that a double tap is one call. */
-export function button(text, onTap, look) {
+export function button(text, onTap, className) {
 	const made = element('button', {
 		type: 'button',
-		class: look,
+		class: className,
 		async onclick() {
 			made.disabled = true;
 			try {
@@ -55,17 +55,17 @@
 	return element('div', {class: 'row'}, buttons);
 }
 
-/** Something to unfold. */
+/** A section that can be unfolded. */
 export function unfold(title, children) {
 	return element('details', {}, [element('summary', {}, title), ...children]);
 }
 
-/** Tells the operator, also through a screen reader. */
-export function say(text) {
+/** Shows a message to the operator; a screen reader reads it out. */
+export function showMessage(text) {
 	byId('message').textContent = text;
 }
 
-/** Waits. */
+/** Waits for a number of milliseconds. */
 export async function pause(delayMs) {
 	await new Promise(resolve => {
 		setTimeout(resolve, delayMs);
@@ -76,8 +76,8 @@
 const requestTimeoutMs = 15_000;
 
 /**
- * Sends a request. The answer's `kind` is `noAnswer` when none came, so that nobody knows
- * whether it took effect.
+ * Sends a request. The result's `kind` is `noAnswer` if no response came; it is then not known
+ * whether the request took effect.
  */
 export async function send(method, path, body) {
 	try {
--- a/src/node/operators/page/forms.js
+++ b/src/node/operators/page/forms.js
@@ -2,7 +2,7 @@
  * The changes that the page offers: the fields of each, and the operations that it makes.
  */
 
-/** Name of the rule that the page writes for something; safe as a rule's name. */
+/** Name of a rule that the page writes, with only the characters that rule names may have. */
 function ruleName(prefix, ...parts) {
 	const text = parts.filter(Boolean).join('.').replaceAll(/[^\w.\-]+/gv, '-');
 	return `${prefix}.${text || 'all'}`.slice(0, 100);
@@ -16,7 +16,7 @@
 	return {op: 'remove', kind: 'rule', name};
 }
 
-/** Drains or no longer drains an endpoint or a zone. */
+/** Drains an endpoint or a zone. */
 export function drainOperation(kind, name) {
 	const selector = kind === 'zone' ? {zones: [name]} : {endpoints: `name=${name}`};
 	return putRule(ruleName(`drain.${kind}`, name), selector, {kind: 'drain'});
@@ -63,7 +63,7 @@
 	return {name, label, type: 'number'};
 }
 
-/** Only the fields that were filled in. */
+/** The fields that were filled in, as numbers. */
 function filled(values, names) {
 	return Object.fromEntries(names.filter(name => values[name] !== '').map(name => [name, Number(values[name])]));
 }
@@ -76,10 +76,10 @@
 
 function labelled(configuration) {
 	return [
-		...configuration.services.map(thing => ['service', thing.name, thing]),
+		...configuration.services.map(entry => ['service', entry.name, entry]),
 		...configuration.services.flatMap(service => service.groups.map(group => ['group', group.name, {...group, service: service.name}])),
-		...endpointsOf(configuration).map(thing => ['endpoint', thing.name, thing]),
-		...configuration.callers.map(thing => ['caller', thing.user, thing]),
+		...endpointsOf(configuration).map(entry => ['endpoint', entry.name, entry]),
+		...configuration.callers.map(entry => ['caller', entry.user, entry]),
 	];
 }
 
@@ -167,7 +167,7 @@
 			callersField,
 			groupField,
 			numberField('deadlineMs', 'Deadline in milliseconds'),
-			numberField('maximumRetries', 'Retries of what did not run'),
+			numberField('maximumRetries', 'Retries of statements that did not run'),
 			numberField('transactionIdleMs', 'Longest idle time of a transaction in milliseconds'),
 		],
 		operations: values => callerRules(values, [
@@ -181,7 +181,7 @@
 		fields: [
 			{
 				name: 'target',
-				label: 'Thing',
+				label: 'Entry',
 				options: configuration => labelled(configuration).map(([kind, name, {labels}]) => option(`${kind} ${name}`, `${kind} ${name} (${labelsText(labels) || 'no labels'})`)),
 			},
 			{name: 'labels', label: 'All its labels, such as tier=gold,disk=fast', type: 'text'},
--- a/src/node/operators/page/history-view.js
+++ b/src/node/operators/page/history-view.js
@@ -21,7 +21,7 @@
 	byId('history').replaceChildren(cards.length === 0 ? paragraph('No change yet.') : list(cards));
 }
 
-/** The name of `<name>/<incarnation>`; the rest would fill a line. */
+/** The name in `<name>/<incarnation>`; the whole would fill a line. */
 function nameOf(node) {
 	return node.split('/', 1)[0];
 }
@@ -35,7 +35,7 @@
 	]);
 }
 
-/** Shows the audit trail, newest first, from a place that the page before named. */
+/** Shows the audit trail, newest first, from the cursor that the previous page returned. */
 export async function showAudit(before) {
 	const query = before === undefined ? '' : `?before=${encodeURIComponent(before)}`;
 	const {isDone, records, next, detail} = await send('GET', `/api/audit${query}`);
--- a/src/node/operators/page/page.js
+++ b/src/node/operators/page/page.js
@@ -1,5 +1,5 @@
 /**
- * The operators' page: its sections and what brings them up to date.
+ * The operators' page: its sections and how they are refreshed.
  */
 import {showChange, showForm, submitForm} from './change-view.js';
 import {byId} from './dom.js';
@@ -10,7 +10,7 @@
 const {document, location} = globalThis;
 const refreshIntervalMs = 3000;
 
-/** What shows each section. */
+/** The function that shows each section. */
 const sections = {
 	status: showStatus,
 	change: showChange,
@@ -54,7 +54,7 @@
 	}
 }, refreshIntervalMs);
 
-// Its name comes with the status; other sections do not need that.
+// The node's name is known only from the status, which the other sections do not read.
 byId('place').textContent = `Node at ${location.host}`;
 resumePending();
 const wanted = location.hash.slice(1);
--- a/src/node/operators/page/proposal.js
+++ b/src/node/operators/page/proposal.js
@@ -1,8 +1,8 @@
 /**
- * A change from its preview to where it is in force: confirmation, conflict, lost answer, undo.
+ * Takes a change from its preview to being in force: confirmation, conflict, lost response, undo.
  */
 import {
-	button, buttonRow, byId, element, list, paragraph, pause, say, send, unfold,
+	button, buttonRow, byId, element, list, paragraph, pause, showMessage, send, unfold,
 } from './dom.js';
 
 const {document, sessionStorage} = globalThis;
@@ -29,7 +29,7 @@
 	byId('confirm-title').focus();
 }
 
-/** Hides the panel; a change without an answer stays within reach. */
+/** Hides the panel; shows the button for a change whose outcome is not known yet. */
 export function hidePanel() {
 	byId('confirm').hidden = true;
 	byId('pending').hidden = sessionStorage.getItem(pendingKey) === null;
@@ -59,7 +59,7 @@
 	]);
 }
 
-/** One box for each warning; the button waits for all of them. */
+/** One checkbox for each warning; the confirm button is disabled until all are ticked. */
 function warningBoxes(warnings, confirm) {
 	const inputs = warnings.map(() => element('input', {type: 'checkbox'}));
 	const update = () => {
@@ -91,13 +91,13 @@
 export async function preview(title, wish) {
 	const shown = await send('POST', '/api/changes/preview', wish);
 	if (!shown.isDone) {
-		say(problemsText(shown) || 'No answer; nothing was changed.');
+		showMessage(problemsText(shown) || 'No answer; nothing was changed.');
 		return;
 	}
 
-	say('');
+	showMessage('');
 	const path = wish.undoOf === undefined ? '/api/changes' : `/api/changes/${wish.undoOf}/undo`;
-	// One identity for everything that is sent about this preview, so that it applies once.
+	// Every request for this preview carries one change identifier, so that the change is applied once.
 	const body = {
 		...(wish.undoOf === undefined && wish),
 		changeId: newChangeId(),
@@ -110,36 +110,36 @@
 	showPreview(title, shown, async () => propose(proposal));
 }
 
-/** Sends a proposal; until its outcome is known it is kept, also over a reload. */
+/** Sends a proposal. Until its outcome is known, it is kept in the session storage, which survives a reload. */
 async function propose(proposal) {
 	sessionStorage.setItem(pendingKey, JSON.stringify(proposal));
-	say('Sending…');
+	showMessage('Sending…');
 	const answer = await send('POST', proposal.path, proposal.body);
 	const outcome = answer.isDone ? 'accepted' : answer.kind;
 	const handle = outcomes[outcome] ?? outcomes.refused;
 	handle(proposal, answer);
 }
 
-function settle() {
+function clearPending() {
 	sessionStorage.removeItem(pendingKey);
 	byId('pending').hidden = true;
-	say('');
+	showMessage('');
 }
 
 async function showAccepted({title}, {change}) {
-	settle();
-	const place = element('div', {'aria-live': 'polite'}, 'Asking the nodes…');
+	clearPending();
+	const reachElement = element('div', {'aria-live': 'polite'}, 'Asking the nodes…');
 	showPanel(`Change ${change.number} is accepted`, [
 		paragraph(title),
-		place,
+		reachElement,
 		buttonRow(button('Undo', async () => undo(change.number)), button('Done', hidePanel, 'main')),
 	]);
 	document.dispatchEvent(new Event('changed'));
-	await followReach(change.number, place);
+	await followReach(change.number, reachElement);
 }
 
 function showConflict({title, wish}, {changes}) {
-	settle();
+	clearPending();
 	showPanel('Another operator was faster', [
 		paragraph('Nothing of yours was changed. Since you looked:'),
 		list(changes.map(change => changeCard(change))),
@@ -148,14 +148,14 @@
 }
 
 function showUnacknowledged(proposal, {preview: shown}) {
-	settle();
+	clearPending();
 	const acknowledged = shown.warnings.map(({id}) => id);
 	const body = {...proposal.body, acknowledged};
 	showPreview(proposal.title, shown, async () => propose({...proposal, body}));
 }
 
 function showUnknown(proposal, {detail = ''}) {
-	say('');
+	showMessage('');
 	showPanel('It is not known yet whether this took effect', [
 		paragraph(proposal.title),
 		paragraph(`Send it again to find out: it applies once. ${detail}`),
@@ -164,7 +164,7 @@
 }
 
 function showUnavailable(proposal, {detail, retryAfterMs}) {
-	settle();
+	clearPending();
 	showPanel('Not accepted', [
 		paragraph(`Nothing was changed: ${detail}. Come back in ${Math.ceil(retryAfterMs / 1000)} s.`),
 		buttonRow(button('Cancel', hidePanel), button('Try again', async () => propose(proposal), 'main')),
@@ -172,11 +172,11 @@
 }
 
 function showRefused(_proposal, answer) {
-	settle();
-	say(problemsText(answer) || `Refused: ${answer.kind}`);
+	clearPending();
+	showMessage(problemsText(answer) || `Refused: ${answer.kind}`);
 }
 
-/** What follows each outcome of a proposal. */
+/** The handler of each outcome of a proposal. */
 const outcomes = {
 	accepted: showAccepted,
 	conflict: showConflict,
@@ -188,11 +188,11 @@
 	refused: showRefused,
 };
 
-/** Undoes a change by one tap; only warnings ask again. */
+/** Undoes a change without a preview; only warnings have to be confirmed. */
 export async function undo(number) {
 	const configuration = await send('GET', '/api/configuration');
 	if (!configuration.isDone) {
-		say('No answer; nothing was changed.');
+		showMessage('No answer; nothing was changed.');
 		return;
 	}
 
@@ -204,7 +204,7 @@
 	});
 }
 
-/** Offers to send again what was sent and not answered, also before a reload. */
+/** Offers to send a proposal again that has no response, also one sent before a reload. */
 export function resumePending() {
 	const pending = sessionStorage.getItem(pendingKey);
 	if (pending !== null) {
@@ -225,11 +225,11 @@
 	return parts.filter(Boolean);
 }
 
-async function followReach(number, place) {
-	for (let round = 0; round < reachRounds && place.isConnected; round++) {
+async function followReach(number, reachElement) {
+	for (let round = 0; round < reachRounds && reachElement.isConnected; round++) {
 		const reach = await send('GET', `/api/changes/${number}/reach`);
 		if (reach.isDone) {
-			place.replaceChildren(...reachContent(reach));
+			reachElement.replaceChildren(...reachContent(reach));
 		}
 
 		if (reach.isEverywhere) {
@@ -242,9 +242,9 @@
 
 /** Shows on which nodes a change is in force. */
 export async function showReach(number) {
-	const place = element('div', {'aria-live': 'polite'}, 'Asking the nodes…');
-	showPanel(`Where change ${number} is in force`, [place, button('Done', hidePanel, 'main')]);
-	await followReach(number, place);
+	const reachElement = element('div', {'aria-live': 'polite'}, 'Asking the nodes…');
+	showPanel(`Where change ${number} is in force`, [reachElement, button('Done', hidePanel, 'main')]);
+	await followReach(number, reachElement);
 }
 
 function operationText(operation) {
@@ -252,7 +252,7 @@
 	return `${operation.op} ${operation.kind} ${name}`;
 }
 
-/** Operations of a change that are listed. */
+/** Maximum number of operations of a change that are listed. */
 const operationsShown = 5;
 
 /** One change of the log. */
--- a/src/node/operators/page/status-view.js
+++ b/src/node/operators/page/status-view.js
@@ -13,10 +13,10 @@
 	return parts.filter(Boolean).join(', ');
 }
 
-function fact(name, value, look) {
+function fact(name, value, className) {
 	return element('div', {class: 'fact'}, [
 		element('span', {class: 'faint'}, name),
-		element('b', {class: look}, value),
+		element('b', {class: className}, value),
 	]);
 }
 
@@ -36,10 +36,10 @@
 function endpointCard(group, endpoint) {
 	const isPrimary = endpoint.name === group.primary;
 	const role = isPrimary ? 'primary' : endpoint.role ?? 'unknown role';
-	const isWell = endpoint.isReachable && !endpoint.isDraining;
+	const isHealthy = endpoint.isReachable && !endpoint.isDraining;
 	return element('li', {class: 'card'}, [
 		element('h3', {}, endpoint.name),
-		paragraph(joined(role, !endpoint.isReachable && 'not reached', endpoint.isDraining && 'draining'), isWell ? 'good' : 'care'),
+		paragraph(joined(role, !endpoint.isReachable && 'not reached', endpoint.isDraining && 'draining'), isHealthy ? 'good' : 'care'),
 		paragraph(joined(endpoint.availabilityZone, !isPrimary && lagText(endpoint), endpoint.home && `home ${endpoint.home}`), 'faint'),
 		endpointButtons(group, endpoint),
 	]);
@@ -54,7 +54,7 @@
 	]);
 }
 
-/** Says only what is out of the ordinary: there may be hundreds of nodes. */
+/** Shows only what is unusual, because there may be hundreds of nodes. */
 function nodeItem({name, isReachable, isLeaving, configurationVersion}, status) {
 	const isCurrent = configurationVersion === undefined || configurationVersion === status.configurationVersion;
 	const text = joined(!isReachable && 'not reached', isLeaving && 'leaving', !isCurrent && `configuration ${configurationVersion}`);
@@ -97,7 +97,7 @@
 
 const focusable = 'summary, button';
 
-/** Keeps open what the operator opened, and the focus where it is. */
+/** Replaces the content of a section; keeps opened parts open and the focus where it is. */
 function replaceContent(section, content) {
 	const open = [...section.querySelectorAll('details')].map(details => details.open);
 	const focused = [...section.querySelectorAll(focusable)].indexOf(document.activeElement);
@@ -109,7 +109,7 @@
 	section.querySelectorAll(focusable)[focused]?.focus({preventScroll: true});
 }
 
-/** Reads and shows the status; waits while the operator's thumb is down on it. */
+/** Reads and shows the status; leaves it as it is while the operator presses on it. */
 export async function showStatus() {
 	const status = await send('GET', '/api/status');
 	if (!status.isDone) {
--- a/src/node/operators/password-check.ts
+++ b/src/node/operators/password-check.ts
@@ -13,7 +13,7 @@
 const saltLength = 16;
 const hashPattern = /^scrypt\$(?<salt>[A-Za-z0-9+\/]+=*)\$(?<hash>[A-Za-z0-9+\/]+=*)$/v;
 
-/** The text that settings hold in place of a password. */
+/** Makes the salted hash that settings may hold in place of a plain password. */
 export async function hashPassword(password: string): Promise<string> {
 	const salt = randomBytes(saltLength);
 	const hash = await derive(password, salt, hashLength);
@@ -25,11 +25,11 @@
 	return hashPattern.test(stored);
 }
 
-/** Whether a password is the stored one; takes as long when it is not. */
+/** Whether a password matches the stored text; takes the same time if it does not. */
 export async function checkPassword(password: string, stored: string): Promise<boolean> {
 	const {salt, hash} = hashPattern.exec(stored)?.groups ?? {};
 	if (salt === undefined || hash === undefined) {
-		// Digests have one length, so that the comparison tells nothing of the password's.
+		// Digests have a fixed length, so that the comparison reveals nothing about the length of the password.
 		return timingSafeEqual(digest(password), digest(stored));
 	}
 
--- a/src/node/operators/promotion-log.ts
+++ b/src/node/operators/promotion-log.ts
@@ -1,5 +1,5 @@
 /**
- * Hears of finished promotions beside the log that they are written to.
+ * Reports finished promotions from the events that are written to the log.
  */
 import {z} from 'zod';
 import type {Disposable} from '../../common/lifecycle/disposable.js';
@@ -11,7 +11,7 @@
 /** A promotion that this node carried out. */
 export type FinishedPromotion = z.infer<typeof promotionSchema>;
 
-/** Passes every event on to a log, and announces the finished promotions among them. */
+/** Passes every event on to a log, and fires an event for each finished promotion among them. */
 export class PromotionLog implements Log, Disposable {
 	readonly onPromotionFinished: Event<FinishedPromotion>;
 	private readonly _inner: Log;
--- a/src/node/operators/reach.ts
+++ b/src/node/operators/reach.ts
@@ -18,7 +18,7 @@
 	readonly version: () => number;
 };
 
-/** Probes the nodes, a bounded number at one time; pages that ask together share one round. */
+/** Probes the nodes with limited concurrency; pages that ask at the same time share one refresh. */
 export class ReachProbe implements ReachSource {
 	private readonly _services: ReachServices;
 	private readonly _options: typeof reachDefaults;
@@ -31,7 +31,7 @@
 		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => this._probeAll());
 	}
 
-	/** What each node answered last, also while a round is on its way; without those never asked. */
+	/** The last answer of each node, also while a refresh is in progress; without nodes that were never probed. */
 	get latest(): ReadonlyMap<string, NodeReach> {
 		return this._latest;
 	}
--- a/src/node/operators/refusal-responses.ts
+++ b/src/node/operators/refusal-responses.ts
@@ -1,5 +1,5 @@
 /**
- * The table from refusal to HTTP answer.
+ * Maps refusals to HTTP responses.
  */
 import type {FastifyReply} from 'fastify';
 import type {Problem} from '../../common/configuration/problems.js';
@@ -33,7 +33,7 @@
 	unknown: 504,
 };
 
-/** Sends a refusal; one that helps to wait for says how long. */
+/** Sends a refusal, with a `retry-after` header if the request may succeed later. */
 export function sendRefusal(reply: FastifyReply, refusal: OperatorRefusal): FastifyReply {
 	if ('retryAfterMs' in refusal) {
 		void reply.header('retry-after', String(Math.ceil(refusal.retryAfterMs / 1000)));
@@ -51,10 +51,10 @@
 	return {kind: 'invalid', problems};
 }
 
-/** When to come back while the platform does not answer. */
+/** Retry delay while the platform does not answer. */
 const platformRetryAfterMs = 5000;
 
-/** The refusal while the platform does not answer. */
+/** The refusal of a request while the platform does not answer. */
 export function platformRefusal(fault: PlatformFault): OperatorRefusal {
 	return {kind: 'unavailable', retryAfterMs: platformRetryAfterMs, detail: `the platform does not answer: ${fault.detail}`};
 }
--- a/src/node/operators/request-schemas.ts
+++ b/src/node/operators/request-schemas.ts
@@ -9,14 +9,14 @@
 const {changeId: changeIdField, basedOn: basedOnField} = changeSchema.shape;
 
 const proposalFields = {
-	/** Made by the sender; sent again when the answer was lost. */
+	/** Idempotency key, made by the sender; the same key is sent again if the response was lost. */
 	changeId: changeIdField,
 	basedOn: basedOnField,
 	acknowledged: changeSchema.shape.acknowledged,
 	note: changeSchema.shape.note,
 };
 
-/** What is wanted: single operations, or a whole document that the configuration is to become. */
+/** The desired change: single operations, or a whole document that replaces the configuration. */
 const desiredChangeFields = {
 	operations: operationsSchema.optional(),
 	document: documentSchema.optional(),
@@ -69,7 +69,7 @@
 	limit: z.coerce.number<string>().pipe(z.int().min(1).max(pageSizes.changesMaximum)).default(pageSizes.changes),
 });
 
-/** Query of `GET /api/audit`; newest first, from a place that the page before named. */
+/** Query of `GET /api/audit`; newest first, from the cursor that the previous page returned. */
 export const auditQuerySchema = z.strictObject({
 	before: textField.optional(),
 	limit: z.coerce.number<string>().pipe(z.int().min(1).max(pageSizes.auditMaximum)).default(pageSizes.audit),
--- a/src/node/operators/status-routes.ts
+++ b/src/node/operators/status-routes.ts
@@ -8,7 +8,7 @@
 import {auditQuerySchema} from './request-schemas.js';
 import type {OperatorServices} from './types.js';
 
-/** Answers what only reads. */
+/** Answers the requests that only read. */
 export class StatusRoutes {
 	private readonly _services: OperatorServices;
 
@@ -17,10 +17,10 @@
 	}
 
 	register(server: FastifyInstance): void {
-		const {status, metricsSource: metricsText, readiness} = this._services;
+		const {status, metricsSource, readiness} = this._services;
 		server.get('/api/status', async () => status.read());
 		server.get('/api/audit', async (request, reply) => this._audit(request, reply));
-		server.get('/metrics', async (_request, reply) => reply.type(metricsText.contentType).send(await metricsText.text()));
+		server.get('/metrics', async (_request, reply) => reply.type(metricsSource.contentType).send(await metricsSource.text()));
 		server.get('/healthz', async () => ({isAlive: true}));
 		server.get('/readyz', async (_request, reply) => {
 			const {isReady, reason} = readiness();
--- a/src/node/operators/testing/operator-fixtures.ts
+++ b/src/node/operators/testing/operator-fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * An operators' server over a small configuration, without a network.
+ * An operators' server for tests, over a small configuration and without a network.
  */
 import {Right} from 'purify-ts';
 import {MemoryPlatform} from '../../../../standins/platform/memory-platform.js';
--- a/src/node/operators/types.ts
+++ b/src/node/operators/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' server shows and asks for.
+ * Types of the operators' server: what it shows, and what it needs from the node.
  */
 import type {Either} from 'purify-ts';
 import type {AuditPage} from '../../common/audit/types.js';
@@ -14,15 +14,15 @@
 export type EndpointStatus = {
 	readonly name: string;
 	readonly availabilityZone: string;
-	/** Undefined while nothing is known of it. */
+	/** Undefined while the role is not known. */
 	readonly role?: InstanceRole;
 	readonly isReachable: boolean;
 	readonly isDraining: boolean;
-	/** Entries that it has not applied yet of what its primary has. */
+	/** Log entries of its primary that it has not applied yet. */
 	readonly lagEntries?: number;
-	/** Upper bound on the age of what its reads see. */
+	/** Upper bound on the age of the data that its reads see. */
 	readonly ageMs?: number;
-	/** Node that serves it. */
+	/** Name of the node that holds its connections and queue. */
 	readonly home?: string;
 };
 
@@ -32,7 +32,7 @@
 	readonly service: string;
 	/** Zero while no primary is known. */
 	readonly term: number;
-	/** Empty while none is known. */
+	/** Name of the primary; empty while none is known. */
 	readonly primary: string;
 	readonly endpoints: readonly EndpointStatus[];
 };
@@ -47,26 +47,26 @@
 	readonly configurationVersion?: number;
 };
 
-/** Something that does not work as it should, and why. */
+/** Something that is degraded, and why. */
 export type Degradation = {
 	readonly subject: string;
 	readonly reason: string;
 };
 
-/** A replacement of a primary. */
+/** A failover: the replacement of a primary. */
 export type Failover = {
 	readonly group: string;
-	/** Why, as docs/OPERATIONS.md lists it. */
+	/** Promotion reason, one of those that docs/OPERATIONS.md lists. */
 	readonly reason: string;
-	/** Time from the last sign of the former primary to the next one. */
+	/** Time from when the previous primary was last known to serve to the end of the promotion. */
 	readonly gapMs: number;
-	/** When it was over, in ISO 8601. */
+	/** When the failover was complete, in ISO 8601. */
 	readonly at: string;
 };
 
 /** The system as one node sees it. */
 export type SystemStatus = {
-	/** The node that answers. */
+	/** The node that reports the status. */
 	readonly node: {readonly name: string; readonly availabilityZone: string};
 	readonly configurationVersion: number;
 	readonly groups: readonly GroupStatus[];
@@ -78,17 +78,17 @@
 	readonly degraded: readonly Degradation[];
 };
 
-/** Where the status comes from. */
+/** Source of the system status. */
 export type StatusSource = {
 	read(): SystemStatus | Promise<SystemStatus>;
 };
 
-/** Where the audit trail is read. */
+/** Source of the records of the audit trail. */
 export type AuditSource = {
 	read(limit: number, before?: string): Promise<Either<PlatformFault, AuditPage>>;
 };
 
-/** Whether the platform's balancer may send callers to this node. */
+/** Whether the platform's load balancer may send callers to this node. */
 export type Readiness = {
 	readonly isReady: boolean;
 	readonly reason: string;
@@ -114,19 +114,19 @@
 	readonly nodeCount: number;
 	readonly inForceCount: number;
 	readonly isEverywhere: boolean;
-	/** Nodes that answer and have an older number in force. */
+	/** Nodes that answer and have an older configuration in force. */
 	readonly lagging: readonly NodeReach[];
-	/** Nodes that do not answer this one. */
+	/** Nodes that do not answer this node. */
 	readonly cutOff: readonly NodeReach[];
 };
 
 /** Finds out which configuration the nodes have in force. */
 export type ReachSource = {
-	/** Asks all of them. */
+	/** Asks every node. */
 	nodes(): Promise<readonly NodeReach[]>;
 };
 
-/** Who may operate; `password` is plain text or `scrypt$<salt>$<hash>`, both in base64. */
+/** Credentials of one operator; `password` is plain text or `scrypt$<salt>$<hash>`, both in base64. */
 export type OperatorCredentials = {
 	readonly user: string;
 	readonly password: string;
