--- a/src/node/callers/caller-connection.ts
+++ b/src/node/callers/caller-connection.ts
@@ -1,4 +1,4 @@
-/** One caller's connection, from accepting it to its close: one task, written straight down. */
+/** One caller's connection, from accept to close, served by one sequential task. */
 import {randomInt} from 'node:crypto';
 import type {Socket} from 'node:net';
 import type {SecureContext} from 'node:tls';
@@ -33,16 +33,16 @@
 	readonly codec: SessionTokenCodec;
 	readonly classifier: StatementClassifier;
 	readonly budget: ReceiveBudget;
-	/** Hands a cancel request to the connection that it names. */
+	/** Passes a cancel request on to the connection that it names. */
 	cancel(processId: number, secretKey: number): void;
 };
 
-/** Parameters that a caller is told at the end of its start-up, beside the token. */
-const reportedAtStart = ['client_encoding', 'DateStyle', 'IntervalStyle', 'TimeZone', 'standard_conforming_strings', 'application_name'];
+/** Parameters whose values a caller receives at the end of start-up, in addition to the session token. */
+const startUpParameterNames = ['client_encoding', 'DateStyle', 'IntervalStyle', 'TimeZone', 'standard_conforming_strings', 'application_name'];
 
 /** Serves one caller. */
 export class CallerConnection implements Disposable {
-	/** Names the connection in cancel requests, together with the secret key. */
+	/** Identifies the connection in cancel requests, together with the secret key. */
 	readonly processId: number;
 	readonly secretKey = randomInt(2 ** 31);
 	private readonly _context: ConnectionContext;
@@ -51,48 +51,48 @@
 	private _runner: CycleRunner | undefined;
 	private _handler: RequestHandler | undefined;
 	private _reader: FrameReader | undefined;
-	private _isWaiting = false;
+	private _isAwaitingMessage = false;
 	private _isDraining = false;
 
 	constructor(socket: Socket, processId: number, context: ConnectionContext) {
 		this._socket = socket;
 		this.processId = processId;
 		this._context = context;
-		// Without a listener an error of the socket would end the process; its close follows.
+		// Without a listener, a socket error would end the process. The socket emits `close` after it.
 		socket.on('error', () => undefined);
 	}
 
-	/** Serves the caller until its connection ends. */
+	/** Serves the caller until its connection is closed. */
 	async run(isFull: boolean): Promise<void> {
 		try {
 			await this._serve(isFull);
 		} catch (error) {
 			this._context.services.log.event('callerFailed', {error: String(error)});
-			this._sayGoodbye(new Refusal('invariantViolated'));
+			this._closeWithError(new Refusal('invariantViolated'));
 		} finally {
 			this._runner?.cancel();
 			this._store.dispose();
 		}
 	}
 
-	/** Cancels what is in progress if the key is right. */
+	/** Cancels the request in progress if the key matches. */
 	cancel(secretKey: number): void {
 		if (secretKey === this.secretKey) {
 			this._runner?.cancel();
 		}
 	}
 
-	/** Ends the connection once it is between requests and outside a transaction. */
+	/** Closes the connection as soon as it is between requests and outside a transaction. */
 	drain(): void {
 		this._isDraining = true;
-		if (this._isWaiting && this._canLeave()) {
-			this._leave();
+		if (this._isAwaitingMessage && this._isDrainable()) {
+			this._closeForShutdown();
 		}
 	}
 
-	/** Ends the connection at once. */
+	/** Sends a last error and closes the connection at once. */
 	dispose(): void {
-		this._sayGoodbye(new Refusal('shuttingDown'));
+		this._closeWithError(new Refusal('shuttingDown'));
 		this._socket.destroy();
 	}
 
@@ -128,7 +128,7 @@
 		if (end.kind === 'refused') {
 			services.log.event('callerRefused', {kind: end.refusal.kind, address: end.socket.remoteAddress});
 			this._socket = end.socket;
-			this._sayGoodbye(end.refusal);
+			this._closeWithError(end.refusal);
 			return undefined;
 		}
 
@@ -140,12 +140,12 @@
 		return undefined;
 	}
 
-	/** Makes the session that the start-up message asks for; undefined when it was refused. */
+	/** Creates the session that the start-up message asks for; undefined if it was refused. */
 	private _open(caller: AuthenticatedCaller): CallerSession | undefined {
 		const {services, options, codec} = this._context;
 		const group = caller.parameters.database ?? caller.user;
 		if (!services.configuration.group(group)) {
-			this._sayGoodbye(new Refusal('unknownGroup', group));
+			this._closeWithError(new Refusal('unknownGroup', group));
 			return undefined;
 		}
 
@@ -161,7 +161,7 @@
 		for (const [parameter, value] of readSettings(caller.parameters)) {
 			const refusal = writeParameter(session, parameter, value);
 			if (refusal) {
-				this._sayGoodbye(refusal);
+				this._closeWithError(refusal);
 				return undefined;
 			}
 		}
@@ -184,25 +184,25 @@
 		this._socket.once('close', () => {
 			this._runner?.cancel();
 		});
-		this._socket.write(this._greeting(session));
+		this._socket.write(this._startUpResponse(session));
 		await this._handleMessages(caller.reader, this._handler);
 	}
 
 	private async _handleMessages(reader: FrameReader, handler: RequestHandler): Promise<void> {
 		let continuation: Continuation = 'goOn';
 		while (continuation === 'goOn') {
-			// Waits only where something has to be waited for, which spares turns of the event loop.
+			// Awaits only if there is something to wait for, which saves turns of the event loop.
 			let frame = reader.take();
 			if (!frame) {
-				if (this._isDraining && this._canLeave()) {
-					this._leave();
+				if (this._isDraining && this._isDrainable()) {
+					this._closeForShutdown();
 					return;
 				}
 
-				this._isWaiting = true;
+				this._isAwaitingMessage = true;
 
 				frame = await reader.next();
-				this._isWaiting = false;
+				this._isAwaitingMessage = false;
 			}
 
 			if (!frame) {
@@ -223,15 +223,15 @@
 
 	private _endOfInput(reader: FrameReader): void {
 		if (reader.fault) {
-			this._sayGoodbye(reader.fault);
+			this._closeWithError(reader.fault);
 			return;
 		}
 
 		this._close();
 	}
 
-	private _greeting(session: CallerSession): Uint8Array {
-		const statuses = reportedAtStart.map(name => parameterStatus(name, readParameter(session, name)));
+	private _startUpResponse(session: CallerSession): Uint8Array {
+		const statuses = startUpParameterNames.map(name => parameterStatus(name, readParameter(session, name)));
 		const token = session.marks.takeChangedToken();
 		return joinFrames([
 			authenticationOk,
@@ -245,16 +245,16 @@
 		]);
 	}
 
-	private _canLeave(): boolean {
+	private _isDrainable(): boolean {
 		return this._handler?.isIdle === true && this._reader?.isEmpty === true;
 	}
 
-	private _leave(): void {
-		this._sayGoodbye(new Refusal('shuttingDown'));
+	private _closeForShutdown(): void {
+		this._closeWithError(new Refusal('shuttingDown'));
 	}
 
-	/** Sends a last error and closes. */
-	private _sayGoodbye(refusal: Refusal): void {
+	/** Sends a last error and closes the connection. */
+	private _closeWithError(refusal: Refusal): void {
 		if (!this._socket.writableEnded && !this._socket.destroyed) {
 			this._socket.write(errorResponse(refusal, 'FATAL'));
 		}
@@ -262,10 +262,11 @@
 		this._close();
 	}
 
-	/** Closes after what was written has gone out. */
+	/** Closes the connection after the data written so far has been sent. */
 	private _close(): void {
 		const socket = this._socket;
-		// A request that crosses the last message on its way is answered by that, so it must not run.
+		// The caller may have sent a request before it received the last message. It takes that message
+		// for the answer, so the request must not run.
 		this._reader?.dispose();
 		socket.end();
 		const timer = this._context.services.clock.setTimer(closeGraceMs, () => {
--- a/src/node/callers/testing/caller-server-harness.ts
+++ b/src/node/callers/testing/caller-server-harness.ts
@@ -1,4 +1,4 @@
-/** Starts caller servers for tests and ends what a test started. */
+/** Starts caller servers for tests and stops everything that a test started. */
 import pg from 'pg';
 import {toDisposable} from '../../../common/lifecycle/disposable.js';
 import type {Clock, Configuration, LogEventName} from '../../../common/services/services.js';
@@ -19,8 +19,8 @@
 	},
 };
 
-function notAsked(): never {
-	throw new Error('not asked for here');
+function unexpectedCall(): never {
+	throw new Error('unexpected call: the test configuration has no policies');
 }
 
 const group = {
@@ -31,8 +31,8 @@
 	onChange: () => toDisposable(() => undefined),
 	groups: () => [group],
 	group: name => name === group.name ? group : undefined,
-	callerPolicy: notAsked,
-	endpointPolicy: notAsked,
+	callerPolicy: unexpectedCall,
+	endpointPolicy: unexpectedCall,
 };
 
 /** One server with its router, and the callers of one test. */
@@ -49,7 +49,7 @@
 			router: this.router,
 			configuration,
 			clock,
-			log: {event: this._note.bind(this)},
+			log: {event: this._recordEvent.bind(this)},
 			metrics: {count: () => undefined, gauge: () => undefined, observe: () => undefined},
 			signer: new HmacTokenSigner('shared key'),
 			node: {name: 'n1', incarnation: 'i1', availabilityZone: 'a'},
@@ -94,7 +94,7 @@
 		this.server.dispose();
 	}
 
-	private _note(name: LogEventName): void {
+	private _recordEvent(name: LogEventName): void {
 		this.events.push(name);
 	}
 }
--- a/src/node/operators/failover-record.ts
+++ b/src/node/operators/failover-record.ts
@@ -1,6 +1,6 @@
 /**
- * The last failover of the whole system, kept as one item of the table, so that every
- * node's page shows it. It is for people; nothing rests on it.
+ * The last failover of the whole system, stored as one item of the table, so that the page of
+ * every node shows it. It is only displayed; nothing depends on it.
  */
 import {z} from 'zod';
 import {WakeableSleep} from '../../common/lifecycle/timing.js';
@@ -22,26 +22,26 @@
 export type FailoverRecordServices = {
 	readonly table: Table;
 	readonly clock: Clock;
-	/** Tells this process's writes from others'. */
+	/** Distinguishes the writes of this process from those of others. */
 	readonly writerId: string;
 };
 
-/** Remembers the last failover that this node saw, its own or another's. */
+/** Keeps the last failover that this node knows of, its own or that of another node. */
 export class FailoverRecord implements Disposable {
 	private readonly _services: FailoverRecordServices;
 	private readonly _options: typeof failoverRecordDefaults;
-	private readonly _round: CoalescedRefresh;
+	private readonly _refresh: CoalescedRefresh;
 	private readonly _sleep: WakeableSleep;
 	private _last: Failover | undefined;
-	/** The failover that the table is to hold; a newer one replaces it. */
-	private _wanted: Failover | undefined;
+	/** The failover that is to be written to the table; a newer one replaces it. */
+	private _pending: Failover | undefined;
 	private _isWriting = false;
 	private _isDisposed = false;
 
 	constructor(services: FailoverRecordServices, options: Partial<typeof failoverRecordDefaults> = {}) {
 		this._services = services;
 		this._options = {...failoverRecordDefaults, ...options};
-		this._round = new CoalescedRefresh(services.clock, this._options.keepMs, async () => {
+		this._refresh = new CoalescedRefresh(services.clock, this._options.keepMs, async () => {
 			await this._read();
 		});
 		this._sleep = new WakeableSleep(services.clock);
@@ -52,15 +52,15 @@
 		return this._last;
 	}
 
-	/** Looks into the table, unless that was done a short while ago. */
+	/** Reads the table, unless that was done within `keepMs`. */
 	async refresh(): Promise<void> {
-		return this._round.run();
+		return this._refresh.run();
 	}
 
-	/** Takes in a failover that this node carried out, and records it in the background. */
+	/** Accepts a failover that this node carried out, and writes it to the table in the background. */
 	note(failover: Failover): void {
-		this._learn(failover);
-		this._wanted = failover;
+		this._updateLast(failover);
+		this._pending = failover;
 		if (!this._isWriting && !this._isDisposed) {
 			void this._write();
 		}
@@ -71,7 +71,7 @@
 		this._sleep.dispose();
 	}
 
-	private _learn(failover: Failover): void {
+	private _updateLast(failover: Failover): void {
 		if (this._last === undefined || failover.at > this._last.at) {
 			this._last = failover;
 		}
@@ -79,11 +79,11 @@
 
 	private async _write(): Promise<void> {
 		this._isWriting = true;
-		for (let attempt = 0; attempt < this._options.attempts && this._wanted && !this._isDisposed; attempt++) {
-			const wanted = this._wanted;
-			const isDone = await this._attempt(wanted);
-			if (isDone && this._wanted === wanted) {
-				this._wanted = undefined;
+		for (let attempt = 0; attempt < this._options.attempts && this._pending && !this._isDisposed; attempt++) {
+			const wanted = this._pending;
+			const isDone = await this._tryWrite(wanted);
+			if (isDone && this._pending === wanted) {
+				this._pending = undefined;
 			} else if (!isDone) {
 				await this._sleep.wait(this._options.retryMs * (2 ** attempt));
 			}
@@ -92,8 +92,8 @@
 		this._isWriting = false;
 	}
 
-	/** Whether the table holds this failover, or a later one. */
-	private async _attempt(wanted: Failover): Promise<boolean> {
+	/** Tries to write the failover; true if the table then holds it, or a later one. */
+	private async _tryWrite(wanted: Failover): Promise<boolean> {
 		const read = await this._read();
 		if (!read) {
 			return false;
@@ -120,14 +120,14 @@
 		const item = read.orDefault(undefined);
 		const failover = item && decode(item);
 		if (failover) {
-			this._learn(failover);
+			this._updateLast(failover);
 		}
 
 		return {revision: item?.revision ?? 0, failover};
 	}
 }
 
-/** Undefined when something else wrote the item; it is then written anew. */
+/** Undefined if the item is not a valid record; it is then overwritten. */
 function decode({body}: TableItem): Failover | undefined {
 	return parseJsonWith(failoverSchema, body).toMaybe().extract();
 }
