--- a/src/node/cli/change-commands.ts
+++ b/src/node/cli/change-commands.ts
@@ -24,7 +24,7 @@
 type Finish = (code: ExitCode) => void;
 
 /** An accepted change and on how many nodes it is in force. */
-type Accepted = {readonly change: Change; readonly reach?: ChangeReach};
+type AcceptedChange = {readonly change: Change; readonly reach?: ChangeReach};
 
 /** `quetzalstream config propose`. */
 export function proposeCommand(context: CliContext, finish: Finish): Command {
@@ -36,7 +36,7 @@
 Example:
   quetzalstream config propose configuration.json`)
 		.action(async (file: string, options: OperatorOptions) => {
-			await withWish(context, file, finish, async wish =>
+			await withChangeFile(context, file, finish, async wish =>
 				callApi(context, options, async api => api.preview(desiredChangeOf(wish)), describePreview));
 		});
 }
@@ -52,7 +52,7 @@
   quetzalstream config apply configuration.json --note "drain lopburi"
   quetzalstream config apply operations.json --acknowledge noReader:stock`)
 		.action(async (file: string, options: ChangeOptions) => {
-			await withWish(context, file, finish, async wish => {
+			await withChangeFile(context, file, finish, async wish => {
 				const version = 'version' in wish ? wish.version : undefined;
 				return change(context, {...options, basedOn: options.basedOn ?? version}, async (api, proposal) => api.propose(desiredChangeOf(wish), proposal));
 			});
@@ -116,7 +116,7 @@
 		}
 
 		const reach = options.wait ? await awaitReach(api, made.number) : undefined;
-		return Right<Accepted>({change: made, ...(reach && {reach})});
+		return Right<AcceptedChange>({change: made, ...(reach && {reach})});
 	}, describeAccepted);
 }
 
@@ -145,7 +145,7 @@
 	return last;
 }
 
-async function withWish(context: CliContext, file: string, finish: Finish, act: (wish: ChangeFile) => Promise<ExitCode>): Promise<void> {
+async function withChangeFile(context: CliContext, file: string, finish: Finish, act: (wish: ChangeFile) => Promise<ExitCode>): Promise<void> {
 	const read = await readChangeFile(context, file);
 	const wish = read.toMaybe().extract();
 	if (wish) {
@@ -169,7 +169,7 @@
 	].join('\n');
 }
 
-function describeAccepted({change: {number}, reach}: Accepted): string {
+function describeAccepted({change: {number}, reach}: AcceptedChange): string {
 	if (!reach) {
 		return `accepted as change ${number}`;
 	}
--- a/src/node/cli/explain-command.ts
+++ b/src/node/cli/explain-command.ts
@@ -48,7 +48,7 @@
 				return;
 			}
 
-			context.write(json ? `${JSON.stringify(story)}\n` : pageOf(story));
+			context.write(json ? `${JSON.stringify(story)}\n` : formatTimeline(story));
 		});
 }
 
@@ -75,7 +75,7 @@
 				return;
 			}
 
-			context.write(json ? `${JSON.stringify(day)}\n` : tableOf(day));
+			context.write(json ? `${JSON.stringify(day)}\n` : formatDayTable(day));
 			if (svg !== undefined) {
 				await writeFile(svg, plotDay(day, spanMs));
 			}
@@ -88,7 +88,7 @@
 }
 
 /** Served requests are not logged one by one: the histogram `callerRequestMs` counts them. */
-function tableOf({startMs, spans, totals}: DaySummary): string {
+function formatDayTable({startMs, spans, totals}: DaySummary): string {
 	const causes = totals.map(([cause]) => cause);
 	const rows = spans.map(({fromMs, refused, marks}) => {
 		const counts = new Map(entriesOf(refused));
@@ -97,11 +97,11 @@
 	return `${textTable(['from', ...causes, 'events'], [...rows, ['all', ...totals.map(([, count]) => count), '']])}\n`;
 }
 
-function pageOf({lines, conclusions}: RequestTimeline): string {
-	return [...lines.map(line => rowOf(line)), '', ...conclusions].map(row => `${row}\n`).join('');
+function formatTimeline({lines, conclusions}: RequestTimeline): string {
+	return [...lines.map(line => formatTimelineLine(line)), '', ...conclusions].map(row => `${row}\n`).join('');
 }
 
-function rowOf({line: {time, node, number, name, fields}, isOwn}: TimelineLine): string {
+function formatTimelineLine({line: {time, node, number, name, fields}, isOwn}: TimelineLine): string {
 	const shown = Object.entries(fields).filter(([key]) => key !== 'request').map(([key, value]) => `${key}=${JSON.stringify(value)}`);
 	return [isOwn ? '>' : ' ', time.slice(11, 23), node, String(number), name, ...shown].join(' ');
 }
--- a/src/node/cli/program.ts
+++ b/src/node/cli/program.ts
@@ -30,7 +30,7 @@
 	program.addCommand(explainDayCommand(context, finish));
 	program.addCommand(delegatedCommand('demo', context, finish));
 	program.addCommand(delegatedCommand('bench', context, finish));
-	prepare(program, context);
+	configureErrorHandling(program, context);
 	try {
 		await program.parseAsync(commandLine, {from: 'user'});
 		return exitCode;
@@ -45,11 +45,11 @@
 }
 
 /** Makes commander throw instead of ending the process, for every command. */
-function prepare(command: Command, context: CliContext): void {
+function configureErrorHandling(command: Command, context: CliContext): void {
 	command.exitOverride();
 	command.configureOutput({writeOut: context.write, writeErr: context.writeError});
 	command.showHelpAfterError('(add --help for more)');
 	for (const inner of command.commands) {
-		prepare(inner, context);
+		configureErrorHandling(inner, context);
 	}
 }
--- a/src/node/cli/serve.ts
+++ b/src/node/cli/serve.ts
@@ -31,7 +31,7 @@
 	let node: RunningNode | undefined;
 	try {
 		node = await startNode(settings);
-		await Promise.race([announce(node, settings, host), stopped]);
+		await Promise.race([announceReady(node, settings, host), stopped]);
 		await stopped;
 		await node.drain();
 		return exitCodes.ok;
@@ -44,7 +44,7 @@
 }
 
 /** Tells a supervisor that callers are served, and where. */
-async function announce(node: RunningNode, settings: Settings, {write}: ServeContext): Promise<void> {
+async function announceReady(node: RunningNode, settings: Settings, {write}: ServeContext): Promise<void> {
 	await node.ready;
 	write(`${JSON.stringify({ready: true, node: settings.node.name, ports: node.ports})}\n`);
 }
--- a/src/node/initial-discovery.test.ts
+++ b/src/node/initial-discovery.test.ts
@@ -30,7 +30,7 @@
 		this._listed.push({host, atMs: this.clock.nowMs()});
 	}
 
-	greeting(self: Host): InitialDiscovery {
+	discovery(self: Host): InitialDiscovery {
 		const {clock, random} = this;
 		return new InitialDiscovery({
 			clock,
@@ -50,7 +50,7 @@
 			this.clock.setTimer(delayMs, resolve);
 		});
 		this.list(self);
-		await this.greeting(self).run();
+		await this.discovery(self).run();
 	}
 
 	private async _probe(self: Host, host: Host) {
@@ -105,7 +105,7 @@
 		expect(world.probes).toEqual(0);
 		world.isListDown = false;
 		world.silent.add(other.name);
-		const greeting = world.greeting({...self, incarnation: 'another'});
+		const greeting = world.discovery({...self, incarnation: 'another'});
 		await world.clock.advanceUntil(greeting.run());
 		expect(world.probes > 1).toEqual(true);
 		greeting.dispose();
--- a/src/node/initial-discovery.ts
+++ b/src/node/initial-discovery.ts
@@ -46,7 +46,7 @@
 	private readonly _options: typeof discoveryDefaults;
 	private readonly _sleep: WakeableSleep;
 	/** Incarnations that answered, by the name of their host. */
-	private readonly _met = new Map<string, string>();
+	private readonly _discovered = new Map<string, string>();
 	private _isDisposed = false;
 
 	constructor(services: DiscoveryServices, options: Partial<typeof discoveryDefaults> = {}) {
@@ -57,7 +57,7 @@
 
 	/** Greets; resolves when that is done or has taken as long as the start may wait. */
 	async run(): Promise<void> {
-		await withTimeout(this._services.clock, this._greet(), this._options.startWaitMs);
+		await withTimeout(this._services.clock, this._discover(), this._options.startWaitMs);
 	}
 
 	dispose(): void {
@@ -65,12 +65,12 @@
 		this._sleep.dispose();
 	}
 
-	private async _greet(): Promise<void> {
+	private async _discover(): Promise<void> {
 		const {firstPauseMs, longestPauseMs, rounds} = this._options;
 		for (let round = 0; round < rounds && !this._isDisposed; round++) {
 			const listed = await this._services.hostList.read();
 			const hosts = listed.orDefault([]);
-			await this._meet(this._chosen(hosts));
+			await this._probeAll(this._hostsToProbe(hosts));
 			const {name, incarnation} = this._services.membership.self;
 			if (hosts.some(host => host.name === name && host.incarnation === incarnation)) {
 				return;
@@ -81,22 +81,22 @@
 	}
 
 	/** Every host of the own zone and some of each other one, in random order, without those met already. */
-	private _chosen(hosts: readonly Host[]): readonly Host[] {
+	private _hostsToProbe(hosts: readonly Host[]): readonly Host[] {
 		const {random, membership: {self}} = this._services;
-		const strangers = hosts
-			.filter(({name, incarnation}) => name !== self.name && this._met.get(name) !== incarnation)
+		const undiscovered = hosts
+			.filter(({name, incarnation}) => name !== self.name && this._discovered.get(name) !== incarnation)
 			.map(host => ({host, rank: random.next()}))
 			.toSorted((a, b) => a.rank - b.rank)
 			.map(({host}) => host);
 		const counts = new Map<string, number>();
-		return strangers.filter(({availabilityZone}) => {
+		return undiscovered.filter(({availabilityZone}) => {
 			const count = (counts.get(availabilityZone) ?? 0) + 1;
 			counts.set(availabilityZone, count);
 			return availabilityZone === self.availabilityZone || count <= this._options.hostsPerOtherZone;
 		});
 	}
 
-	private async _meet(hosts: readonly Host[]): Promise<void> {
+	private async _probeAll(hosts: readonly Host[]): Promise<void> {
 		const {clock, random} = this._services;
 		const {spreadPerHostMs, probesAtOnce} = this._options;
 		const startMs = clock.nowMs();
@@ -114,7 +114,7 @@
 	private async _probe(host: Host): Promise<void> {
 		const answer = await this._services.peers.probe(host, this._options.probeTimeoutMs);
 		answer.ifRight(({host: answering}) => {
-			this._met.set(answering.name, answering.incarnation);
+			this._discovered.set(answering.name, answering.incarnation);
 			this._services.membership.learn(answering);
 		});
 	}
--- a/src/node/line/line-caller-connection.ts
+++ b/src/node/line/line-caller-connection.ts
@@ -29,7 +29,7 @@
 	private _reader: (() => void) | undefined;
 	private _isClosed = false;
 	private _isBusy = false;
-	private _fault: string | undefined;
+	private _socketError: string | undefined;
 
 	private readonly _handlers: HandlersOf<CallerMessage, Promise<Continuation>> = {
 		startUp: async message => this._startUp(message.database, message.user),
@@ -48,7 +48,7 @@
 			this._onData(chunk);
 		});
 		socket.on('error', error => {
-			this._fault = error.message;
+			this._socketError = error.message;
 		});
 		socket.on('end', () => {
 			this._close();
@@ -200,8 +200,8 @@
 			return;
 		}
 
-		const isAhead = this._unread.reduce((sum, line) => sum + line.length, 0) > this._options.maximumAheadBytes;
-		if (this._isBusy && isAhead) {
+		const isReadAheadExceeded = this._unread.reduce((sum, line) => sum + line.length, 0) > this._options.maximumAheadBytes;
+		if (this._isBusy && isReadAheadExceeded) {
 			this._socket.pause();
 		}
 
@@ -215,7 +215,7 @@
 		}
 
 		this._isClosed = true;
-		if (this._fault === undefined) {
+		if (this._socketError === undefined) {
 			this._socket.end();
 			this._socket.destroySoon();
 		} else {
--- a/src/node/line/line-server.ts
+++ b/src/node/line/line-server.ts
@@ -12,7 +12,7 @@
 import type {LineOptions} from './constants.js';
 
 /** Time between two looks for sessions that may be closed. */
-const closeLookMs = 50;
+const closeCheckIntervalMs = 50;
 
 /** Serves callers on one port. */
 export class LineServer implements Disposable {
@@ -20,7 +20,7 @@
 	private readonly _runner: StatementRunner;
 	private readonly _options: LineOptions;
 	private readonly _server: Server;
-	private readonly _links = new Set<LineCallerConnection>();
+	private readonly _connections = new Set<LineCallerConnection>();
 
 	constructor(services: LineSessionServices, options: LineOptions) {
 		this._services = services;
@@ -33,7 +33,7 @@
 
 	/** Connections that callers have at the moment. */
 	get connections(): number {
-		return this._links.size;
+		return this._connections.size;
 	}
 
 	/** Listens; port 0 takes a free one. Resolves with the port. */
@@ -47,29 +47,29 @@
 	async closeIdleGradually(overMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + overMs;
-		while (this._links.size > 0 && clock.nowMs() < endMs) {
-			const stepsLeft = Math.max(1, (endMs - clock.nowMs()) / closeLookMs);
-			let toClose = Math.ceil(this._links.size / stepsLeft);
-			for (const link of this._links) {
+		while (this._connections.size > 0 && clock.nowMs() < endMs) {
+			const stepsLeft = Math.max(1, (endMs - clock.nowMs()) / closeCheckIntervalMs);
+			let toClose = Math.ceil(this._connections.size / stepsLeft);
+			for (const link of this._connections) {
 				if (toClose > 0 && link.closeIfIdle()) {
 					toClose -= 1;
 				}
 			}
 
-			await pauseFor(clock, closeLookMs);
+			await pauseFor(clock, closeCheckIntervalMs);
 		}
 	}
 
 	/** Closes every session in which nothing is in progress at this moment. */
 	closeIdleNow(): void {
-		for (const link of this._links) {
+		for (const link of this._connections) {
 			link.closeIfIdle();
 		}
 	}
 
 	/** Ends the sessions of callers whose keys were revoked. */
 	closeRevokedSessions(): void {
-		for (const link of this._links) {
+		for (const link of this._connections) {
 			link.closeIfKeyRevoked();
 		}
 	}
@@ -81,7 +81,7 @@
 
 	/** Rolls back transactions that are still open; their sessions learn why. */
 	abortTransactions(): void {
-		for (const link of this._links) {
+		for (const link of this._connections) {
 			link.session?.abortTransaction(new Refusal('shuttingDown'));
 		}
 	}
@@ -90,39 +90,39 @@
 	async closeAllWhenIdle(boundMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + boundMs;
-		while (this._links.size > 0 && clock.nowMs() < endMs) {
-			for (const link of this._links) {
+		while (this._connections.size > 0 && clock.nowMs() < endMs) {
+			for (const link of this._connections) {
 				link.closeIfIdle();
 			}
 
-			await pauseFor(clock, closeLookMs / 5);
+			await pauseFor(clock, closeCheckIntervalMs / 5);
 		}
 	}
 
 	dispose(): void {
 		this._server.close();
-		for (const link of this._links) {
+		for (const link of this._connections) {
 			link.dispose();
 		}
 	}
 
 	private _accept(socket: Socket): void {
-		if (this._links.size >= this._options.maximumCallers) {
-			this._services.log.event('callerRefused', {reason: 'too many connections', connections: this._links.size});
+		if (this._connections.size >= this._options.maximumCallers) {
+			this._services.log.event('callerRefused', {reason: 'too many connections', connections: this._connections.size});
 			socket.destroy();
 			return;
 		}
 
 		const link = new LineCallerConnection(socket, this._services, this._runner, this._options);
-		this._links.add(link);
+		this._connections.add(link);
 		this._countConnections();
 		void link.run().finally(() => {
-			this._links.delete(link);
+			this._connections.delete(link);
 			this._countConnections();
 		});
 	}
 
 	private _countConnections(): void {
-		this._services.metrics.gauge('callerConnections', this._links.size);
+		this._services.metrics.gauge('callerConnections', this._connections.size);
 	}
 }
--- a/src/node/line/line-splitter.ts
+++ b/src/node/line/line-splitter.ts
@@ -15,7 +15,7 @@
 /** Keeps the beginning of a line whose end has not come. */
 export class LineSplitter {
 	private readonly _maximumBytes: number;
-	private _rest = '';
+	private _buffered = '';
 
 	constructor(maximumBytes: number) {
 		this._maximumBytes = maximumBytes;
@@ -23,15 +23,15 @@
 
 	/** Bytes of the unfinished line. */
 	get bufferedBytes(): number {
-		return this._rest.length;
+		return this._buffered.length;
 	}
 
 	/** The lines that a chunk ends, without their ends; throws `LineTooLongError`. */
 	push(chunk: Uint8Array): string[] {
-		const text = this._rest + Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength).toString('latin1');
+		const text = this._buffered + Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength).toString('latin1');
 		const lines = text.split(lineEnd);
-		this._rest = lines.pop()!;
-		if (this._rest.length > this._maximumBytes || lines.some(line => line.length > this._maximumBytes)) {
+		this._buffered = lines.pop()!;
+		if (this._buffered.length > this._maximumBytes || lines.some(line => line.length > this._maximumBytes)) {
 			throw new LineTooLongError(`a line is longer than ${this._maximumBytes} bytes`);
 		}
 
--- a/src/node/line/tcp-line-connection.ts
+++ b/src/node/line/tcp-line-connection.ts
@@ -19,7 +19,7 @@
 	readonly settle: (result: Either<ConnectionFault, readonly EndpointAnswer[]>) => void;
 };
 
-type Draft = {
+type PartialAnswer = {
 	text: string;
 	rows: string[];
 	error: EndpointAnswer['error'];
@@ -35,27 +35,27 @@
 	private readonly _wire: LineWire;
 	private readonly _splitter: LineSplitter;
 	private readonly _onClose = new Emitter<void>();
-	private _draft: Draft = emptyDraft();
+	private _partialAnswer: PartialAnswer = emptyPartialAnswer();
 	private _exchange: Exchange | undefined;
 	private _closeDetail = 'closed by the endpoint';
 	private _isClosed = false;
 
 	private readonly _lineHandlers: HandlersOf<AnswerLine, void, [string]> = {
 		row: ({text}, raw) => {
-			this._draft.text += raw + lineEnd;
-			this._draft.rows.push(text);
+			this._partialAnswer.text += raw + lineEnd;
+			this._partialAnswer.rows.push(text);
 		},
 		complete: (line, raw) => {
-			this._draft.text += raw + lineEnd;
+			this._partialAnswer.text += raw + lineEnd;
 		},
 		error: ({error, text}, raw) => {
-			this._draft.text += raw + lineEnd;
-			this._draft.error = {kind: error, text};
+			this._partialAnswer.text += raw + lineEnd;
+			this._partialAnswer.error = {kind: error, text};
 		},
 		ready: ({status, position}) => {
-			const {text, rows, error} = this._draft;
-			this._draft = emptyDraft();
-			this._take({
+			const {text, rows, error} = this._partialAnswer;
+			this._partialAnswer = emptyPartialAnswer();
+			this._addAnswer({
 				text, rows, error, status, position,
 			});
 		},
@@ -115,7 +115,7 @@
 		dispatch(this._lineHandlers, this._wire.decodeAnswer(raw), raw);
 	}
 
-	private _take(answer: EndpointAnswer): void {
+	private _addAnswer(answer: EndpointAnswer): void {
 		const exchange = this._exchange;
 		if (!exchange) {
 			this._closeDetail = 'the endpoint answered what nobody had asked';
@@ -139,13 +139,13 @@
 		const exchange = this._exchange;
 		this._exchange = undefined;
 		// An error line may stand alone before the end: the endpoint's reason to close.
-		const {error} = this._draft;
+		const {error} = this._partialAnswer;
 		exchange?.settle(Left({kind: 'closed', detail: error ? `${error.kind}: ${error.text}` : this._closeDetail}));
 		this._onClose.fire();
 		this._onClose.dispose();
 	}
 }
 
-function emptyDraft(): Draft {
+function emptyPartialAnswer(): PartialAnswer {
 	return {text: '', rows: [], error: undefined};
 }
--- a/src/node/line/tcp-line-connector.ts
+++ b/src/node/line/tcp-line-connector.ts
@@ -50,7 +50,7 @@
 	}
 
 	private async _start(socket: Socket, endpoint: RegisteredEndpoint, user: string): Promise<Either<ConnectionFault, LineConnection>> {
-		const fault = await connected(socket);
+		const fault = await waitForConnect(socket);
 		if (fault) {
 			return Left(fault);
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-async function connected(socket: Socket): Promise<ConnectionFault | undefined> {
+async function waitForConnect(socket: Socket): Promise<ConnectionFault | undefined> {
 	return new Promise(resolve => {
 		const onError = (error: NodeJS.ErrnoException): void => {
 			resolve({kind: error.code === 'ECONNREFUSED' ? 'refused' : 'closed', detail: error.message});
--- a/src/node/observability/rate-limited-log.ts
+++ b/src/node/observability/rate-limited-log.ts
@@ -39,7 +39,7 @@
 export class RateLimitedLog implements Log, Disposable {
 	private readonly _log: LeveledLog;
 	private readonly _clock: Clock;
-	private readonly _linesPerSpan: number;
+	private readonly _linesPerInterval: number;
 	private readonly _dropped = new Map<LogEventName, number>();
 	private _lines = 0;
 	private _timer: Disposable | undefined;
@@ -47,7 +47,7 @@
 	constructor(log: LeveledLog, clock: Clock, linesPerSpan: number) {
 		this._log = log;
 		this._clock = clock;
-		this._linesPerSpan = linesPerSpan;
+		this._linesPerInterval = linesPerSpan;
 	}
 
 	event(name: LogEventName, fields?: Readonly<Record<string, unknown>>): void {
@@ -57,7 +57,7 @@
 		}
 
 		this._timer ??= this._clock.setTimer(spanMs, () => {
-			this._endSpan();
+			this._endInterval();
 		});
 		if (unbounded.has(name)) {
 			this._log.event(name, fields);
@@ -65,7 +65,7 @@
 		}
 
 		this._lines += 1;
-		if (this._lines <= this._linesPerSpan) {
+		if (this._lines <= this._linesPerInterval) {
 			this._log.event(name, fields);
 		} else {
 			this._dropped.set(name, (this._dropped.get(name) ?? 0) + 1);
@@ -76,7 +76,7 @@
 		this._timer?.dispose();
 	}
 
-	private _endSpan(): void {
+	private _endInterval(): void {
 		this._timer = undefined;
 		this._lines = 0;
 		if (this._dropped.size > 0) {
--- a/src/node/platform/platform-calls.ts
+++ b/src/node/platform/platform-calls.ts
@@ -30,7 +30,7 @@
 		const result = await this._runWithinTime(call);
 		this._metrics.observe('platformRequestDurationMs', this._clock.nowMs() - startedAtMs, {service: this._service});
 		this._metrics.count('platformRequestsTotal', {service: this._service, operation, outcome: faultIn(result)?.kind ?? 'done'});
-		this._note(result);
+		this._updateAvailability(result);
 		return result;
 	}
 
@@ -42,7 +42,7 @@
 				resolve(Left({kind: 'unavailable', detail: `no answer in ${this._timeoutMs} ms`}));
 			});
 			const finish = async (): Promise<void> => {
-				resolve(await settle(call, controller.signal));
+				resolve(await callWithoutThrowing(call, controller.signal));
 				timer.dispose();
 			};
 
@@ -51,7 +51,7 @@
 	}
 
 	/** Logs when the service stops answering and when it answers again, not every failure. */
-	private _note(result: Either<PlatformFault, unknown>): void {
+	private _updateAvailability(result: Either<PlatformFault, unknown>): void {
 		const fault = faultIn(result);
 		const isAvailable = fault?.kind !== 'unavailable';
 		if (isAvailable === this._isAvailable) {
@@ -68,7 +68,7 @@
 	return result.isLeft() ? result.extract() : undefined;
 }
 
-async function settle<T>(call: (signal: AbortSignal) => Promise<Either<PlatformFault, T>>, signal: AbortSignal): Promise<Either<PlatformFault, T>> {
+async function callWithoutThrowing<T>(call: (signal: AbortSignal) => Promise<Either<PlatformFault, T>>, signal: AbortSignal): Promise<Either<PlatformFault, T>> {
 	try {
 		return await call(signal);
 	} catch (error) {
--- a/src/node/platform/table-host-list.ts
+++ b/src/node/platform/table-host-list.ts
@@ -55,7 +55,7 @@
 			}
 
 			const items: readonly TableItem[] = page.orDefault([]);
-			hosts.push(...items.filter(item => this._isInForce(item)).flatMap(item => decodeHost(item)));
+			hosts.push(...items.filter(item => this._isUnexpired(item)).flatMap(item => decodeHost(item)));
 			afterSort = items.length < hostsPageItems ? undefined : items.at(-1)!.sort;
 		}
 
@@ -91,7 +91,7 @@
 		}
 
 		const current = found.orDefault(undefined);
-		const holder = current && this._isInForce(current) ? decodeHost(current).at(0) : undefined;
+		const holder = current && this._isUnexpired(current) ? decodeHost(current).at(0) : undefined;
 		if (this._revision !== undefined && holder && holder.incarnation !== host.incarnation) {
 			return Left({kind: 'conditionFailed', detail: `the name is registered by incarnation ${holder.incarnation}`});
 		}
@@ -120,7 +120,7 @@
 		return written.map(() => undefined);
 	}
 
-	private _isInForce(item: TableItem): boolean {
+	private _isUnexpired(item: TableItem): boolean {
 		const nowMs = this._time.platformNowMs();
 		return item.expiresAtMs === undefined || nowMs === undefined || item.expiresAtMs > nowMs;
 	}
--- a/src/node/wiring.ts
+++ b/src/node/wiring.ts
@@ -59,23 +59,23 @@
 };
 
 /** Least time that links to peers get to end after the work on them has. */
-const linkDrainMs = 1000;
+const minimumLinkDrainMs = 1000;
 
 /** Longest wait, at the end, for answers to operators and for the audit trail. */
-const lastWordsMs = 2000;
+const finalFlushTimeoutMs = 2000;
 
 /** Starts a node; rejects when an address cannot be listened on. */
 export async function startNode(settings: Settings): Promise<RunningNode> {
 	const owned = new DisposableStore();
 	try {
-		return await startIn(owned, settings);
+		return await startOwnedBy(owned, settings);
 	} catch (error) {
 		owned.dispose();
 		throw error;
 	}
 }
 
-async function startIn(owned: DisposableStore, settings: Settings): Promise<RunningNode> {
+async function startOwnedBy(owned: DisposableStore, settings: Settings): Promise<RunningNode> {
 	const incarnation = newIncarnation();
 	const services = registerServices(settings, incarnation, owned);
 	const {clock, log} = services;
@@ -95,8 +95,8 @@
 	const callerPort = await callers.listen(settings.callers.host, settings.callers.port);
 	const ports: NodePorts = {callers: callerPort, peers: peerPort, operators: self.operatorPort};
 	log.event('processStarted', {...ports, availabilityZone: self.availabilityZone});
-	const greeting = owned.register(new InitialDiscovery({...services, membership: core.membership, peers: core.peers}));
-	const ready = core.start(async () => greeting.run()).then(() => {
+	const discovery = owned.register(new InitialDiscovery({...services, membership: core.membership, peers: core.peers}));
+	const ready = core.start(async () => discovery.run()).then(() => {
 		log.event('processReady', {version: core.configuration.version});
 	});
 
@@ -110,8 +110,8 @@
 			await new WakeableSleep(clock).wait(drainNoticeMs);
 			const endMs = clock.nowMs() + drainMs;
 			await Promise.all([callers.drain(drainMs), core.drain(drainMs)]);
-			await peerServer.drain(Math.max(linkDrainMs, endMs - clock.nowMs()));
-			await Promise.all([withTimeout(clock, operators.close(), lastWordsMs), services.audit.flush(lastWordsMs)]);
+			await peerServer.drain(Math.max(minimumLinkDrainMs, endMs - clock.nowMs()));
+			await Promise.all([withTimeout(clock, operators.close(), finalFlushTimeoutMs), services.audit.flush(finalFlushTimeoutMs)]);
 			owned.dispose();
 			log.event('processStopped');
 		},
