--- a/src/node/platform/client-options.ts
+++ b/src/node/platform/client-options.ts
@@ -1,11 +1,11 @@
 /**
- * What the clients of both services have in common.
+ * Options that the clients of the table service and of the object store share.
  */
 import {NodeHttpHandler} from '@smithy/node-http-handler';
 import {maximumSockets} from './constants.js';
 import type {PlatformSettings} from './settings.js';
 
-/** Options of a client: our own timeouts, and no retries that its caller doesn't see. */
+/** Options of a client: the timeouts of the settings, and no retries of its own, which its caller could not observe. */
 export function clientOptions(settings: PlatformSettings, endpoint: string | undefined) {
 	return {
 		region: settings.region,
@@ -18,7 +18,7 @@
 			throwOnRequestTimeout: true,
 			httpAgent: {keepAlive: true, maxSockets: maximumSockets},
 			httpsAgent: {keepAlive: true, maxSockets: maximumSockets},
-			// Waiting for a connection is bounded by the timeout of the operation; no warnings.
+			// The operation's timeout bounds the wait for a socket; a longer threshold keeps the client from warning about it.
 			socketAcquisitionWarningTimeout: 2 * settings.requestTimeoutMs,
 		}),
 	};
--- a/src/node/platform/constants.ts
+++ b/src/node/platform/constants.ts
@@ -1,21 +1,21 @@
 /**
- * Numbers of the platform adapters; what they cost is in docs/PLATFORM.md.
+ * Limits and names of the platform adapters; docs/PLATFORM.md describes what they cost.
  */
 
-/** Connections to each service; more operations than these wait within their timeout. */
+/** Maximum number of connections to each service; further operations wait for one within their timeout. */
 export const maximumSockets = 16;
 
-/** Most items that one page of a query asks for. */
+/** Maximum number of items that one page of a query requests. */
 export const maximumPageItems = 1000;
 
 /** Partition of the host registrations. */
 export const hostsPartition = 'hosts';
 
-/** Partitions that are read at half price from any copy, because their reader bears lag. */
+/** Partitions with eventually consistent reads, at half the price of consistent ones, since their readers tolerate lag. */
 export const eventuallyConsistentPartitions: ReadonlySet<string> = new Set([hostsPartition]);
 
-/** A registration lasts this many renewal intervals: two renewals may fail before it lapses. */
+/** A registration expires after this many renewal intervals, so that two renewals may fail before it does. */
 export const intervalsUntilExpiry = 4;
 
-/** Hosts that one query of the list asks for; about 300 bytes each, so a page stays below 1 MiB. */
+/** Number of hosts that one query of the host list requests; at about 300 bytes each, a page stays below 1 MiB. */
 export const hostsPageItems = 1000;
--- a/src/node/platform/date-header-clock.ts
+++ b/src/node/platform/date-header-clock.ts
@@ -1,15 +1,15 @@
 /**
- * The platform's clock, learned from the Date header of its answers.
+ * The platform's clock, derived from the Date header of its responses.
  *
- * Its resolution is one second; it serves expiry times of many seconds, which must not rest
- * on the clocks of hosts agreeing with each other.
+ * Its resolution is one second. It is used for expiry times of many seconds, which must not
+ * depend on the clocks of hosts being synchronised.
  */
 import {z} from 'zod';
 import type {Clock} from '../../common/services/services.js';
 
 const datedResponse = z.object({headers: z.object({date: z.string()})});
 
-/** Follows the platform's clock between its answers by the host's monotonic one. */
+/** Tracks the platform's clock, and extrapolates it between responses with the host's monotonic clock. */
 export class DateHeaderClock {
 	private readonly _clock: Clock;
 	private _offsetMs: number | undefined;
@@ -18,12 +18,12 @@
 		this._clock = clock;
 	}
 
-	/** Milliseconds since 1970; undefined before the first answer. */
+	/** Milliseconds since 1970; undefined before the first response. */
 	nowMs(): number | undefined {
 		return this._offsetMs === undefined ? undefined : this._offsetMs + this._clock.nowMs();
 	}
 
-	/** Takes in the response to a request. */
+	/** Sets the clock by the Date header of a response; ignores a response without one. */
 	note(response: unknown): void {
 		const dated = datedResponse.safeParse(response);
 		const dateMs = dated.success ? Date.parse(dated.data.headers.date) : Number.NaN;
--- a/src/node/platform/dynamo-table.test.ts
+++ b/src/node/platform/dynamo-table.test.ts
@@ -20,7 +20,7 @@
 	};
 }
 
-/** Kind of result of each operation, all at one time. */
+/** Result kinds of all operations, run concurrently. */
 async function kindsOfAll(): Promise<string[]> {
 	return Promise.all([
 		kindOf(table.get('test', 'a')),
@@ -46,7 +46,7 @@
 });
 
 describe('DynamoTable', () => {
-	it('writes on the expected revision only, and reads what it wrote', async () => {
+	it('writes only on the expected revision, and reads what it wrote', async () => {
 		const first = await table.put({...item('a', '"é"'), expiresAtMs: 9_999_999_999_000}, 0);
 		expect(first.unsafeCoerce().revision).toEqual(1);
 		expect(await kindOf(table.put(item('b'), 0))).toEqual('conditionFailed');
@@ -57,7 +57,7 @@
 		expect(await valueOf(table.get('test', 'absent'))).toEqual(undefined);
 	});
 
-	it('finds the outcome of a lost answer, whatever revision the retry expects', async () => {
+	it('recovers the outcome of a write whose answer was lost, whatever revision the retry expects', async () => {
 		platform.server.faults.lostAnswers = 1;
 		expect(await kindOf(table.put(item('a'), 0))).toEqual('unavailable');
 		const retried = await valueOf(table.put(item('a'), 0));
@@ -65,7 +65,7 @@
 		expect([retried.revision, retriedAgain.revision]).toEqual([1, 1]);
 	});
 
-	it('writes several items all or none, and finds a lost answer of them', async () => {
+	it('writes several items atomically, and recovers the outcome if the answer was lost', async () => {
 		const writes = (changeId: string, expectedRevision: number) => ['x', 'y'].map(part =>
 			({item: item(changeId, '{}', `${part}${nextKey}`), expectedRevision}));
 		platform.server.faults.lostAnswers = 1;
@@ -108,20 +108,20 @@
 		});
 	}
 
-	it('answers when nothing listens, and logs the change of state once', async () => {
+	it('reports a refused connection as unavailable, and logs the change of state once', async () => {
 		const gone = new LoopbackPlatform();
 		const settings = await gone.start({requestTimeoutMs: 300});
-		const lonely = new DynamoTable(settings, new SystemClock(), log, silentMetrics);
-		await lonely.get('test', 'a');
+		const unreachable = new DynamoTable(settings, new SystemClock(), log, silentMetrics);
+		await unreachable.get('test', 'a');
 		gone.dispose();
 		log.names.length = 0;
-		expect(await kindOf(lonely.get('test', 'a'))).toEqual('unavailable');
-		expect(await kindOf(lonely.put(item('a'), 0))).toEqual('unavailable');
+		expect(await kindOf(unreachable.get('test', 'a'))).toEqual('unavailable');
+		expect(await kindOf(unreachable.put(item('a'), 0))).toEqual('unavailable');
 		expect(log.names).toEqual(['platformUnavailable']);
-		lonely.dispose();
+		unreachable.dispose();
 	});
 
-	it('knows the platform\'s time after one answer', async () => {
+	it('knows the platform\'s time after one response', async () => {
 		await table.get('test', 'a');
 		expect(Math.abs(table.platformNowMs()! - Date.now()) < 5000).toEqual(true);
 	});
--- a/src/node/platform/dynamo-table.ts
+++ b/src/node/platform/dynamo-table.ts
@@ -1,12 +1,13 @@
 /**
  * The platform's table service over DynamoDB's API.
  *
- * An item holds the attributes partition, sort, revision, changeId, body and sometimes
- * expiresAt. Names stand in expressions as placeholders, because some are reserved words. Every write is conditional on the revision and on the change not having been
- * made yet. A refused write comes back with the item that refused it: when that item was
- * written by the same change, an earlier answer was lost and the write counts as done.
- * When another change has replaced the item since, that can no longer be seen; whoever
- * writes items that others replace tells by their content.
+ * An item holds the attributes partition, sort, revision, changeId, body and optionally
+ * expiresAt. Expressions use placeholders for these names, because some are reserved words.
+ * Every write is conditional on the expected revision and on the change not having been made
+ * yet. A refused write returns the item that caused the refusal: if the same change wrote that
+ * item, the answer to an earlier attempt was lost and the write counts as done. If another
+ * change has replaced the item since, this can no longer be detected; a caller that writes
+ * items which others replace has to detect it from their content.
  */
 import {
 	DynamoDBClient, GetItemCommand, PutItemCommand, QueryCommand, TransactWriteItemsCommand,
@@ -31,10 +32,10 @@
 
 type Write = {readonly item: Omit<TableItem, 'revision'>; readonly expectedRevision: number};
 
-/** Page of a query. */
+/** One page of a query's result. */
 type Page = {readonly items: readonly TableItem[]; readonly next: Attributes | undefined};
 
-/** The table of the settings. */
+/** Client of the table that the settings name. */
 export class DynamoTable implements Table, PlatformTime, Disposable {
 	private readonly _client: DynamoDBClient;
 	private readonly _tableName: string;
@@ -154,7 +155,7 @@
 	}
 }
 
-/** Success when the item that refused the write is the one that it wrote before. */
+/** Resolves a failed put as success if the item that caused the refusal was written by the same change. */
 function resolvePut(error: unknown, changeId: string): Either<PlatformFault, TableItem> {
 	const current = error instanceof ConditionalCheckFailedException ? error.Item : undefined;
 	return current?.changeId?.S === changeId ? Right(decodeItem(current)) : Left(faultOf(error));
@@ -166,7 +167,7 @@
 	}
 
 	const reasons = error.CancellationReasons ?? [];
-	// All or none: one item of the change in the table proves that all of it took effect.
+	// A transaction is atomic: one item of the change in the table proves that all of it took effect.
 	const isDone = writes.some(({item}, index) => isWrittenBy(reasons[index], item.changeId));
 	return isDone ? Right(undefined) : Left(faultOfCancellation(reasons.map(reason => reason.Code ?? 'None')));
 }
--- a/src/node/platform/item-attributes.ts
+++ b/src/node/platform/item-attributes.ts
@@ -1,5 +1,5 @@
 /**
- * Items of the table as the attributes of DynamoDB's items.
+ * Conversion between items of the table and DynamoDB attributes.
  */
 import type {AttributeValue} from '@aws-sdk/client-dynamodb';
 import type {TableItem} from '../../common/services/services.js';
@@ -12,7 +12,7 @@
 	return {partition: {S: partition}, sort: {S: sort}}; // eslint-disable-line @typescript-eslint/naming-convention
 }
 
-/** Writes an item as attributes. The service expects its expiry in whole seconds. */
+/** Encodes an item as attributes; the service expects the expiry in whole seconds. */
 export function encodeItem(item: TableItem): Attributes {
 	/* eslint-disable @typescript-eslint/naming-convention -- the service's names of types. */
 	return {
@@ -25,7 +25,7 @@
 	/* eslint-enable @typescript-eslint/naming-convention */
 }
 
-/** Reads an item; throws when something else wrote the table. */
+/** Decodes an item; throws a TypeError if an attribute is missing, as after a write by another program. */
 export function decodeItem(attributes: Attributes): TableItem {
 	const expiresAtSeconds = attributes.expiresAt?.N;
 	return {
--- a/src/node/platform/platform-calls.ts
+++ b/src/node/platform/platform-calls.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the operations of one service within a time limit, and tells of its state.
+ * Runs the operations of one platform service within a time limit, and reports its availability.
  */
 import {Left, type Either} from 'purify-ts';
 import type {
@@ -50,7 +50,7 @@
 		});
 	}
 
-	/** Logs when the service stops answering and when it answers again, not every failure. */
+	/** Logs when the service becomes unavailable and when it is available again, not every failure. */
 	private _updateAvailability(result: Either<PlatformFault, unknown>): void {
 		const fault = faultIn(result);
 		const isAvailable = fault?.kind !== 'unavailable';
--- a/src/node/platform/platform-faults.ts
+++ b/src/node/platform/platform-faults.ts
@@ -16,13 +16,13 @@
 	SlowDown: 'throttled',
 	// The first attempt may still take effect.
 	TransactionInProgressException: 'unavailable',
-	// The clock or the credentials of the process may be mended while it runs.
+	// The clock or the credentials of the process may be corrected while it runs.
 	ExpiredTokenException: 'unavailable',
 	RequestTimeTooSkewed: 'unavailable',
 	/* eslint-enable @typescript-eslint/naming-convention */
 };
 
-/** Reasons of a cancelled transaction, strongest first. */
+/** Cancellation reasons of a transaction, in order of precedence. */
 const kindsByCancellation: ReadonlyArray<readonly [string, FaultKind]> = [
 	['ValidationError', 'invalid'],
 	['ItemCollectionSizeLimitExceeded', 'invalid'],
@@ -39,7 +39,7 @@
 	readonly $metadata?: {readonly httpStatusCode?: number};
 };
 
-/** The fault that an error of a client means. What is not known to be refused may have taken effect. */
+/** Translates a client's error into a fault; an operation that is not known to be refused may have taken effect. */
 export function faultOf(error: unknown): PlatformFault {
 	const {name = '', message = '', code = '', $metadata: metadata}: ClientError = error instanceof Error ? error : {};
 	const statusCode = metadata?.httpStatusCode ?? 0;
@@ -48,7 +48,7 @@
 	return {kind, detail: [name, code, message].filter(Boolean).join(': ')};
 }
 
-/** The fault of a transaction that was cancelled for these reasons. */
+/** Returns the fault of a transaction that was cancelled for these reasons. */
 export function faultOfCancellation(codes: readonly string[]): PlatformFault {
 	const kind = kindsByCancellation.find(([code]) => codes.includes(code))?.[1] ?? 'unavailable';
 	return {kind, detail: `transaction cancelled: ${codes.join(', ')}`};
--- a/src/node/platform/s3-objects.test.ts
+++ b/src/node/platform/s3-objects.test.ts
@@ -13,7 +13,7 @@
 const log = new RecordingLog();
 let objects: S3Objects;
 
-/** Kind of result of each operation, all at one time. */
+/** Result kinds of all operations, run concurrently. */
 async function kindsOfAll(): Promise<string[]> {
 	return Promise.all([
 		kindOf(objects.get('a')),
@@ -35,7 +35,7 @@
 });
 
 describe('S3Objects', () => {
-	it('reads what it wrote, by its ETag, and nothing where nothing is', async () => {
+	it('reads what it wrote, with its ETag, and undefined for an absent key', async () => {
 		const {etag} = await valueOf(objects.put('snapshots/a b', '{"é":1}'));
 		expect(await valueOf(objects.get('snapshots/a b'))).toEqual({body: '{"é":1}', etag});
 		expect(await valueOf(objects.get('snapshots/absent'))).toEqual(undefined);
--- a/src/node/platform/s3-objects.ts
+++ b/src/node/platform/s3-objects.ts
@@ -15,7 +15,7 @@
 
 type StoredObject = {readonly body: string; readonly etag: string};
 
-/** The bucket of the settings. */
+/** Client of the bucket that the settings name. */
 export class S3Objects implements Objects, Disposable {
 	private readonly _client: S3Client;
 	private readonly _bucket: string;
--- a/src/node/platform/table-host-list.ts
+++ b/src/node/platform/table-host-list.ts
@@ -1,13 +1,13 @@
 /**
- * The platform's host list, kept in its table: one item a host, in the partition `hosts`.
+ * The platform's host list, kept in its table: one item per host, in the partition `hosts`.
  *
- * Renewing the item is the heartbeat. Each item carries the time at which it expires, by
- * the platform's clock, which writer and readers know from the platform's answers; the
- * clocks of hosts need not agree. The service deletes expired items when it comes to it;
- * until then readers leave them out.
+ * Renewing the item is the heartbeat. Each item carries its expiry time by the platform's
+ * clock, which writers and readers know from the platform's responses, so the clocks of hosts
+ * need not agree. The service deletes expired items with a delay; until then readers ignore
+ * them.
  *
- * A name belongs to the process that registered it last: that process takes it over with
- * its first registration; an older one that still renews is refused `conditionFailed`.
+ * A name belongs to the process that registered it last: that process takes the name over with
+ * its first registration, and renewals of an older process fail with `conditionFailed`.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {z} from 'zod';
@@ -63,7 +63,7 @@
 		return Right(hosts);
 	}
 
-	/** Registrations of one process follow each other, so that an older state never overwrites a newer one. */
+	/** Registers or renews this host; the registrations of one process run in sequence, so that an older state never overwrites a newer one. */
 	async register(host: Host): Promise<Either<PlatformFault, void>> {
 		const registered = this._registerAfter(this._previous, host);
 		this._previous = registered;
@@ -77,13 +77,13 @@
 		return isConflict ? this._resolveConflict(host) : written;
 	}
 
-	/** First registration: whoever held the name before is replaced. */
+	/** Makes the first registration, which replaces any process that held the name before. */
 	private async _takeOver(host: Host): Promise<Either<PlatformFault, void>> {
 		const found = await this._table.get(hostsPartition, host.name);
 		return found.isLeft() ? found : this._write(host, found.orDefault(undefined)?.revision ?? 0);
 	}
 
-	/** The item is not the one written last: expired, or written by a lost answer or by another process. */
+	/** Handles an item that is not the one written last: it expired, or it was changed by a write whose answer was lost or by another process. */
 	private async _resolveConflict(host: Host): Promise<Either<PlatformFault, void>> {
 		const found = await this._table.get(hostsPartition, host.name);
 		if (found.isLeft()) {
@@ -126,13 +126,13 @@
 	}
 }
 
-/** How long a registration lasts, by the interval at which so many hosts renew theirs. */
+/** Returns the lifetime of a registration in ms, which follows from the interval at which this number of hosts renew theirs. */
 export function registrationExpiryMs(hostCount: number): number {
 	const {readIntervalMs, readIntervalPerHostMs, readsPerRegistration} = membershipDefaults;
 	return intervalsUntilExpiry * readsPerRegistration * Math.max(readIntervalMs, readIntervalPerHostMs * hostCount);
 }
 
-/** The host of an item; none when something else wrote it. */
+/** Decodes the host of an item; an empty list if the body is not that of a host. */
 function decodeHost(item: TableItem): Host[] {
 	return parseJsonWith(hostSchema, item.body).map((host): Host[] => [host]).orDefault([]);
 }
--- a/src/node/platform/table-properties.test.ts
+++ b/src/node/platform/table-properties.test.ts
@@ -1,6 +1,6 @@
 /**
- * What every form of the table must keep, whatever is lost, late or refused: revisions go
- * up one at a time, no update is lost, and each change takes effect once.
+ * Invariants of every implementation of the table, whatever is lost, late or refused: revisions
+ * increase by one at a time, no update is lost, and each change takes effect once.
  */
 import {
 	after, before, describe, it,
@@ -37,7 +37,7 @@
 	});
 }
 
-/** Appends to a log at the first free number; a number that another change holds is passed over. */
+/** Appends to a log at the first free number; skips numbers that other changes hold. */
 async function appendToLog(table: Table, clock: Clock, changeId: string): Promise<void> {
 	let number = 1;
 	for (;;) {
@@ -56,7 +56,7 @@
 	}
 }
 
-/** Adds itself to a list that all writers replace; its content tells whether it is in already. */
+/** Adds a change to a list that all writers replace; the list's content shows whether the change is already in it. */
 async function addToList(table: Table, clock: Clock, changeId: string): Promise<void> {
 	for (;;) {
 		const read = await table.get('list', 'shared');
@@ -77,7 +77,7 @@
 	}
 }
 
-/** Two items that are only ever written together. */
+/** Writes two items that are only ever written together. */
 async function writePair(table: Table, clock: Clock, changeId: string): Promise<void> {
 	for (;;) {
 		const writes = ['a', 'b'].map(sort => ({
@@ -131,7 +131,7 @@
 			const tables = Array.from({length: writerCount}, () => platform.connect().table);
 			const done = Promise.all(tables.map(async (table, writer) => runWriter(table, clock, writer)));
 			await clock.advanceUntil(done, 3_600_000);
-			// What was late when its writer gave up takes effect now, or never.
+			// Writes that were still delayed when their writers timed out take effect in this time, or never.
 			await clock.advance(10_000);
 			Object.assign(platform.faults, makeInjectedFaults());
 			await checkTable(tables[0]);
