--- a/src/node/line/constants.ts
+++ b/src/node/line/constants.ts
@@ -2,21 +2,21 @@
  * Options of the text protocol's sockets, in one table. Times are in milliseconds.
  */
 
-/** Options of connections of callers and to endpoints. */
+/** Default options of the connections from callers and to endpoints. */
 export const lineDefaults = {
-	/** Longest wait for a connection to an endpoint; its start-up takes about 12 ms and waits for a slot. */
+	/** Timeout for opening a connection to an endpoint; its start-up takes about 12 ms, plus the wait for a slot. */
 	connectTimeoutMs: 700,
-	/** Quiet time after which the kernel asks whether the other side is there. */
+	/** Idle time after which the kernel sends TCP keep-alive probes. */
 	keepAliveMs: 5000,
-	/** Time that a caller has to say which database it wants. */
+	/** Time within which a caller must send its start-up message. */
 	startUpTimeoutMs: 5000,
-	/** Connections of callers; beyond them new ones are closed at once. */
+	/** Maximum number of caller connections; further ones are closed at once. */
 	maximumCallers: 3900,
-	/** Bytes that a caller may send ahead while a statement of its runs. */
+	/** Number of bytes that may be read ahead from a caller while its statement runs; beyond it, reading is paused. */
 	maximumAheadBytes: 1_100_000,
-	/** Connections that wait to be accepted. */
+	/** Maximum number of connections that wait to be accepted. */
 	backlog: 1024,
 } as const;
 
-/** Options of the sockets, as they may be set. */
+/** The options as the settings may override them. */
 export type LineOptions = {readonly [Name in keyof typeof lineDefaults]: number};
--- a/src/node/line/line-caller-connection.ts
+++ b/src/node/line/line-caller-connection.ts
@@ -1,5 +1,5 @@
 /**
- * One caller's connection: one task that reads messages and writes answers, in order.
+ * One caller's connection: a single task reads the messages and writes the answers, in order.
  */
 import type {Socket} from 'node:net';
 import type {HandlersOf} from '../../common/dispatch.js';
@@ -58,7 +58,7 @@
 		});
 	}
 
-	/** The session, once the caller said which database it wants. */
+	/** The caller's session; undefined before its start-up message. */
 	get session(): LineSession | undefined {
 		return this._session;
 	}
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	 * Ends the session of a caller whose key was revoked: at once where nothing is in progress, else
+	 * Ends the session of a caller whose key was revoked: at once if nothing is in progress, otherwise
 	 * with its next statement.
 	 */
 	closeIfKeyRevoked(): void {
@@ -92,7 +92,7 @@
 		}
 	}
 
-	/** Closes the connection if nothing is in progress on it; resolves to whether it did. */
+	/** Closes the connection if nothing is in progress on it; returns whether it did. */
 	closeIfIdle(): boolean {
 		const isIdle = !this._isClosed && this._session !== undefined && this._session.isIdle && !this._isBusy
 			&& this._unread.length === 0 && this._splitter.bufferedBytes === 0;
@@ -161,7 +161,7 @@
 		return this._isClosed || this._session.mustCloseConnection ? 'ends' : 'goesOn';
 	}
 
-	/** What cannot be read is answered once; the connection ends, since what follows can't be trusted. */
+	/** Refuses a malformed message and ends the connection, since the bytes that follow can't be interpreted reliably. */
 	private async _malformed(reason: string): Promise<Continuation> {
 		const {wire, log} = this._services;
 		log.event('callerRefused', {reason});
@@ -208,7 +208,7 @@
 		this._wakeReader();
 	}
 
-	/** Ends the connection after what was written; the task sees the end with its next read. */
+	/** Closes the socket after pending writes, or at once after a socket error; the task notices this with its next read. */
 	private _close(): void {
 		if (this._isClosed) {
 			return;
--- a/src/node/line/line-server.ts
+++ b/src/node/line/line-server.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts callers of the text protocol and keeps their connections within bounds.
+ * Accepts callers of the text protocol, limits the number of their connections and closes them on a drain.
  */
 import {createServer, type Server, type Socket} from 'node:net';
 import {StatementRunner} from '../../common/line-sessions/statement-runner.js';
@@ -11,7 +11,7 @@
 import {LineCallerConnection} from './line-caller-connection.js';
 import type {LineOptions} from './constants.js';
 
-/** Time between two looks for sessions that may be closed. */
+/** Interval between two checks for sessions that can be closed. */
 const closeCheckIntervalMs = 50;
 
 /** Serves callers on one port. */
@@ -31,27 +31,27 @@
 		});
 	}
 
-	/** Connections that callers have at the moment. */
+	/** Number of open caller connections. */
 	get connections(): number {
 		return this._connections.size;
 	}
 
-	/** Listens; port 0 takes a free one. Resolves with the port. */
+	/** Listens on a port, or on any free one for port 0; resolves with the port. */
 	async listen(host: string, port: number): Promise<number> {
 		const listenedPort = await listenOn(this._server, {host, port, backlog: this._options.backlog});
 		this._services.log.event('callersListening', {host, port: listenedPort});
 		return listenedPort;
 	}
 
-	/** Closes sessions in which nothing is in progress, a few at a time, so that they return to other nodes. */
+	/** Closes idle sessions a few at a time over a period in ms, so that their callers reconnect to other nodes gradually. */
 	async closeIdleGradually(overMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + overMs;
 		while (this._connections.size > 0 && clock.nowMs() < endMs) {
 			const stepsLeft = Math.max(1, (endMs - clock.nowMs()) / closeCheckIntervalMs);
 			let toClose = Math.ceil(this._connections.size / stepsLeft);
-			for (const link of this._connections) {
-				if (toClose > 0 && link.closeIfIdle()) {
+			for (const connection of this._connections) {
+				if (toClose > 0 && connection.closeIfIdle()) {
 					toClose -= 1;
 				}
 			}
@@ -60,39 +60,39 @@
 		}
 	}
 
-	/** Closes every session in which nothing is in progress at this moment. */
+	/** Closes every session that is idle at this moment. */
 	closeIdleNow(): void {
-		for (const link of this._connections) {
-			link.closeIfIdle();
+		for (const connection of this._connections) {
+			connection.closeIfIdle();
 		}
 	}
 
 	/** Ends the sessions of callers whose keys were revoked. */
 	closeRevokedSessions(): void {
-		for (const link of this._connections) {
-			link.closeIfKeyRevoked();
+		for (const connection of this._connections) {
+			connection.closeIfKeyRevoked();
 		}
 	}
 
-	/** Takes no new connections, and closes each as soon as nothing is in progress on it. */
+	/** Stops accepting new connections; open ones are kept. */
 	stopAccepting(): void {
 		this._server.close();
 	}
 
-	/** Rolls back transactions that are still open; their sessions learn why. */
+	/** Rolls back transactions that are still open, with the refusal `shuttingDown` as the reason. */
 	abortTransactions(): void {
-		for (const link of this._connections) {
-			link.session?.abortTransaction(new Refusal('shuttingDown'));
+		for (const connection of this._connections) {
+			connection.session?.abortTransaction(new Refusal('shuttingDown'));
 		}
 	}
 
-	/** Closes every session as soon as nothing is in progress on it; resolves when none is left or the time is over. */
+	/** Closes each session as soon as it is idle; resolves when none is left or after `boundMs`. */
 	async closeAllWhenIdle(boundMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + boundMs;
 		while (this._connections.size > 0 && clock.nowMs() < endMs) {
-			for (const link of this._connections) {
-				link.closeIfIdle();
+			for (const connection of this._connections) {
+				connection.closeIfIdle();
 			}
 
 			await pauseFor(clock, closeCheckIntervalMs / 5);
@@ -101,8 +101,8 @@
 
 	dispose(): void {
 		this._server.close();
-		for (const link of this._connections) {
-			link.dispose();
+		for (const connection of this._connections) {
+			connection.dispose();
 		}
 	}
 
@@ -113,11 +113,11 @@
 			return;
 		}
 
-		const link = new LineCallerConnection(socket, this._services, this._runner, this._options);
-		this._connections.add(link);
+		const connection = new LineCallerConnection(socket, this._services, this._runner, this._options);
+		this._connections.add(connection);
 		this._countConnections();
-		void link.run().finally(() => {
-			this._connections.delete(link);
+		void connection.run().finally(() => {
+			this._connections.delete(connection);
 			this._countConnections();
 		});
 	}
--- a/src/node/line/line-splitter.test.ts
+++ b/src/node/line/line-splitter.test.ts
@@ -4,7 +4,7 @@
 import {LineSplitter, LineTooLongError} from './line-splitter.js';
 
 describe('LineSplitter', () => {
-	it('joins what arrives in pieces, also within a line\'s end', () => {
+	it('joins lines that arrive in several chunks, even if one is split within the line end', () => {
 		const splitter = new LineSplitter(100);
 		expect(splitter.push(Buffer.from('QUERY 1 RE'))).toEqual([]);
 		expect(splitter.push(Buffer.from('AD x\r'))).toEqual([]);
@@ -18,7 +18,7 @@
 		expect(Buffer.from(line, 'latin1')).toEqual(bytes.subarray(0, 3));
 	});
 
-	it('refuses a line that is too long, finished or not', () => {
+	it('rejects a line that is too long, whether complete or not', () => {
 		expect(() => new LineSplitter(4).push(Buffer.from('12345'))).toThrow(LineTooLongError);
 		expect(() => new LineSplitter(4).push(Buffer.from('12345\r\n'))).toThrow(LineTooLongError);
 	});
--- a/src/node/line/line-splitter.ts
+++ b/src/node/line/line-splitter.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts a stream of bytes into lines that end in CR LF. Each byte becomes one character, so
+ * Splits a stream of bytes into lines that end in CR LF. Each byte becomes one character, so
  * that text of any encoding passes unchanged.
  */
 
@@ -7,12 +7,12 @@
 
 const lineEnd = '\r\n';
 
-/** A line is longer than the protocol allows. */
+/** Thrown for a line that is longer than the protocol allows. */
 export class LineTooLongError extends Error {
 	override readonly name = 'LineTooLongError';
 }
 
-/** Keeps the beginning of a line whose end has not come. */
+/** Splits chunks into lines, and buffers an incomplete last line until its end arrives. */
 export class LineSplitter {
 	private readonly _maximumBytes: number;
 	private _buffered = '';
@@ -21,12 +21,12 @@
 		this._maximumBytes = maximumBytes;
 	}
 
-	/** Bytes of the unfinished line. */
+	/** Number of buffered bytes of the incomplete line. */
 	get bufferedBytes(): number {
 		return this._buffered.length;
 	}
 
-	/** The lines that a chunk ends, without their ends; throws `LineTooLongError`. */
+	/** Returns the lines that a chunk completes, without their line ends; throws `LineTooLongError` if one is too long. */
 	push(chunk: Uint8Array): string[] {
 		const text = this._buffered + Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength).toString('latin1');
 		const lines = text.split(lineEnd);
--- a/src/node/line/tcp-line-connection.ts
+++ b/src/node/line/tcp-line-connection.ts
@@ -27,7 +27,7 @@
 
 const lineEnd = '\r\n';
 
-/** Reads answers line by line; ends when the socket does. */
+/** Sends requests and reads their answers line by line; closes together with its socket. */
 export class TcpLineConnection implements LineConnection {
 	readonly onClose: Event<void>;
 
@@ -118,7 +118,7 @@
 	private _addAnswer(answer: EndpointAnswer): void {
 		const exchange = this._exchange;
 		if (!exchange) {
-			this._closeDetail = 'the endpoint answered what nobody had asked';
+			this._closeDetail = 'the endpoint sent an answer without a pending request';
 			this._socket.destroy();
 			return;
 		}
@@ -138,7 +138,7 @@
 		this._isClosed = true;
 		const exchange = this._exchange;
 		this._exchange = undefined;
-		// An error line may stand alone before the end: the endpoint's reason to close.
+		// An error line without a READY line before the close holds the endpoint's reason to close.
 		const {error} = this._partialAnswer;
 		exchange?.settle(Left({kind: 'closed', detail: error ? `${error.kind}: ${error.text}` : this._closeDetail}));
 		this._onClose.fire();
--- a/src/node/line/tcp-line-connector.ts
+++ b/src/node/line/tcp-line-connector.ts
@@ -11,14 +11,14 @@
 import type {LineOptions} from './constants.js';
 import {TcpLineConnection} from './tcp-line-connection.js';
 
-/** What an error in answer to the start-up says about the endpoint. */
+/** Connection faults by the error with which an endpoint answers the start-up message. */
 const startUpFaults = new Map<string, ConnectionFault['kind']>([
 	['tooManyConnections', 'tooManyConnections'],
 	['wrongEndpoint', 'wrongEndpoint'],
 	['busy', 'busy'],
 ] satisfies ReadonlyArray<[EndpointErrorKind, ConnectionFault['kind']]>);
 
-/** Connects by address and says which endpoint it expects there. */
+/** Connects to an endpoint's address, and names in the start-up message which endpoint it expects there. */
 export class TcpLineConnector implements LineConnector {
 	private readonly _clock: Clock;
 	private readonly _wire: LineWire;
@@ -69,7 +69,7 @@
 			});
 	}
 
-	/** The endpoint may close right after its error, so that the error is in the close's detail. */
+	/** Reads the fault from the detail of a close: an endpoint may close right after its error line, which is then part of that detail. */
 	private _startUpFault(closed: ConnectionFault): ConnectionFault {
 		const [word] = closed.detail.split(':', 1);
 		return {kind: startUpFaults.get(word) ?? closed.kind, detail: closed.detail};
@@ -84,7 +84,7 @@
 
 		socket.once('error', onError);
 		socket.once('close', () => {
-			resolve({kind: 'closed', detail: 'closed before it was open'});
+			resolve({kind: 'closed', detail: 'the connection was closed before it was established'});
 		});
 		socket.once('connect', () => {
 			socket.off('error', onError);
