--- a/src/node/cli/change-commands.ts
+++ b/src/node/cli/change-commands.ts
@@ -23,45 +23,45 @@
 
 type Finish = (code: ExitCode) => void;
 
-/** An accepted change and on how many nodes it is in force. */
+/** An accepted change, and the nodes on which it is in force if the command waited for that. */
 type AcceptedChange = {readonly change: Change; readonly reach?: ChangeReach};
 
 /** `quetzalstream config propose`. */
 export function proposeCommand(context: CliContext, finish: Finish): Command {
-	return operatorCommand('propose', 'show what a change would touch; changes nothing')
-		.argument('<file>', 'what is wanted, in JSON with comments; - reads standard input')
+	return operatorCommand('propose', 'show what a change would affect, without making it')
+		.argument('<file>', 'the desired change, in JSON with comments; - reads standard input')
 		.addHelpText('after', `
 The file holds the output of \`config get\` after editing, a whole document, or a list of operations.
 
 Example:
   quetzalstream config propose configuration.json`)
 		.action(async (file: string, options: OperatorOptions) => {
-			await withChangeFile(context, file, finish, async wish =>
-				callApi(context, options, async api => api.preview(desiredChangeOf(wish)), describePreview));
+			await withChangeFile(context, file, finish, async changeFile =>
+				callApi(context, options, async api => api.preview(desiredChangeOf(changeFile)), describePreview));
 		});
 }
 
 /** `quetzalstream config apply`. */
 export function applyCommand(context: CliContext, finish: Finish): Command {
 	return changeCommand('apply', 'put a change in force')
-		.argument('<file>', 'what is wanted, in JSON with comments; - reads standard input')
+		.argument('<file>', 'the desired change, in JSON with comments; - reads standard input')
 		.addHelpText('after', `
-Changes of others since the number that the file is based on are a conflict: exit code 3.
+Changes by others after the number that the file is based on are a conflict: exit code 3.
 
 Examples:
   quetzalstream config apply configuration.json --note "drain lopburi"
   quetzalstream config apply operations.json --acknowledge noReader:stock`)
 		.action(async (file: string, options: ChangeOptions) => {
-			await withChangeFile(context, file, finish, async wish => {
-				const version = 'version' in wish ? wish.version : undefined;
-				return change(context, {...options, basedOn: options.basedOn ?? version}, async (api, proposal) => api.propose(desiredChangeOf(wish), proposal));
+			await withChangeFile(context, file, finish, async changeFile => {
+				const version = 'version' in changeFile ? changeFile.version : undefined;
+				return change(context, {...options, basedOn: options.basedOn ?? version}, async (api, proposal) => api.propose(desiredChangeOf(changeFile), proposal));
 			});
 		});
 }
 
 /** `quetzalstream config undo`. */
 export function undoCommand(context: CliContext, finish: Finish): Command {
-	return changeCommand('undo', 'take a change back by a new one')
+	return changeCommand('undo', 'revert a change by making a new one')
 		.argument('<number>', 'number of the change', parseWholeNumber)
 		.addHelpText('after', `
 Example:
@@ -88,12 +88,12 @@
 function changeCommand(name: string, description: string): Command {
 	return operatorCommand(name, description)
 		.option('--note <text>', 'reason, kept with the change')
-		.option('--based-on <number>', 'number of the last change that you have seen; the newest by default', parseWholeNumber)
-		.option('--acknowledge <ids...>', 'warnings that are meant')
+		.option('--based-on <number>', 'number of the last change that this one takes into account; the newest by default', parseWholeNumber)
+		.option('--acknowledge <ids...>', 'ids of warnings to acknowledge')
 		.option('--no-wait', 'do not wait until the change is in force on the nodes');
 }
 
-/** Sends a change and waits until it is in force. */
+/** Sends a change and, with `wait`, waits until it is in force; resolves with the exit code. */
 async function change(
 	context: CliContext,
 	options: ChangeOptions,
@@ -129,7 +129,7 @@
 	return current.map(({version}) => version);
 }
 
-/** Asks until the change is in force everywhere, within a bound; the last answer counts. */
+/** Polls until the change is in force on all nodes or the tries are used up; resolves with the last answer, if there was one. */
 async function awaitReach(api: OperatorApi, number: number): Promise<ChangeReach | undefined> {
 	let last: ChangeReach | undefined;
 	for (let tries = 0; tries < reachWait.tries; tries++) {
@@ -145,11 +145,11 @@
 	return last;
 }
 
-async function withChangeFile(context: CliContext, file: string, finish: Finish, act: (wish: ChangeFile) => Promise<ExitCode>): Promise<void> {
+async function withChangeFile(context: CliContext, file: string, finish: Finish, act: (changeFile: ChangeFile) => Promise<ExitCode>): Promise<void> {
 	const read = await readChangeFile(context, file);
-	const wish = read.toMaybe().extract();
-	if (wish) {
-		finish(await act(wish));
+	const changeFile = read.toMaybe().extract();
+	if (changeFile) {
+		finish(await act(changeFile));
 		return;
 	}
 
--- a/src/node/cli/change-file.ts
+++ b/src/node/cli/change-file.ts
@@ -1,5 +1,5 @@
 /**
- * Files that say what the configuration is to become.
+ * Change files, which hold the desired configuration or operations that lead to it.
  */
 import {readFile} from 'node:fs/promises';
 import {Left, type Either} from 'purify-ts';
@@ -9,7 +9,7 @@
 import {parseSettings} from '../settings/settings-file.js';
 import type {CliContext} from './types.js';
 
-/** The output of `config get`, after editing or not. */
+/** The output of `config get`, edited or not. */
 const versionedSchema = z.strictObject({version: z.int().min(0), document: documentSchema});
 
 const operationListSchema = operationsSchema.transform(operations => ({operations}));
@@ -18,13 +18,13 @@
 
 const plainSchema = documentSchema.transform(document => ({document}));
 
-/** What a file asks for. */
+/** The content of a change file. */
 export type ChangeFile = z.output<typeof versionedSchema> | z.output<typeof wrappedOperationsSchema> | z.output<typeof plainSchema>;
 
 /** File name that stands for standard input. */
 const standardInput = '-';
 
-/** Reads a file; the Left's message names every problem with its place. */
+/** Reads a change file; the message of a Left names every problem with its line and column. */
 export async function readChangeFile(context: CliContext, file: string): Promise<Either<Error, ChangeFile>> {
 	try {
 		const text = file === standardInput ? await context.readInput() : await readFile(file, 'utf8');
@@ -35,7 +35,7 @@
 	}
 }
 
-/** The schema that a file is meant for, so that its problems are told in its own terms. */
+/** Chooses the schema of the form that a file appears to have, so that problems are reported against that form only. */
 function schemaFor(content: unknown): z.ZodType<ChangeFile> {
 	if (Array.isArray(content)) {
 		return operationListSchema;
@@ -49,7 +49,7 @@
 	return names.includes('document') ? versionedSchema : plainSchema;
 }
 
-/** What the API is asked for, without the number that a file carries. */
-export function desiredChangeOf(wish: ChangeFile): DesiredChange {
-	return 'operations' in wish ? {operations: wish.operations} : {document: wish.document};
+/** The desired change as the API takes it, without the version that a file may carry. */
+export function desiredChangeOf(changeFile: ChangeFile): DesiredChange {
+	return 'operations' in changeFile ? {operations: changeFile.operations} : {document: changeFile.document};
 }
--- a/src/node/cli/config-commands.ts
+++ b/src/node/cli/config-commands.ts
@@ -1,5 +1,5 @@
 /**
- * `quetzalstream config`: look at the configuration and change it.
+ * `quetzalstream config`: shows and changes the configuration.
  */
 import {Command} from 'commander';
 import type {Explanation, SettingExplanation} from '../../common/configuration/explain.js';
@@ -13,9 +13,9 @@
 import {describeChange} from './refusals.js';
 import type {CliContext} from './types.js';
 
-/** `quetzalstream config` with everything below it. */
+/** `quetzalstream config` with its subcommands. */
 export function configCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
-	const command = new Command('config').description('look at the configuration and change it');
+	const command = new Command('config').description('show and change the configuration');
 	for (const make of [getCommand, proposeCommand, applyCommand, undoCommand, orderPrimaryCommand, logCommand, explainCommand]) {
 		command.addCommand(make(context, finish));
 	}
@@ -50,7 +50,7 @@
 type ExplainOptions = OperatorOptions & {caller: string; group: string; zone?: string; application?: string; write?: boolean};
 
 function explainCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
-	return operatorCommand('explain', 'explain which rules hold for a caller and a group, and why')
+	return operatorCommand('explain', 'explain which rules apply to a caller and a group, and why')
 		.requiredOption('--caller <user>', 'user name of the caller')
 		.requiredOption('--group <group>', 'database group')
 		.option('--zone <zone>', 'availability zone of the caller')
--- a/src/node/cli/constants.ts
+++ b/src/node/cli/constants.ts
@@ -16,10 +16,10 @@
 
 export type ExitCode = typeof exitCodes[keyof typeof exitCodes];
 
-/** How long a change is waited for on all nodes. */
+/** Number of checks, and the pause between them, while a command waits until a change is in force on all nodes. */
 export const reachWait = {tries: 20, pauseMs: 250} as const;
 
-/** Environment variables that stand in for options. */
+/** Environment variables that are used for options that are not given. */
 export const environmentNames = {
 	url: 'QUETZALSTREAM_URL',
 	user: 'QUETZALSTREAM_USER',
--- a/src/node/cli/delegated-command.ts
+++ b/src/node/cli/delegated-command.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that live in a program of their own beside this one: demo and bench.
+ * Commands that are implemented by separate programs of this package: demo and bench.
  */
 import {access} from 'node:fs/promises';
 import process from 'node:process';
@@ -14,7 +14,7 @@
 	bench: {url: new URL('../../../bench/main.js', import.meta.url), summary: 'measure latency, replica reads and failover on this machine'},
 } as const;
 
-/** The command that hands everything behind its name to its program. */
+/** A command that passes all arguments after its name to its program. */
 export function delegatedCommand(name: keyof typeof programs, context: CliContext, finish: (code: ExitCode) => void): Command {
 	const {url, summary} = programs[name];
 	return new Command(name)
@@ -31,7 +31,7 @@
 				return;
 			}
 
-			// The program reads its options from the command line, as when it is started by itself.
+			// The program reads its options from `process.argv`, as if it had been started directly.
 			process.argv = [process.argv[0], file, ...options];
 			await import(url.href);
 		});
--- a/src/node/cli/explain-command.ts
+++ b/src/node/cli/explain-command.ts
@@ -1,6 +1,6 @@
 /**
- * The commands `explain-request` and `explain-day`: from the id of a request, or from a whole
- * day, to causes, from collected logs.
+ * The commands `explain-request` and `explain-day`: they derive from collected logs what happened
+ * to a request, or why requests were refused in the course of a day.
  */
 import {readFile, writeFile} from 'node:fs/promises';
 import {Command} from 'commander';
@@ -12,10 +12,10 @@
 import {textTable} from './text-table.js';
 import type {CliContext} from './types.js';
 
-/** Time around a request that is shown by default: a failover takes some three seconds. */
+/** Default time before and after a request that is shown; a failover takes about three seconds. */
 const defaultSeconds = 5;
 
-/** Length of a row of a day. */
+/** Default length of the interval that one row of `explain-day` covers. */
 const defaultSpanSeconds = 1;
 
 type ExplainDayOptions = {
@@ -31,34 +31,34 @@
 	readonly json: boolean;
 };
 
-/** The command. */
+/** `quetzalstream explain-request`. */
 export function explainRequestCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return new Command('explain-request')
-		.description('show what nodes logged of a request and its group, as one timeline, and what follows from it')
+		.description('show what nodes logged about a request and its group, as one timeline with conclusions')
 		.argument('<id>', 'id of the request')
 		.requiredOption('--logs <files...>', 'logs of all nodes; - for standard input')
 		.option('--seconds <number>', 'time before and after the request that is shown', Number, defaultSeconds)
 		.option('--json', 'print the timeline as JSON', false)
 		.action(async (id: string, {logs, seconds, json}: ExplainOptions) => {
 			const span = seconds * 1000;
-			const story = buildRequestTimeline(await readLogs(logs, context), id, {beforeMs: span, afterMs: span});
-			if (!story) {
-				context.writeError(`quetzalstream: no line names ${id}: it was answered without a detour, or its lines were left out (1008), or a log is missing\n`);
+			const timeline = buildRequestTimeline(await readLogs(logs, context), id, {beforeMs: span, afterMs: span});
+			if (!timeline) {
+				context.writeError(`quetzalstream: no line names ${id}: it was answered without a detour, or its lines were dropped to limit the log (event 1008), or a log is missing\n`);
 				finish(exitCodes.failed);
 				return;
 			}
 
-			context.write(json ? `${JSON.stringify(story)}\n` : formatTimeline(story));
+			context.write(json ? `${JSON.stringify(timeline)}\n` : formatTimeline(timeline));
 		});
 }
 
-/** The command for a day. */
+/** `quetzalstream explain-day`. */
 export function explainDayCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return new Command('explain-day')
-		.description('show second by second what requests were refused for, and what happened meanwhile')
+		.description('show for each second why requests were refused, and the events of that time')
 		.requiredOption('--logs <files...>', 'logs of all nodes; - for standard input')
-		.option('--seconds <number>', 'length of a row', Number, defaultSpanSeconds)
-		.option('--svg <file>', 'write a plot as well')
+		.option('--seconds <number>', 'length of the interval of a row', Number, defaultSpanSeconds)
+		.option('--svg <file>', 'also write a plot to this file')
 		.option('--json', 'print the rows as JSON', false)
 		.action(async ({logs, seconds, svg, json}: ExplainDayOptions) => {
 			if (!(seconds > 0)) {
@@ -87,7 +87,7 @@
 	return texts.flatMap(text => parseLogLines(text));
 }
 
-/** Served requests are not logged one by one: the histogram `callerRequestMs` counts them. */
+/** Formats refusals by cause; served requests are not logged individually, but counted by the histogram `callerRequestMs`. */
 function formatDayTable({startMs, spans, totals}: DaySummary): string {
 	const causes = totals.map(([cause]) => cause);
 	const rows = spans.map(({fromMs, refused, marks}) => {
--- a/src/node/cli/main.ts
+++ b/src/node/cli/main.ts
@@ -27,6 +27,6 @@
 	return wiring.startNode(settings);
 };
 
-// Logs are one line of JSON each; the libraries' own notices would stand between them.
+// Standard error holds one JSON object per line, which a notice of the AWS SDK would interrupt.
 process.env.AWS_SDK_JS_NODE_VERSION_SUPPORT_WARNING_DISABLED ??= 'true';
 process.exitCode = await runProgram(process.argv.slice(2), context, startNode);
--- a/src/node/cli/operator-commands.test.ts
+++ b/src/node/cli/operator-commands.test.ts
@@ -92,7 +92,7 @@
 		expect(JSON.parse(json.text)).toEqual(status);
 	});
 
-	it('apply a file on the number that it was read at, and wait until it is in force', async () => {
+	it('apply a file based on the number that it was read at, and wait until it is in force', async () => {
 		const api = {
 			propose: async () => Right(change),
 			reach: async () => Right({
@@ -109,7 +109,7 @@
 		);
 	});
 
-	it('base a change on the newest number where none is given', async () => {
+	it('base a change on the newest number if none is given', async () => {
 		const mocks = mockObject<OperatorApi>({
 			configuration: async () => Right({version: 9, document: {services: [], callers: [], rules: []}}),
 			undo: async () => Right(change),
@@ -147,13 +147,13 @@
 		});
 	}
 
-	it('want whole numbers where numbers are asked for', async () => {
+	it('require whole numbers for numeric arguments', async () => {
 		const {code, errors} = await run(['config', 'undo', 'last'], {});
 		expect(code).toEqual(2);
 		expect(errors).toEqual(expect.includes('It must be a whole number.'));
 	});
 
-	it('want an address and credentials', async () => {
+	it('require a valid URL of the operators API', async () => {
 		const {code, errors} = await run(['status', '--url', 'not a URL'], {});
 		expect([code, errors]).toEqual([2, 'quetzalstream: not a URL is not a URL\n']);
 	});
--- a/src/node/cli/operator-options.ts
+++ b/src/node/cli/operator-options.ts
@@ -8,7 +8,7 @@
 import {describeRefusal, exitCodeOf} from './refusals.js';
 import type {CliContext, OperatorApi} from './types.js';
 
-/** Options that all of these commands have. */
+/** Options that all commands of the operators API have. */
 export type OperatorOptions = {
 	readonly url?: string;
 	readonly user?: string;
@@ -16,17 +16,17 @@
 	readonly json?: boolean;
 };
 
-/** A command that asks the operators API. */
+/** A command that calls the operators API, with the options for it. */
 export function operatorCommand(name: string, description: string): Command {
 	return new Command(name)
 		.description(description)
 		.option('--url <url>', `operators API of any node (${environmentNames.url})`)
 		.option('--user <user>', `operator (${environmentNames.user})`)
-		.option('--password <password>', `better given by ${environmentNames.password}, as others can see command lines`)
+		.option('--password <password>', `prefer ${environmentNames.password}, as other users of the host can see command lines`)
 		.option('--json', 'print the answer as JSON');
 }
 
-/** Asks the API and prints what it answers; resolves with the exit code. */
+/** Calls the API and prints its answer or refusal; resolves with the exit code. */
 export async function callApi<T>(
 	context: CliContext,
 	options: OperatorOptions,
--- a/src/node/cli/parse-whole-number.ts
+++ b/src/node/cli/parse-whole-number.ts
@@ -3,7 +3,7 @@
  */
 import {InvalidArgumentError} from 'commander';
 
-/** Reads a whole number; commander tells which argument was wrong. */
+/** Parses a whole number; throws an error from which commander reports the argument. */
 export function parseWholeNumber(text: string): number {
 	if (!/^\d{1,15}$/v.test(text)) {
 		throw new InvalidArgumentError('It must be a whole number.');
--- a/src/node/cli/program.test.ts
+++ b/src/node/cli/program.test.ts
@@ -37,14 +37,14 @@
 		},
 	};
 
-	it('tells a request\'s story from collected lines', async () => {
+	it('prints the timeline of a request from collected log lines', async () => {
 		const {code, output} = await run(['explain-request', 'r1', '--logs', '-'], JSON.stringify(refused));
 		expect(code).toEqual(0);
 		expect(output.startsWith('> 00:00:01.500 n1 1103 statementRefused kind="overloaded"')).toEqual(true);
 		expect(output.includes('n1 answered overloaded after 3 ms (full); the request did not run.')).toEqual(true);
 	});
 
-	it('exits with 1 where no line names the request', async () => {
+	it('exits with 1 if no line names the request', async () => {
 		const {code, errors} = await run(['explain-request', 'r2', '--logs', '-'], JSON.stringify(refused));
 		expect(code).toEqual(1);
 		expect(errors.includes('no line names r2')).toEqual(true);
@@ -57,7 +57,7 @@
 		fields: {request: 'r1', kind: 'noPrimary', detail: 'i-1 of term 1, silent'},
 	};
 
-	it('shows a row a span, and writes a plot', async () => {
+	it('prints one row per interval, and writes a plot', async () => {
 		const folder = await mkdtemp(path.join(tmpdir(), 'quetzalstream-day-'));
 		const svg = path.join(folder, 'day.svg');
 		const {code, output} = await run(['explain-day', '--logs', '-', '--svg', svg], JSON.stringify(refused));
@@ -70,7 +70,7 @@
 		await rm(folder, {recursive: true});
 	});
 
-	it('refuses files without lines, and rows without a length', async () => {
+	it('rejects files without log lines, and an interval of length zero', async () => {
 		const withoutLines = await run(['explain-day', '--logs', '-'], 'nothing');
 		const withoutLength = await run(['explain-day', '--logs', '-', '--seconds', '0'], JSON.stringify(refused));
 		expect([withoutLines.code, withoutLength.code]).toEqual([1, 2]);
@@ -78,7 +78,7 @@
 });
 
 describe('runProgram', () => {
-	it('explains itself, with the exit codes', async () => {
+	it('prints help with its commands and exit codes', async () => {
 		const {code, output} = await run(['--help']);
 		expect(code).toEqual(0);
 		for (const part of ['serve', 'check-settings', 'demo', 'bench', 'Exit codes:']) {
@@ -108,7 +108,7 @@
 		expect(fromInput.errors.includes('"path":"node"')).toEqual(true);
 	});
 
-	it('serves only with settings that fit', async () => {
+	it('serves only with valid settings', async () => {
 		const {code, errors} = await run(['serve', '--settings', '-'], '{');
 		expect(code).toEqual(2);
 		expect(errors.startsWith('-:1:2: found the end of the file, expected JSON with comments')).toEqual(true);
--- a/src/node/cli/program.ts
+++ b/src/node/cli/program.ts
@@ -1,5 +1,5 @@
 /**
- * The program `quetzalstream`: all commands put together.
+ * The program `quetzalstream` with all its commands.
  */
 import {Command, CommanderError} from 'commander';
 import {configCommand} from './config-commands.js';
@@ -44,7 +44,7 @@
 	}
 }
 
-/** Makes commander throw instead of ending the process, for every command. */
+/** Makes commander throw instead of ending the process, for a command and all its subcommands. */
 function configureErrorHandling(command: Command, context: CliContext): void {
 	command.exitOverride();
 	command.configureOutput({writeOut: context.write, writeErr: context.writeError});
--- a/src/node/cli/refusals.ts
+++ b/src/node/cli/refusals.ts
@@ -1,5 +1,5 @@
 /**
- * What a refusal of the operators API says, and the exit code it leads to.
+ * Messages and exit codes for refusals of the operators API.
  */
 import type {Change} from '../../common/configuration/schema.js';
 import type {ClientRefusal} from '../operators/operator-client.js';
@@ -21,7 +21,7 @@
 	noAnswer: exitCodes.unreachable,
 };
 
-/** Texts of the kinds that say more than their detail. */
+/** Messages of the kinds for which the detail alone is not enough. */
 const describers = new Map<string, (refusal: ClientRefusal) => string | undefined>([
 	['unauthorized', () => 'user or password is wrong'],
 	['invalid', refusal => refusal.kind === 'invalid'
@@ -31,7 +31,7 @@
 		? `other changes came first; nothing was changed\n${refusal.changes.map(change => describeChange(change)).join('\n')}`
 		: undefined],
 	['unacknowledged', refusal => refusal.kind === 'unacknowledged'
-		? `nothing was changed; acknowledge with --acknowledge what is meant:\n${refusal.preview.warnings.map(({id, message}) => `  ${id}  ${message}`).join('\n')}`
+		? `nothing was changed; to proceed, acknowledge these warnings with --acknowledge:\n${refusal.preview.warnings.map(({id, message}) => `  ${id}  ${message}`).join('\n')}`
 		: undefined],
 	['unknown', refusal => refusal.kind === 'unknown'
 		? `${refusal.detail}; whether the change took effect shows in \`config log\``
@@ -39,25 +39,25 @@
 	['noAnswer', refusal => refusal.kind === 'noAnswer' ? `no answer: ${refusal.detail}` : undefined],
 ]);
 
-/** The exit code that a refusal leads to. */
+/** Returns the exit code for a refusal. */
 export function exitCodeOf(refusal: ClientRefusal): ExitCode {
 	return exitCodeByKind[refusal.kind];
 }
 
-/** What a refusal says, for people. */
+/** Formats a refusal as a message for operators. */
 export function describeRefusal(refusal: ClientRefusal): string {
 	const text = describers.get(refusal.kind)?.(refusal) ?? ('detail' in refusal ? refusal.detail : refusal.kind);
 	return 'retryAfterMs' in refusal ? `${text}; try again in ${Math.ceil(refusal.retryAfterMs / 1000)} s` : text;
 }
 
-/** One change in one line. */
+/** Formats a change as one line. */
 export function describeChange({number, at, author, operations, undoOf, note}: Change): string {
-	const things = operations.map(operation => `${operation.op} ${operation.kind} ${operation.op === 'put' ? nameOf(operation.value) : operation.name}`);
-	const what = undoOf === undefined ? things.join(', ') : `undo of ${undoOf}`;
+	const operationTexts = operations.map(operation => `${operation.op} ${operation.kind} ${operation.op === 'put' ? nameOf(operation.value) : operation.name}`);
+	const what = undoOf === undefined ? operationTexts.join(', ') : `undo of ${undoOf}`;
 	return `${number}  ${at}  ${author}  ${shorten(what)}${note === undefined ? '' : `  (${note})`}`;
 }
 
-/** Longest list of operations in one line. */
+/** Maximum length of the list of operations in one line. */
 const maximumChars = 100;
 
 function shorten(text: string): string {
--- a/src/node/cli/serve.test.ts
+++ b/src/node/cli/serve.test.ts
@@ -82,7 +82,7 @@
 		expect(events.exits).toEqual([1]);
 	});
 
-	it('drains when it is told to stop before it is ready', async () => {
+	it('drains on a signal that arrives before it is ready', async () => {
 		const {events, output, run} = build({ready: Promise.race<void>([])});
 		const running = run();
 		events.emit('SIGTERM');
@@ -96,7 +96,7 @@
 		expect(calls).toEqual(['uncaughtError', 'dispose']);
 	});
 
-	it('ends the process on an error that nobody caught', () => {
+	it('ends the process on an uncaught error', () => {
 		const {events, calls, run} = build();
 		void run();
 		events.emit('uncaughtException', new Error('broken'));
--- a/src/node/cli/serve.ts
+++ b/src/node/cli/serve.ts
@@ -1,19 +1,19 @@
 /**
- * Runs a node until it is told to stop.
+ * Runs a node until the process receives a signal to stop.
  */
 import type {Log} from '../../common/services/services.js';
 import type {Settings} from '../../common/settings/settings-schema.js';
 import {exitCodes, type ExitCode} from './constants.js';
 import type {RunningNode, StartNode} from './types.js';
 
-/** What a serving process hears from its host. */
+/** The events of a process that `serve` listens to; `process` provides them. */
 export type ProcessEvents = {
 	on(name: 'SIGTERM' | 'SIGINT' | 'uncaughtException' | 'unhandledRejection', listener: (reason: unknown) => void): unknown;
 	/** Ends the process at once. */
 	exit(code: ExitCode): void;
 };
 
-/** What serving uses of its process. */
+/** The parts of the process that `serve` uses. */
 export type ServeContext = {
 	readonly events: ProcessEvents;
 	readonly write: (text: string) => void;
@@ -22,7 +22,7 @@
 
 /**
  * Starts a node and resolves with the exit code once it has been drained. The first signal
- * drains, the second ends the process at once.
+ * starts the drain, a second one ends the process at once.
  */
 export async function serve(settings: Settings, startNode: StartNode, host: ServeContext): Promise<ExitCode> {
 	const {events, log} = host;
@@ -43,7 +43,7 @@
 	}
 }
 
-/** Tells a supervisor that callers are served, and where. */
+/** Writes a line of JSON for a supervisor once callers are served, with the name and the ports of the node. */
 async function announceReady(node: RunningNode, settings: Settings, {write}: ServeContext): Promise<void> {
 	await node.ready;
 	write(`${JSON.stringify({ready: true, node: settings.node.name, ports: node.ports})}\n`);
@@ -67,7 +67,7 @@
 	});
 }
 
-/** State may be damaged after an error that nobody expected: the process ends. */
+/** Logs an uncaught error and ends the process, since its state may be inconsistent after that. */
 export function exitOnUncaught(events: ProcessEvents, log: Log): void {
 	for (const name of ['uncaughtException', 'unhandledRejection'] as const) {
 		events.on(name, reason => {
--- a/src/node/cli/settings-commands.ts
+++ b/src/node/cli/settings-commands.ts
@@ -17,7 +17,7 @@
 /** `quetzalstream serve`. */
 export function serveCommand(context: CliContext, startNode: StartNode, finish: (code: ExitCode) => void): Command {
 	return new Command('serve')
-		.description('run a node until SIGTERM or SIGINT; a first signal drains it, a second ends it at once')
+		.description('run a node until SIGTERM or SIGINT; the first signal drains it, a second one ends it at once')
 		.requiredOption('-s, --settings <file>', 'settings in JSON with comments; - reads standard input')
 		.addHelpText('after', `
 Prints one line of JSON on standard output when it serves callers; logs go to standard error.
@@ -45,7 +45,7 @@
 /** `quetzalstream check-settings`. */
 export function checkSettingsCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return new Command('check-settings')
-		.description('check a settings file and print every problem with its place')
+		.description('check a settings file and print every problem with its line and column')
 		.requiredOption('-s, --settings <file>', 'settings in JSON with comments; - reads standard input')
 		.option('--json', 'print problems as JSON')
 		.addHelpText('after', `
--- a/src/node/cli/status-commands.ts
+++ b/src/node/cli/status-commands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands that only look: `status` and `audit`.
+ * The read-only commands `status` and `audit`.
  */
 import type {Command} from 'commander';
 import type {AuditPage} from '../../common/audit/types.js';
@@ -26,7 +26,7 @@
 export function auditCommand(context: CliContext, finish: (code: ExitCode) => void): Command {
 	return operatorCommand('audit', 'show the audit trail, newest entries first')
 		.option('--limit <count>', 'entries to show', parseWholeNumber)
-		.option('--before <place>', 'go on where the page before ended')
+		.option('--before <position>', 'continue where the previous page ended')
 		.addHelpText('after', `
 Examples:
   quetzalstream audit --limit 20
@@ -36,7 +36,7 @@
 		});
 }
 
-/** The status for people. */
+/** Formats the status as tables for operators. */
 export function describeStatus(status: SystemStatus): string {
 	const {node, configurationVersion, groups, nodes, degraded, lastFailover, replicaReadShare} = status;
 	const endpoints = groups.flatMap(group => group.endpoints.map(endpoint => [
--- a/src/node/cli/types.ts
+++ b/src/node/cli/types.ts
@@ -4,13 +4,13 @@
 import type {OperatorClient, OperatorClientOptions} from '../operators/operator-client.js';
 import type {Settings} from '../../common/settings/settings-schema.js';
 
-/** What commands ask of the operators API. */
+/** The calls of the operators API that commands use. */
 export type OperatorApi = Pick<
 	OperatorClient,
 	'status' | 'configuration' | 'changes' | 'audit' | 'explain' | 'reach' | 'preview' | 'propose' | 'undo' | 'orderPrimary'
 >;
 
-/** Where a command writes to and reads from; tests give their own. */
+/** The outputs and inputs of a command; tests provide their own. */
 export type CliContext = {
 	/** Writes text to standard output as it is. */
 	readonly write: (text: string) => void;
@@ -23,13 +23,13 @@
 	readonly connectApi: (options: OperatorClientOptions) => OperatorApi;
 };
 
-/** A node that was started in this process. */
+/** A node that runs in this process. */
 export type RunningNode = {
-	/** Printed for a supervisor once the node is ready. */
+	/** Ports that the node listens on, printed for a supervisor once the node is ready. */
 	readonly ports: Readonly<Record<string, number>>;
-	/** Settles once callers are served. */
+	/** Resolves once callers are served. */
 	readonly ready: Promise<void>;
-	/** Takes no new work, finishes what runs, within the settings' bound. */
+	/** Stops accepting new work, and finishes work in progress within the drain time of the settings. */
 	drain(): Promise<void>;
 	dispose(): void;
 };
