--- a/src/node/observability/consola-log.test.ts
+++ b/src/node/observability/consola-log.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('ConsolaLog', () => {
-	it('writes one line of JSON an event, repeated events too', () => {
+	it('writes one line of JSON per event, also for repeated events', () => {
 		const {lines, write} = collect();
 		const log = new ConsolaLog({node: 'n1', write});
 		log.event('invariantViolated', {count: 2n, error: new Error('cut')});
--- a/src/node/observability/consola-log.ts
+++ b/src/node/observability/consola-log.ts
@@ -18,7 +18,7 @@
 	readonly write?: (line: string) => void;
 };
 
-/** What is written of an event. */
+/** An event as it is written. */
 type LogRecord = {
 	readonly time: string;
 	readonly number: number;
@@ -29,7 +29,7 @@
 	readonly fields: Readonly<Record<string, unknown>>;
 };
 
-/** Consola's own filter lets everything through; events are filtered before they are built. */
+/** Level at which consola lets everything through; `event()` filters events before it builds their records. */
 const consolaLevel = 5;
 
 const formatters = {
@@ -58,7 +58,7 @@
 		});
 		this._consola = createConsola({
 			level: consolaLevel,
-			// Consola folds repeated messages by default; every event counts here.
+			// By default, consola merges repeated messages; here every event is written.
 			throttle: 0,
 			reporters: [{
 				log(entry: LogObject) {
@@ -87,7 +87,7 @@
 	}
 }
 
-/** Errors and big numbers are not JSON of their own. */
+/** Replaces errors by their messages and bigints by texts, as JSON has no form for them. */
 function replaceUnserializable(_key: string, value: unknown): unknown {
 	if (value instanceof Error) {
 		return value.message;
--- a/src/node/observability/constants.ts
+++ b/src/node/observability/constants.ts
@@ -8,7 +8,7 @@
 	debug: 0, info: 1, warn: 2, error: 3,
 } as const satisfies Record<LogLevel, number>;
 
-/** Start of every exported metric's name. */
+/** Prefix of the name of every exported metric. */
 export const metricPrefix = 'quetzalstream_';
 
 /** Histogram buckets by the unit that a metric's name ends in. */
@@ -18,8 +18,8 @@
 	['Bytes', [64, 256, 1024, 4096, 16_384, 65_536, 262_144, 1_048_576, 16_777_216]],
 ]);
 
-/** Resolution of the delay of the event loop: each sample wakes the process, also an idle one. */
+/** Sampling interval of the event-loop delay; it is long, since each sample wakes the process, even an idle one. */
 export const eventLoopSampleMs = 250;
 
-/** Histogram buckets of metrics that end in no known unit: counts. */
+/** Histogram buckets of metrics whose name ends in no known unit, which are counts. */
 export const countBuckets = [0, 1, 2, 3, 5, 8, 13, 21, 34, 55, 89, 144];
--- a/src/node/observability/metrics-page.test.ts
+++ b/src/node/observability/metrics-page.test.ts
@@ -11,9 +11,9 @@
 	it('has every metric with its kind and labels, and no other', () => {
 		const rows = tableRows(readFileSync('docs/METRICS.md', 'utf8')).filter(([name]) => name.startsWith('`'));
 		const documented = rows.map(([name, kind, labels]) => `${name} ${kind} ${labels}`.trimEnd());
-		const kept = Object.entries<Definition>(metrics).map(([name, {kind, labels = []}]) =>
+		const defined = Object.entries<Definition>(metrics).map(([name, {kind, labels = []}]) =>
 			`\`${exportedName(name)}\` ${kind} ${labels.map(label => `\`${label}\``).join(', ')}`.trimEnd());
-		expect(documented.toSorted()).toEqual(kept.toSorted());
+		expect(documented.toSorted()).toEqual(defined.toSorted());
 		expect(rows.filter(row => row.at(-1) === '')).toEqual([]);
 	});
 });
--- a/src/node/observability/prom-metrics.ts
+++ b/src/node/observability/prom-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * The metrics of metric-names.ts kept with prom-client.
+ * Collects the metrics of metric-names.ts with prom-client.
  */
 import {
 	collectDefaultMetrics, Counter, Gauge, Histogram, Registry,
@@ -16,14 +16,14 @@
 	readonly labels?: readonly string[];
 };
 
-/** Keeps every metric in a registry of its own. */
+/** Collects all metrics in a registry of its own. */
 export class PromMetrics implements Metrics {
 	private readonly _registry = new Registry();
 	private readonly _counters = new Map<string, Counter>();
 	private readonly _gauges = new Map<string, Gauge>();
 	private readonly _histograms = new Map<string, Histogram>();
 
-	/** The labels are added to every metric; `withProcess` adds those of the process. */
+	/** Adds the labels to every metric; `withProcess` also collects the default metrics of the process. */
 	constructor(labels: Readonly<Record<string, string>> = {}, options: {readonly withProcess?: boolean} = {}) {
 		this._registry.setDefaultLabels(labels);
 		for (const [name, definition] of Object.entries<Definition>(metrics)) {
@@ -52,7 +52,7 @@
 		this._histograms.get(name)?.observe(labels, value);
 	}
 
-	/** All metrics in the exposition format. */
+	/** All metrics in the text exposition format of Prometheus. */
 	async text(): Promise<string> {
 		return this._registry.metrics();
 	}
@@ -60,8 +60,8 @@
 	/** Current values, as tests and the operators' page read them. */
 	async values(name: MetricName): Promise<Array<{labels: Partial<Record<string, string | number>>; value: number}>> {
 		const metric = this._registry.getSingleMetric(exportedName(name));
-		const kept = await metric?.get();
-		return kept?.values ?? [];
+		const collected = await metric?.get();
+		return collected?.values ?? [];
 	}
 
 	private _add(name: string, {kind, help, labels = []}: Definition): void {
--- a/src/node/observability/rate-limited-log.test.ts
+++ b/src/node/observability/rate-limited-log.test.ts
@@ -7,14 +7,14 @@
 
 const lineSchema = z.object({name: z.string()});
 
-describe('BoundedLog', () => {
-	let bounded: RateLimitedLog;
+describe('RateLimitedLog', () => {
+	let rateLimited: RateLimitedLog;
 	let lines: string[];
 
 	function start(linesPerS: number): VirtualClock {
 		lines = [];
 		const clock = new VirtualClock();
-		bounded = new RateLimitedLog(new ConsolaLog({
+		rateLimited = new RateLimitedLog(new ConsolaLog({
 			node: 'n1',
 			level: 'info',
 			write(line) {
@@ -29,25 +29,25 @@
 	}
 
 	afterEach(() => {
-		bounded.dispose();
+		rateLimited.dispose();
 	});
 
-	it('leaves out what is above the bound, says so, and always writes promotions', async () => {
+	it('drops events above the limit, logs how many, and always writes promotions', async () => {
 		const clock = start(1);
-		bounded.event('leaseStarted');
-		bounded.event('leaseStarted');
-		bounded.event('promotionOrdered');
+		rateLimited.event('leaseStarted');
+		rateLimited.event('leaseStarted');
+		rateLimited.event('promotionOrdered');
 		await clock.advance(1000);
 		expect(names()).toEqual(['leaseStarted', 'promotionOrdered', 'logLinesDropped']);
 	});
 
-	it('does not count events below the level', async () => {
+	it('does not count events below the level of the log', async () => {
 		const clock = start(1);
 		for (let count = 0; count < 5; count++) {
-			bounded.event('writeAcknowledged');
+			rateLimited.event('writeAcknowledged');
 		}
 
-		bounded.event('leaseStarted');
+		rateLimited.event('leaseStarted');
 		await clock.advance(1000);
 		expect(names()).toEqual(['leaseStarted']);
 	});
--- a/src/node/observability/rate-limited-log.ts
+++ b/src/node/observability/rate-limited-log.ts
@@ -1,13 +1,13 @@
 /**
- * Bounds how many lines a log writes in a second, and says how many it left out.
+ * Limits how many lines a log writes per second, and logs how many it dropped.
  */
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import type {Clock, Log, LogEventName} from '../../common/services/services.js';
 
-/** Time between two counts of lines. */
+/** Length of the interval in which lines are counted. */
 const spanMs = 1000;
 
-/** Events that are always written: they are rare, and others are read in their light. */
+/** Events that are always written: they are rare, and other events can't be understood without them. */
 const unbounded: ReadonlySet<LogEventName> = new Set([
 	'processStarted',
 	'processReady',
@@ -30,12 +30,12 @@
 	'readinessChanged',
 ]);
 
-/** A log that says which events it writes. */
+/** A log that tells which events are severe enough to be written. */
 type LeveledLog = Log & {
 	isWritten(name: LogEventName): boolean;
 };
 
-/** Passes events on up to a number a second. */
+/** Forwards events to a log, up to a number per second. */
 export class RateLimitedLog implements Log, Disposable {
 	private readonly _log: LeveledLog;
 	private readonly _clock: Clock;
@@ -51,7 +51,7 @@
 	}
 
 	event(name: LogEventName, fields?: Readonly<Record<string, unknown>>): void {
-		// Events of every write must not use up the lines of those that are written.
+		// Events below the log's level are not written and must not use up the limit: some occur with every write.
 		if (!this._log.isWritten(name)) {
 			return;
 		}
