--- a/src/index.test.ts
+++ b/src/index.test.ts
@@ -18,10 +18,10 @@
 	name: 'n1', availabilityZone: 'a', region: 'r', peerHost: '127.0.0.1', peerPort: 1, operatorPort: 2, isLeaving: false, incarnation: '1',
 };
 
-const absent = async () => Left(new Refusal('peerUnavailable', 'this node is alone'));
+const absent = async () => Left(new Refusal('peerUnavailable', 'this node has no peers'));
 const silent = (): void => undefined;
 
-/** The transport of a node that is alone. */
+/** The transport of a node without peers. */
 const noPeers: Peers = {
 	executorOf: () => ({execute: absent, release: silent}),
 	groupView: absent,
@@ -86,7 +86,7 @@
 }
 
 describe('the public module', () => {
-	it('embeds a node with a clock, transport, platform and group of one\'s own', async () => {
+	it('embeds a node with a custom clock, transport, platform and group', async () => {
 		const clock = new VirtualClock();
 		const endpoint = new FakeEndpoint(clock);
 		const core = embed(clock, endpoint);
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The public module: run a node, or build one from services of your own.
+ * The public module: runs a node, or builds one from the embedding program's own services.
  *
  * typings/quetzalstream.d.ts describes all of it; nothing else of this package is public.
  */
--- a/src/node/component-options.ts
+++ b/src/node/component-options.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a node are told, from its settings.
+ * Derives the options of a node's components from its settings.
  */
 import type {NodeOptions} from '../common/node-core.js';
 import type {Host} from '../common/services/services.js';
@@ -9,14 +9,14 @@
 import type {PeerTls} from './peers/types.js';
 import type {PlatformSettings} from './platform/settings.js';
 
-/** Names of the settings' authentication methods in the caller front. */
+/** The caller listener's names of the settings' authentication methods. */
 const authenticationByMethod: Record<Settings['callers']['authentication']['method'], Authentication> = {
 	none: 'none',
 	cleartext: 'cleartextPassword',
 	md5: 'md5Password',
 };
 
-/** Options of the caller front. */
+/** Options of the caller listener. */
 export function callerOptionsOf({callers}: Settings): Partial<CallerOptions> {
 	const {method, users} = callers.authentication;
 	return {
@@ -33,7 +33,7 @@
 	};
 }
 
-/** Options of the platform-free parts. */
+/** Options of the components that do not depend on the platform. */
 export function nodeOptionsOf({tuning, homes}: Settings): NodeOptions {
 	return {...tuning, homes: {...tuning.homes, ...homes}};
 }
@@ -44,7 +44,7 @@
 	return {credentials, tls: tls && {key: tls.key, cert: tls.certificate}};
 }
 
-/** How links between nodes are encrypted; undefined when they are not. */
+/** TLS options of links between nodes; undefined if the links are not encrypted. */
 export function peerTlsOf({peers: {tls}}: Settings): PeerTls | undefined {
 	return tls && {key: tls.key, certificate: tls.certificate, authority: tls.authority ?? tls.certificate};
 }
@@ -64,10 +64,10 @@
 	};
 }
 
-/** This host while its operators' port is not known. */
+/** This host before the port of its operators API is known. */
 export type StartingHost = Omit<Host, 'operatorPort'> & {operatorPort: number};
 
-/** This host as others are to know it. */
+/** This host as it is registered and announced to other nodes. */
 export function localHostOf({node, peers, operators}: Settings, peerPort: number, incarnation: string): StartingHost {
 	return {
 		...node,
--- a/src/node/for-each-concurrently.ts
+++ b/src/node/for-each-concurrently.ts
@@ -1,9 +1,9 @@
 /**
- * Work on many things with a bound on how much is in progress.
+ * Asynchronous work on many items with a limit on concurrency.
  */
 
-/** Acts on every item, on at most so many at one time. */
-export async function forEachConcurrently<T>(items: readonly T[], atOnce: number, act: (item: T) => Promise<void>): Promise<void> {
+/** Calls `act` for every item, with at most `concurrency` calls in progress; rejects with the first error. */
+export async function forEachConcurrently<T>(items: readonly T[], concurrency: number, act: (item: T) => Promise<void>): Promise<void> {
 	const rest = items.values();
 	const actOnNext = async (): Promise<void> => {
 		for (const item of rest) {
@@ -11,5 +11,5 @@
 		}
 	};
 
-	await Promise.all(Array.from({length: Math.min(atOnce, items.length)}, actOnNext));
+	await Promise.all(Array.from({length: Math.min(concurrency, items.length)}, actOnNext));
 }
--- a/src/node/initial-discovery.test.ts
+++ b/src/node/initial-discovery.test.ts
@@ -8,7 +8,7 @@
 import {VirtualClock} from '../common/testing/virtual-clock.js';
 import {discoveryDefaults, InitialDiscovery} from './initial-discovery.js';
 
-/** Hosts that start and greet over one list that lags; a probe lets both ends know each other. */
+/** Hosts that start and discover each other through one list that lags; a probe makes both ends known to each other. */
 class StartingHosts {
 	readonly clock = new VirtualClock();
 	readonly random = new SeededRandom(7);
@@ -17,7 +17,7 @@
 	readonly silent = new Set<string>();
 	isListDown = false;
 	probes = 0;
-	mostProbesIn100Ms = 0;
+	maximumProbesIn100Ms = 0;
 	private readonly _listed: Array<{readonly host: Host; readonly atMs: number}> = [];
 	private readonly _probedAtMs: number[] = [];
 	private readonly _lagMs: number;
@@ -57,7 +57,7 @@
 		const nowMs = this.clock.nowMs();
 		this.probes++;
 		this._probedAtMs.push(nowMs);
-		this.mostProbesIn100Ms = Math.max(this.mostProbesIn100Ms, this._probedAtMs.filter(atMs => atMs > nowMs - 100).length);
+		this.maximumProbesIn100Ms = Math.max(this.maximumProbesIn100Ms, this._probedAtMs.filter(atMs => atMs > nowMs - 100).length);
 		if (this.silent.has(host.name)) {
 			return Left(new Refusal('peerUnavailable'));
 		}
@@ -71,9 +71,9 @@
 	return Array.from({length: count}, (_, index) => listedHost(`${zone}${index}`, {availabilityZone: zone}));
 }
 
-describe('StartGreeting', () => {
+describe('InitialDiscovery', () => {
 	for (const lagMs of [0, 700, 3000]) {
-		it(`lets all hosts that start together know each other while the list lags ${lagMs} ms`, async () => {
+		it(`makes all hosts that start together known to each other while the list lags ${lagMs} ms`, async () => {
 			const world = new StartingHosts(lagMs);
 			const started = Promise.all(hostsOf('a', 6).map(async (host, index) => world.start(host, (index * 37) % 200)));
 			await world.clock.advanceUntil(started);
@@ -82,7 +82,7 @@
 		});
 	}
 
-	it('meets a large zone whole and others in part, spread over about a second', async () => {
+	it('probes all hosts of a large zone and some of the others, spread over about a second', async () => {
 		const world = new StartingHosts(0);
 		const [self, ...others] = hostsOf('a', 146);
 		for (const host of [...others, ...hostsOf('b', 145), ...hostsOf('c', 145)]) {
@@ -93,10 +93,10 @@
 		await world.clock.advanceUntil(world.start(self, 0));
 		const tookMs = world.clock.nowMs() - startMs;
 		expect(world.probes).toEqual(145 + (2 * discoveryDefaults.hostsPerOtherZone));
-		expect([tookMs > 800, tookMs < 1200, world.mostProbesIn100Ms < 40]).toEqual([true, true, true]);
+		expect([tookMs > 800, tookMs < 1200, world.maximumProbesIn100Ms < 40]).toEqual([true, true, true]);
 	});
 
-	it('starts without an answer of the list, or of a host, and asks silent hosts again', async () => {
+	it('completes without an answer of the list or of a host, and probes silent hosts again', async () => {
 		const world = new StartingHosts(500);
 		const [self, other] = hostsOf('a', 2);
 		world.isListDown = true;
@@ -105,9 +105,9 @@
 		expect(world.probes).toEqual(0);
 		world.isListDown = false;
 		world.silent.add(other.name);
-		const greeting = world.discovery({...self, incarnation: 'another'});
-		await world.clock.advanceUntil(greeting.run());
+		const discovery = world.discovery({...self, incarnation: 'another'});
+		await world.clock.advanceUntil(discovery.run());
 		expect(world.probes > 1).toEqual(true);
-		greeting.dispose();
+		discovery.dispose();
 	});
 });
--- a/src/node/initial-discovery.ts
+++ b/src/node/initial-discovery.ts
@@ -1,10 +1,10 @@
 /**
- * Makes a starting node known to its zone before it takes endpoints up.
+ * Makes a starting node known to the nodes of its zone before it becomes the home of endpoints.
  *
  * Nodes that know different hosts choose different homes, and the host list lags. A link
- * tells both of its ends who the other is, so one probe does for two. Of two nodes that
- * start together, the one whose registration is later finds the other in the list, once
- * the list shows its own registration: so that is what is waited for.
+ * identifies each end to the other, so one probe makes two nodes known to each other. Of two
+ * nodes that start together, the one that registers later finds the other in the list once the
+ * list shows its own registration; so discovery goes on until the list shows this node.
  */
 import {withTimeout, WakeableSleep} from '../common/lifecycle/timing.js';
 import type {Disposable} from '../common/lifecycle/disposable.js';
@@ -13,25 +13,25 @@
 } from '../common/services/services.js';
 import {forEachConcurrently} from './for-each-concurrently.js';
 
-/** Defaults of the greeting. */
+/** Defaults of the initial discovery. */
 export const discoveryDefaults = {
-	/** Probes in progress at one time. */
+	/** Maximum number of concurrent probes. */
 	probesAtOnce: 16,
 	probeTimeoutMs: 500,
-	/** The probes of a round are spread over this time for each host, so 145 hosts take about a second. */
+	/** The probes of a round are spread over this time multiplied by the number of hosts, so 145 hosts take about a second. */
 	spreadPerHostMs: 7,
-	/** Hosts of each other zone that are met; the others come with the list. */
+	/** Number of hosts that are probed in each other zone; later reads of the list provide the rest. */
 	hostsPerOtherZone: 2,
-	/** First wait for the list to show this host; doubles with each round. */
+	/** Pause after the first round while the list does not show this host; doubles with each round. */
 	firstPauseMs: 200,
 	longestPauseMs: 5000,
-	/** Rounds after which the ordinary reads of the list have to do. */
+	/** Maximum number of rounds; after them, the periodic reads of the list have to suffice. */
 	rounds: 8,
-	/** Longest time that the start waits for all this; it goes on in the background. */
+	/** Maximum time that the start waits for discovery, which then continues in the background. */
 	startWaitMs: 2000,
 };
 
-/** What the greeting uses. */
+/** Services that the initial discovery uses. */
 export type DiscoveryServices = {
 	readonly hostList: Pick<HostList, 'read'>;
 	readonly membership: Pick<Membership, 'self' | 'learn'>;
@@ -40,7 +40,7 @@
 	readonly random: Random;
 };
 
-/** One start's greeting. */
+/** The initial discovery of one process start. */
 export class InitialDiscovery implements Disposable {
 	private readonly _services: DiscoveryServices;
 	private readonly _options: typeof discoveryDefaults;
@@ -55,7 +55,7 @@
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
-	/** Greets; resolves when that is done or has taken as long as the start may wait. */
+	/** Runs the discovery; resolves when it is done, or after `startWaitMs` while it continues. */
 	async run(): Promise<void> {
 		await withTimeout(this._services.clock, this._discover(), this._options.startWaitMs);
 	}
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Every host of the own zone and some of each other one, in random order, without those met already. */
+	/** Every host of the own zone and some of each other zone, in random order, without those already discovered. */
 	private _hostsToProbe(hosts: readonly Host[]): readonly Host[] {
 		const {random, membership: {self}} = this._services;
 		const undiscovered = hosts
--- a/src/node/listen-on.ts
+++ b/src/node/listen-on.ts
@@ -1,9 +1,9 @@
 /**
- * Listening, as a promise.
+ * `Server.listen` as a promise.
  */
 import type {ListenOptions, Server} from 'node:net';
 
-/** Listens; port 0 takes a free one. Resolves with the port, rejects when the address can't be had. */
+/** Listens on a port, or on any free one for port 0; resolves with the port, rejects if the address can't be used. */
 export async function listenOn(server: Server, options: ListenOptions): Promise<number> {
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject);
--- a/src/node/system-random.ts
+++ b/src/node/system-random.ts
@@ -1,9 +1,9 @@
 /**
- * The host's randomness.
+ * Random numbers of the JavaScript runtime.
  */
 import type {Random} from '../common/services/services.js';
 
-/** Randomness of the running process; not for secrets. */
+/** Random numbers from `Math.random`; not for secrets. */
 export class SystemRandom implements Random {
 	next(): number {
 		return Math.random();
--- a/src/node/wiring.ts
+++ b/src/node/wiring.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a node together: the one module that knows which class serves which interface.
+ * Assembles a node: the only module that knows which class implements which interface.
  */
 import {container as rootContainer} from 'tsyringe';
 import type {DependencyContainer} from 'tsyringe';
@@ -49,19 +49,19 @@
 	readonly operators: number;
 };
 
-/** A node that runs. */
+/** A running node. */
 export type RunningNode = Disposable & {
 	readonly ports: NodePorts;
 	/** Resolves once the configuration is in force and callers are served. */
 	readonly ready: Promise<void>;
-	/** Finishes what is in progress within the settings' bound, then stops. */
+	/** Finishes work in progress within the drain time of the settings, then stops. */
 	drain(): Promise<void>;
 };
 
-/** Least time that links to peers get to end after the work on them has. */
+/** Minimum time that links to peers have to close after the work on them has ended. */
 const minimumLinkDrainMs = 1000;
 
-/** Longest wait, at the end, for answers to operators and for the audit trail. */
+/** Maximum wait, at the end of a drain, for answers to operators and for writes of the audit trail. */
 const finalFlushTimeoutMs = 2000;
 
 /** Starts a node; rejects when an address cannot be listened on. */
@@ -88,7 +88,7 @@
 		createPeers: membership => new PeerLinks({...services, membership}, {}, peerTls),
 	}, nodeOptionsOf(settings)));
 	const operators = owned.register(makeOperatorServer(settings, services, core, owned));
-	// Nobody has been told of this host yet: the port that was taken goes into what they will hear.
+	// This host has not been registered or announced yet, so the port that was chosen becomes part of what others learn.
 	self.operatorPort = await operators.listen(settings.operators.host, settings.operators.port);
 	peerServer.serve({...services, membership: core.membership}, core.peerHandlers);
 	const callers = owned.register(makeCallerServer(settings, services, core));
@@ -121,7 +121,7 @@
 	};
 }
 
-/** The services that come from the host, resolved from a container of the node's own. */
+/** The services of this process, resolved from the node's own dependency container. */
 type HostServices = {
 	readonly clock: Clock;
 	readonly random: Random;
--- a/src/typings.test.ts
+++ b/src/typings.test.ts
@@ -12,12 +12,12 @@
 import type {ErrorAnswer, ErrorKind, ViewCorrection} from './common/errors/error-kinds.js';
 import * as implementation from './index.js';
 
-/** Everything that is documented is there, with the type that is documented. */
+/** Every documented value exists and has its documented type. */
 const module_: typeof documented = implementation;
 
 type Same<A, B> = [A] extends [B] ? ([B] extends [A] ? true : false) : false;
 
-/** Types that other programs implement or build agree in both directions. */
+/** Types that other programs implement or construct must be assignable in both directions. */
 type Agreements = {
 	answerSink: Same<documented.AnswerSink, services.AnswerSink>;
 	audit: Same<documented.Audit, services.Audit>;
