--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Joins the compiled entry point for the platform and what it imports into one file, and
- * writes the compiled form of what a start runs beside it.
+ * Bundles the compiled entry point for the platform with its imports into one file, and writes
+ * a V8 code cache of what a start runs beside it.
  */
 import {spawnSync} from 'node:child_process';
 import {rmSync} from 'node:fs';
@@ -11,7 +11,7 @@
 /** Modules that libraries load and a node never uses; each costs 2 to 10 ms of processor time at a start. */
 const unusedModules = /^(?:node:)?(?:child_process|cluster|https)$/;
 
-/** Sends metrics to a gateway; ours are fetched. */
+/** Pushes metrics to a gateway; a node's metrics are scraped instead. */
 const unusedFiles = /\/pushgateway$/;
 
 const leaveOutUnused = {
@@ -26,7 +26,7 @@
 };
 /* eslint-enable require-unicode-regexp */
 
-// V8 tells a cache of another source by its length only: none may outlast its file.
+// V8 recognises the cache of another source only by the source's length, so no cache may outlive its bundle.
 rmSync('target/node.cache', {force: true});
 await build({
 	entryPoints: ['target/platform/main.js'],
@@ -34,7 +34,7 @@
 	bundle: true,
 	minify: true,
 	keepNames: true,
-	// One byte a character: the file is read without decoding.
+	// One byte per character, so that the file can be read without decoding.
 	charset: 'ascii',
 	legalComments: 'none',
 	platform: 'node',
@@ -45,8 +45,8 @@
 	logLevel: 'error',
 });
 
-// A process of its own: what it has compiled when it ends is what a start compiles.
+// In a separate process, so that the cache holds what a start compiles and nothing else.
 const {status} = spawnSync(process.execPath, ['scripts/write-code-cache.cjs'], {stdio: ['ignore', 'ignore', 'inherit']});
 if (status !== 0) {
-	process.stderr.write('No code cache was written: nodes start, but later.\n');
+	process.stderr.write('No code cache was written: nodes start without it, which takes longer.\n');
 }
--- a/scripts/failed-tests-reporter.mjs
+++ b/scripts/failed-tests-reporter.mjs
@@ -1,14 +1,14 @@
 /**
- * A reporter for node's test runner: one line for each test that failed in itself, "file: name".
+ * A reporter for node's test runner: prints a line "file: name" for each test that failed by itself, not just through a subtest.
  */
 import path from 'node:path';
 
-/** Why a test failed whose own body did not: one inside it did. */
-const failedInside = 'subtestsFailed';
+/** Failure type of a test whose own body passed and one of whose subtests failed. */
+const subtestFailure = 'subtestsFailed';
 
 export default async function * failedTests(source) {
 	for await (const {type, data} of source) {
-		if (type === 'test:fail' && data.details.error?.failureType !== failedInside) {
+		if (type === 'test:fail' && data.details.error?.failureType !== subtestFailure) {
 			yield `${path.basename(data.file ?? '').replace(/\.js$/v, '.ts')}: ${data.name}\n`;
 		}
 	}
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,8 +1,8 @@
 /**
  * Runs every test of the source tree, compiled, under node's test runner.
- * Arguments choose the tests whose path holds one of them.
+ * With arguments, it runs only the tests whose path contains one of them.
  *
- * A run whose failures all stand in KNOWN-RED.txt counts as passed, and prints them.
+ * A run whose failures are all listed in KNOWN-RED.txt counts as passed; it prints the list and the failures.
  */
 import {spawnSync} from 'node:child_process';
 import {
@@ -53,7 +53,7 @@
 		console.log(`failed${known.has(failure) ? ', known' : ''}: ${failure}`);
 	}
 
-	// A run that ended otherwise than by failed tests has not shown that the rest passes.
+	// A run that failed without any failed test, for example by a crash, does not show that the other tests pass.
 	return code !== 0 && failures.length > 0 && unknown.length === 0 ? 0 : code;
 }
 
--- a/scripts/write-code-cache.cjs
+++ b/scripts/write-code-cache.cjs
@@ -1,6 +1,6 @@
 /**
- * Writes the code cache of the joined file: starts a node on free loopback ports whose store
- * is away, connects to it as a caller, and keeps what was compiled until then.
+ * Writes the code cache of the bundle: starts a node on free loopback ports with an unreachable
+ * store, connects to it as a caller, and saves what was compiled until then.
  */
 'use strict';
 const {mkdtempSync, rmSync, writeFileSync} = require('node:fs');
@@ -12,10 +12,10 @@
 
 const host = '127.0.0.1';
 
-/** Time for which the node runs: it has started, tried its store and turned the caller away. */
+/** Time for which the node runs: enough to start, to try to reach its store and to refuse the caller. */
 const runForMs = 1000;
 
-/** Time until the node listens. */
+/** Delay after which the caller connects; the node should listen by then. */
 const listenMs = 500;
 
 async function freePort() {
@@ -30,7 +30,7 @@
 	return port;
 }
 
-async function placeText() {
+async function processSettingsText() {
 	const fields = {
 		'node-id': 'node', zone: 'zone', ip: host, 'limits.cpu-share': 1, 'limits.cores': 1, 'bounds.grace-s': 1,
 	};
@@ -45,12 +45,12 @@
 
 async function run() {
 	const folder = mkdtempSync(path.join(tmpdir(), 'quetzalstream-build-'));
-	const text = await placeText();
-	const placeFile = path.join(folder, 'node.conf');
+	const text = await processSettingsText();
+	const processSettingsFile = path.join(folder, 'node.conf');
 	const settingsFile = path.join(folder, 'settings.jsonc');
-	writeFileSync(placeFile, text);
+	writeFileSync(processSettingsFile, text);
 	writeFileSync(settingsFile, `{"metrics": {"port": ${await freePort()}}}`);
-	process.env.QUETZALSTREAM_NODE_FILE = placeFile;
+	process.env.QUETZALSTREAM_NODE_FILE = processSettingsFile;
 	process.argv = [process.argv[0], 'quetzalstream', '--settings', settingsFile];
 	const {exported, createCache} = loadBundle();
 	exported.main({isCacheUsed: false});
@@ -60,7 +60,7 @@
 			socket.end('STARTUP database user\r\n');
 		});
 		socket.on('error', () => {
-			// The node had not started in time: less is compiled beforehand.
+			// The node did not listen in time, so the code cache holds less.
 		});
 	}, listenMs);
 	setTimeout(() => {
