--- a/src/node/line/line-caller-connection.ts
+++ b/src/node/line/line-caller-connection.ts
@@ -1,5 +1,5 @@
 /**
- * One caller's connection: one task that reads messages and writes answers, in order.
+ * One caller's connection: a single task reads the messages and writes the answers, in order.
  */
 import type {Socket} from 'node:net';
 import type {HandlersOf} from '../../common/dispatch.js';
@@ -29,7 +29,7 @@
 	private _reader: (() => void) | undefined;
 	private _isClosed = false;
 	private _isBusy = false;
-	private _fault: string | undefined;
+	private _socketError: string | undefined;
 
 	private readonly _handlers: HandlersOf<CallerMessage, Promise<Continuation>> = {
 		startUp: async message => this._startUp(message.database, message.user),
@@ -48,7 +48,7 @@
 			this._onData(chunk);
 		});
 		socket.on('error', error => {
-			this._fault = error.message;
+			this._socketError = error.message;
 		});
 		socket.on('end', () => {
 			this._close();
@@ -58,7 +58,7 @@
 		});
 	}
 
-	/** The session, once the caller said which database it wants. */
+	/** The caller's session; undefined before its start-up message. */
 	get session(): LineSession | undefined {
 		return this._session;
 	}
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	 * Ends the session of a caller whose key was revoked: at once where nothing is in progress, else
+	 * Ends the session of a caller whose key was revoked: at once if nothing is in progress, otherwise
 	 * with its next statement.
 	 */
 	closeIfKeyRevoked(): void {
@@ -92,7 +92,7 @@
 		}
 	}
 
-	/** Closes the connection if nothing is in progress on it; resolves to whether it did. */
+	/** Closes the connection if nothing is in progress on it; returns whether it did. */
 	closeIfIdle(): boolean {
 		const isIdle = !this._isClosed && this._session !== undefined && this._session.isIdle && !this._isBusy
 			&& this._unread.length === 0 && this._splitter.bufferedBytes === 0;
@@ -161,7 +161,7 @@
 		return this._isClosed || this._session.mustCloseConnection ? 'ends' : 'goesOn';
 	}
 
-	/** What cannot be read is answered once; the connection ends, since what follows can't be trusted. */
+	/** Refuses a malformed message and ends the connection, since the bytes that follow can't be interpreted reliably. */
 	private async _malformed(reason: string): Promise<Continuation> {
 		const {wire, log} = this._services;
 		log.event('callerRefused', {reason});
@@ -200,22 +200,22 @@
 			return;
 		}
 
-		const isAhead = this._unread.reduce((sum, line) => sum + line.length, 0) > this._options.maximumAheadBytes;
-		if (this._isBusy && isAhead) {
+		const isReadAheadExceeded = this._unread.reduce((sum, line) => sum + line.length, 0) > this._options.maximumAheadBytes;
+		if (this._isBusy && isReadAheadExceeded) {
 			this._socket.pause();
 		}
 
 		this._wakeReader();
 	}
 
-	/** Ends the connection after what was written; the task sees the end with its next read. */
+	/** Closes the socket after pending writes, or at once after a socket error; the task notices this with its next read. */
 	private _close(): void {
 		if (this._isClosed) {
 			return;
 		}
 
 		this._isClosed = true;
-		if (this._fault === undefined) {
+		if (this._socketError === undefined) {
 			this._socket.end();
 			this._socket.destroySoon();
 		} else {
--- a/src/node/line/line-server.ts
+++ b/src/node/line/line-server.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts callers of the text protocol and keeps their connections within bounds.
+ * Accepts callers of the text protocol, limits the number of their connections and closes them on a drain.
  */
 import {createServer, type Server, type Socket} from 'node:net';
 import {StatementRunner} from '../../common/line-sessions/statement-runner.js';
@@ -11,8 +11,8 @@
 import {LineCallerConnection} from './line-caller-connection.js';
 import type {LineOptions} from './constants.js';
 
-/** Time between two looks for sessions that may be closed. */
-const closeLookMs = 50;
+/** Interval between two checks for sessions that can be closed. */
+const closeCheckIntervalMs = 50;
 
 /** Serves callers on one port. */
 export class LineServer implements Disposable {
@@ -20,7 +20,7 @@
 	private readonly _runner: StatementRunner;
 	private readonly _options: LineOptions;
 	private readonly _server: Server;
-	private readonly _links = new Set<LineCallerConnection>();
+	private readonly _connections = new Set<LineCallerConnection>();
 
 	constructor(services: LineSessionServices, options: LineOptions) {
 		this._services = services;
@@ -31,98 +31,98 @@
 		});
 	}
 
-	/** Connections that callers have at the moment. */
+	/** Number of open caller connections. */
 	get connections(): number {
-		return this._links.size;
+		return this._connections.size;
 	}
 
-	/** Listens; port 0 takes a free one. Resolves with the port. */
+	/** Listens on a port, or on any free one for port 0; resolves with the port. */
 	async listen(host: string, port: number): Promise<number> {
 		const listenedPort = await listenOn(this._server, {host, port, backlog: this._options.backlog});
 		this._services.log.event('callersListening', {host, port: listenedPort});
 		return listenedPort;
 	}
 
-	/** Closes sessions in which nothing is in progress, a few at a time, so that they return to other nodes. */
+	/** Closes idle sessions a few at a time over a period in ms, so that their callers reconnect to other nodes gradually. */
 	async closeIdleGradually(overMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + overMs;
-		while (this._links.size > 0 && clock.nowMs() < endMs) {
-			const stepsLeft = Math.max(1, (endMs - clock.nowMs()) / closeLookMs);
-			let toClose = Math.ceil(this._links.size / stepsLeft);
-			for (const link of this._links) {
-				if (toClose > 0 && link.closeIfIdle()) {
+		while (this._connections.size > 0 && clock.nowMs() < endMs) {
+			const stepsLeft = Math.max(1, (endMs - clock.nowMs()) / closeCheckIntervalMs);
+			let toClose = Math.ceil(this._connections.size / stepsLeft);
+			for (const connection of this._connections) {
+				if (toClose > 0 && connection.closeIfIdle()) {
 					toClose -= 1;
 				}
 			}
 
-			await pauseFor(clock, closeLookMs);
+			await pauseFor(clock, closeCheckIntervalMs);
 		}
 	}
 
-	/** Closes every session in which nothing is in progress at this moment. */
+	/** Closes every session that is idle at this moment. */
 	closeIdleNow(): void {
-		for (const link of this._links) {
-			link.closeIfIdle();
+		for (const connection of this._connections) {
+			connection.closeIfIdle();
 		}
 	}
 
 	/** Ends the sessions of callers whose keys were revoked. */
 	closeRevokedSessions(): void {
-		for (const link of this._links) {
-			link.closeIfKeyRevoked();
+		for (const connection of this._connections) {
+			connection.closeIfKeyRevoked();
 		}
 	}
 
-	/** Takes no new connections, and closes each as soon as nothing is in progress on it. */
+	/** Stops accepting new connections; open ones are kept. */
 	stopAccepting(): void {
 		this._server.close();
 	}
 
-	/** Rolls back transactions that are still open; their sessions learn why. */
+	/** Rolls back transactions that are still open, with the refusal `shuttingDown` as the reason. */
 	abortTransactions(): void {
-		for (const link of this._links) {
-			link.session?.abortTransaction(new Refusal('shuttingDown'));
+		for (const connection of this._connections) {
+			connection.session?.abortTransaction(new Refusal('shuttingDown'));
 		}
 	}
 
-	/** Closes every session as soon as nothing is in progress on it; resolves when none is left or the time is over. */
+	/** Closes each session as soon as it is idle; resolves when none is left or after `boundMs`. */
 	async closeAllWhenIdle(boundMs: number): Promise<void> {
 		const {clock} = this._services;
 		const endMs = clock.nowMs() + boundMs;
-		while (this._links.size > 0 && clock.nowMs() < endMs) {
-			for (const link of this._links) {
-				link.closeIfIdle();
+		while (this._connections.size > 0 && clock.nowMs() < endMs) {
+			for (const connection of this._connections) {
+				connection.closeIfIdle();
 			}
 
-			await pauseFor(clock, closeLookMs / 5);
+			await pauseFor(clock, closeCheckIntervalMs / 5);
 		}
 	}
 
 	dispose(): void {
 		this._server.close();
-		for (const link of this._links) {
-			link.dispose();
+		for (const connection of this._connections) {
+			connection.dispose();
 		}
 	}
 
 	private _accept(socket: Socket): void {
-		if (this._links.size >= this._options.maximumCallers) {
-			this._services.log.event('callerRefused', {reason: 'too many connections', connections: this._links.size});
+		if (this._connections.size >= this._options.maximumCallers) {
+			this._services.log.event('callerRefused', {reason: 'too many connections', connections: this._connections.size});
 			socket.destroy();
 			return;
 		}
 
-		const link = new LineCallerConnection(socket, this._services, this._runner, this._options);
-		this._links.add(link);
+		const connection = new LineCallerConnection(socket, this._services, this._runner, this._options);
+		this._connections.add(connection);
 		this._countConnections();
-		void link.run().finally(() => {
-			this._links.delete(link);
+		void connection.run().finally(() => {
+			this._connections.delete(connection);
 			this._countConnections();
 		});
 	}
 
 	private _countConnections(): void {
-		this._services.metrics.gauge('callerConnections', this._links.size);
+		this._services.metrics.gauge('callerConnections', this._connections.size);
 	}
 }
--- a/src/node/line/tcp-line-connector.ts
+++ b/src/node/line/tcp-line-connector.ts
@@ -11,14 +11,14 @@
 import type {LineOptions} from './constants.js';
 import {TcpLineConnection} from './tcp-line-connection.js';
 
-/** What an error in answer to the start-up says about the endpoint. */
+/** Connection faults by the error with which an endpoint answers the start-up message. */
 const startUpFaults = new Map<string, ConnectionFault['kind']>([
 	['tooManyConnections', 'tooManyConnections'],
 	['wrongEndpoint', 'wrongEndpoint'],
 	['busy', 'busy'],
 ] satisfies ReadonlyArray<[EndpointErrorKind, ConnectionFault['kind']]>);
 
-/** Connects by address and says which endpoint it expects there. */
+/** Connects to an endpoint's address, and names in the start-up message which endpoint it expects there. */
 export class TcpLineConnector implements LineConnector {
 	private readonly _clock: Clock;
 	private readonly _wire: LineWire;
@@ -50,7 +50,7 @@
 	}
 
 	private async _start(socket: Socket, endpoint: RegisteredEndpoint, user: string): Promise<Either<ConnectionFault, LineConnection>> {
-		const fault = await connected(socket);
+		const fault = await waitForConnect(socket);
 		if (fault) {
 			return Left(fault);
 		}
@@ -69,14 +69,14 @@
 			});
 	}
 
-	/** The endpoint may close right after its error, so that the error is in the close's detail. */
+	/** Reads the fault from the detail of a close: an endpoint may close right after its error line, which is then part of that detail. */
 	private _startUpFault(closed: ConnectionFault): ConnectionFault {
 		const [word] = closed.detail.split(':', 1);
 		return {kind: startUpFaults.get(word) ?? closed.kind, detail: closed.detail};
 	}
 }
 
-async function connected(socket: Socket): Promise<ConnectionFault | undefined> {
+async function waitForConnect(socket: Socket): Promise<ConnectionFault | undefined> {
 	return new Promise(resolve => {
 		const onError = (error: NodeJS.ErrnoException): void => {
 			resolve({kind: error.code === 'ECONNREFUSED' ? 'refused' : 'closed', detail: error.message});
@@ -84,7 +84,7 @@
 
 		socket.once('error', onError);
 		socket.once('close', () => {
-			resolve({kind: 'closed', detail: 'closed before it was open'});
+			resolve({kind: 'closed', detail: 'the connection was closed before it was established'});
 		});
 		socket.once('connect', () => {
 			socket.off('error', onError);
--- a/src/node/wiring.ts
+++ b/src/node/wiring.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a node together: the one module that knows which class serves which interface.
+ * Assembles a node: the only module that knows which class implements which interface.
  */
 import {container as rootContainer} from 'tsyringe';
 import type {DependencyContainer} from 'tsyringe';
@@ -49,33 +49,33 @@
 	readonly operators: number;
 };
 
-/** A node that runs. */
+/** A running node. */
 export type RunningNode = Disposable & {
 	readonly ports: NodePorts;
 	/** Resolves once the configuration is in force and callers are served. */
 	readonly ready: Promise<void>;
-	/** Finishes what is in progress within the settings' bound, then stops. */
+	/** Finishes work in progress within the drain time of the settings, then stops. */
 	drain(): Promise<void>;
 };
 
-/** Least time that links to peers get to end after the work on them has. */
-const linkDrainMs = 1000;
+/** Minimum time that links to peers have to close after the work on them has ended. */
+const minimumLinkDrainMs = 1000;
 
-/** Longest wait, at the end, for answers to operators and for the audit trail. */
-const lastWordsMs = 2000;
+/** Maximum wait, at the end of a drain, for answers to operators and for writes of the audit trail. */
+const finalFlushTimeoutMs = 2000;
 
 /** Starts a node; rejects when an address cannot be listened on. */
 export async function startNode(settings: Settings): Promise<RunningNode> {
 	const owned = new DisposableStore();
 	try {
-		return await startIn(owned, settings);
+		return await startOwnedBy(owned, settings);
 	} catch (error) {
 		owned.dispose();
 		throw error;
 	}
 }
 
-async function startIn(owned: DisposableStore, settings: Settings): Promise<RunningNode> {
+async function startOwnedBy(owned: DisposableStore, settings: Settings): Promise<RunningNode> {
 	const incarnation = newIncarnation();
 	const services = registerServices(settings, incarnation, owned);
 	const {clock, log} = services;
@@ -88,15 +88,15 @@
 		createPeers: membership => new PeerLinks({...services, membership}, {}, peerTls),
 	}, nodeOptionsOf(settings)));
 	const operators = owned.register(makeOperatorServer(settings, services, core, owned));
-	// Nobody has been told of this host yet: the port that was taken goes into what they will hear.
+	// This host has not been registered or announced yet, so the port that was chosen becomes part of what others learn.
 	self.operatorPort = await operators.listen(settings.operators.host, settings.operators.port);
 	peerServer.serve({...services, membership: core.membership}, core.peerHandlers);
 	const callers = owned.register(makeCallerServer(settings, services, core));
 	const callerPort = await callers.listen(settings.callers.host, settings.callers.port);
 	const ports: NodePorts = {callers: callerPort, peers: peerPort, operators: self.operatorPort};
 	log.event('processStarted', {...ports, availabilityZone: self.availabilityZone});
-	const greeting = owned.register(new InitialDiscovery({...services, membership: core.membership, peers: core.peers}));
-	const ready = core.start(async () => greeting.run()).then(() => {
+	const discovery = owned.register(new InitialDiscovery({...services, membership: core.membership, peers: core.peers}));
+	const ready = core.start(async () => discovery.run()).then(() => {
 		log.event('processReady', {version: core.configuration.version});
 	});
 
@@ -110,8 +110,8 @@
 			await new WakeableSleep(clock).wait(drainNoticeMs);
 			const endMs = clock.nowMs() + drainMs;
 			await Promise.all([callers.drain(drainMs), core.drain(drainMs)]);
-			await peerServer.drain(Math.max(linkDrainMs, endMs - clock.nowMs()));
-			await Promise.all([withTimeout(clock, operators.close(), lastWordsMs), services.audit.flush(lastWordsMs)]);
+			await peerServer.drain(Math.max(minimumLinkDrainMs, endMs - clock.nowMs()));
+			await Promise.all([withTimeout(clock, operators.close(), finalFlushTimeoutMs), services.audit.flush(finalFlushTimeoutMs)]);
 			owned.dispose();
 			log.event('processStopped');
 		},
@@ -121,7 +121,7 @@
 	};
 }
 
-/** The services that come from the host, resolved from a container of the node's own. */
+/** The services of this process, resolved from the node's own dependency container. */
 type HostServices = {
 	readonly clock: Clock;
 	readonly random: Random;
