--- a/standins/platform/constants.ts
+++ b/standins/platform/constants.ts
@@ -1,27 +1,27 @@
 /**
- * Numbers of the platform stand-in.
+ * Limits and timeouts of the platform stand-in.
  */
 
-/** Several hundred writes a second is what the platform gives. */
+/** Default write rate; the platform allows several hundred writes per second. */
 export const defaultWritesPerSecond = 400;
 
-/** About two thousand reads a second is what the platform gives. */
+/** Default read rate; the platform allows about two thousand reads per second. */
 export const defaultReadsPerSecond = 2000;
 
-/** How long an in-process client waits for an answer; the adapters' own timeout. */
+/** Timeout of an in-process client; the same as that of the adapters. */
 export const clientTimeoutMs = 2000;
 
-/** A registration that was not renewed for this long is no longer listed. */
+/** Time after which a registration that was not renewed is no longer listed. */
 export const registrationExpiryMs = 60_000;
 
-/** Largest request body that the server takes. */
+/** Maximum size of a request body that the server accepts. */
 export const maximumBodyBytes = 8 * 1024 * 1024;
 
-/** DynamoDB's limit on one page of a query. */
+/** DynamoDB's limit on the size of one page of a query. */
 export const maximumPageBytes = 1024 * 1024;
 
-/** The table that exists from the start; the key names are those of the product. */
+/** The table that exists from the start; its key names are those that the product uses. */
 export const defaultTable = {name: 'quetzalstream', partitionKey: 'partition', sortKey: 'sort'};
 
-/** DynamoDB's limit on one item; here of its JSON, which is a little longer. */
+/** DynamoDB's limit on the size of an item; applied here to the item's JSON, which is a little longer. */
 export const maximumItemBytes = 400 * 1024;
--- a/standins/platform/dynamo-error.ts
+++ b/standins/platform/dynamo-error.ts
@@ -2,7 +2,7 @@
  * Errors of DynamoDB's JSON API.
  */
 
-/** An error answer: its type and what the body holds besides the message. */
+/** An error answer with its type, its HTTP status and the fields of its body besides the message. */
 export class DynamoError extends Error {
 	readonly type: string;
 	readonly statusCode: number;
--- a/standins/platform/dynamo-expressions.ts
+++ b/standins/platform/dynamo-expressions.ts
@@ -1,6 +1,6 @@
 /**
- * The part of DynamoDB's condition and key expressions that the product uses: comparisons,
- * `attribute_exists` and `attribute_not_exists`, joined by AND; no parentheses.
+ * Parser for the part of DynamoDB's condition and key expressions that the product uses: comparisons,
+ * `attribute_exists` and `attribute_not_exists`, joined by AND, without parentheses.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- the names are DynamoDB's. */
 import {DynamoError} from './dynamo-error.js';
@@ -11,7 +11,7 @@
 /** An item as the JSON API carries it. */
 export type AttributeMap = Readonly<Record<string, AttributeValue>>;
 
-/** Values and names that an expression's placeholders stand for. */
+/** Names and values by the placeholders that stand for them in an expression. */
 export type Placeholders = {
 	readonly names: Readonly<Record<string, string>>;
 	readonly values: AttributeMap;
@@ -23,12 +23,12 @@
 const functionPattern = /^(?<operator>attribute_exists|attribute_not_exists)\s*\(\s*(?<attribute>[#\w]+)\s*\)$/v;
 const comparisonPattern = /^(?<attribute>[#\w]+)\s*(?<operator>=|<>|<=|>=|<|>)\s*(?<value>:\w+)$/v;
 
-/** Reads an expression into comparisons that must all hold. */
+/** Parses an expression into comparisons that must all hold; throws a DynamoError if it is not supported. */
 export function parseExpression(text: string, placeholders: Placeholders): Comparison[] {
 	return text.split(/\s+AND\s+/v).map(part => parseComparison(part.trim(), placeholders));
 }
 
-/** Whether an item, or its absence, satisfies every comparison. */
+/** Returns whether an item, or its absence, satisfies every comparison. */
 export function satisfies(item: AttributeMap | undefined, comparisons: readonly Comparison[]): boolean {
 	return comparisons.every(({attribute, operator, value}) => tests[operator](item?.[attribute], value));
 }
@@ -47,7 +47,7 @@
 	'>=': (actual, wanted) => (order(actual, wanted) ?? -1) >= 0,
 };
 
-/** Sign of the order of two values of one type; undefined when they can't be compared. */
+/** Compares two values of the same type: negative, zero or positive; undefined if they cannot be compared. */
 function order(a: AttributeValue | undefined, b: AttributeValue | undefined): number | undefined {
 	if (a?.N !== undefined && b?.N !== undefined) {
 		return Number(a.N) - Number(b.N);
--- a/standins/platform/dynamo-schemas.ts
+++ b/standins/platform/dynamo-schemas.ts
@@ -1,5 +1,5 @@
 /**
- * Requests of DynamoDB's JSON API, as far as the product uses them.
+ * Schemas of the requests of DynamoDB's JSON API, restricted to what the product uses.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- the names are DynamoDB's. */
 import {z} from 'zod';
--- a/standins/platform/dynamo-service.ts
+++ b/standins/platform/dynamo-service.ts
@@ -1,8 +1,8 @@
 /**
  * DynamoDB's JSON API over rows in memory.
  *
- * Left out: idempotency by ClientRequestToken, indexes, deletes and updates. Queries of the
- * hosts partition lag as the platform's host list does.
+ * Idempotency by ClientRequestToken, indexes, deletes and updates are not implemented. Queries of
+ * the hosts partition lag as the platform's host list does.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- the names are DynamoDB's. */
 import type {z} from 'zod';
@@ -19,12 +19,12 @@
 import {OrderedRows} from './ordered-rows.js';
 import type {InjectedFaults} from './settings.js';
 
-/** One operation, checked and ready to run. */
+/** One operation whose request was validated. */
 export type DynamoOperation = {
 	readonly access: AccessKind;
-	/** Number of items it writes or reads for the rate limit. */
+	/** Number of items that it reads or writes, as counted by the rate limit. */
 	readonly count: number;
-	/** Runs it; throws a DynamoError. */
+	/** Runs the operation and returns the body of the answer; throws a DynamoError. */
 	readonly run: () => unknown;
 };
 
@@ -37,7 +37,7 @@
 };
 
 const maximumLagMs = 10 * 60_000;
-/** Attribute with the time after which the platform deletes an item, in seconds since 1970. */
+/** Attribute that holds the time after which the platform deletes an item, in seconds since 1970. */
 const expiryAttribute = 'expiresAt';
 
 /** The tables of one platform. */
@@ -80,7 +80,7 @@
 		this._hostsPartition = hostsPartition;
 	}
 
-	/** Creates a table; one that exists stays as it is. */
+	/** Creates a table; a table that exists stays unchanged. */
 	createTable(name: string, partitionKey: string, sortKey: string): void {
 		if (!this._tables.has(name)) {
 			this._tables.set(name, {
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** Reads a request; throws a DynamoError when it is not one that can run. */
+	/** Parses a request into an operation; throws a DynamoError if the operation is unknown or the request is invalid. */
 	prepare(operation: string, body: string): DynamoOperation {
 		const prepareOperation = this._operations[operation];
 		if (!prepareOperation) {
@@ -148,7 +148,7 @@
 		return {};
 	}
 
-	/** Undefined when the condition holds; else what the answer says about the current item. */
+	/** Checks the condition of a put; returns undefined if it holds, otherwise the fields that the error carries about the current item. */
 	private _conditionFailure(request: PutRequest): {readonly Item?: AttributeMap} | undefined {
 		const current = this._get(request.TableName, request.Item);
 		if (request.ConditionExpression === undefined) {
--- a/standins/platform/fault-injector.ts
+++ b/standins/platform/fault-injector.ts
@@ -1,5 +1,5 @@
 /**
- * What stands between a client and the platform's state: limits, outages, slowness and lost answers.
+ * Applies rate limits, outages, latency and lost answers to the operations of the platform's clients.
  */
 import {Left, type Either} from 'purify-ts';
 import type {Clock, PlatformFault, Random} from '../../src/common/services/services.js';
@@ -9,10 +9,10 @@
 
 export type AccessKind = 'read' | 'write';
 
-/** Whether an operation may begin. */
+/** The decision whether an operation may begin. */
 export type Admission = 'admitted' | 'throttled' | 'refused' | 'silent';
 
-/** Counters that tell a test what the platform was asked. */
+/** Counters of the operations that the platform received, for tests. */
 export type PlatformCounts = {
 	reads: number;
 	writes: number;
@@ -21,7 +21,7 @@
 	lostAnswers: number;
 };
 
-/** Limits that all clients of one platform share. */
+/** Rate limits and counters that all clients of one platform share. */
 export class PlatformLimits {
 	readonly counts: PlatformCounts = {
 		reads: 0, writes: 0, throttled: 0, unavailable: 0, lostAnswers: 0,
@@ -39,7 +39,7 @@
 	}
 }
 
-/** Decides what happens to each operation; several sets of faults add up. */
+/** Applies faults to each operation; the effects of several sets of faults add up. */
 export class FaultInjector {
 	readonly limits: PlatformLimits;
 	private readonly _clock: Clock;
@@ -47,8 +47,8 @@
 	private readonly _faults: readonly InjectedFaults[];
 
 	/**
-	 * The first set of faults holds the rates; the further ones, such as those of one
-	 * client's network, add outages, latency and lost answers.
+	 * Creates an injector for several sets of faults. The rates are those of the first set; the others,
+	 * such as the faults of one client's network, only add outages, latency and lost answers.
 	 */
 	constructor(clock: Clock, random: Random, faults: readonly [InjectedFaults, ...InjectedFaults[]], limits = new PlatformLimits(clock)) {
 		this._clock = clock;
@@ -57,7 +57,7 @@
 		this.limits = limits;
 	}
 
-	/** Counts an operation of `count` items and says whether it may begin. */
+	/** Counts an operation of `count` items and returns whether it may begin. */
 	admit(access: AccessKind, count = 1): Admission {
 		const {counts} = this.limits;
 		const outage = this._faults.map(faults => faults.outage).find(kind => kind !== 'none');
@@ -75,7 +75,7 @@
 		return 'admitted';
 	}
 
-	/** Draws the time that one operation takes. */
+	/** Returns the time that one operation takes, with its random part, in milliseconds. */
 	drawLatencyMs(): number {
 		let latencyMs = 0;
 		for (const faults of this._faults) {
@@ -86,7 +86,7 @@
 		return latencyMs;
 	}
 
-	/** Whether the answer to a write that took effect is lost. */
+	/** Decides whether the answer to a write that took effect is lost, and counts it. */
 	isAnswerLost(): boolean {
 		const isLost = this._faults.some(faults => this._losesAnswer(faults));
 		this.limits.counts.lostAnswers += isLost ? 1 : 0;
@@ -94,8 +94,8 @@
 	}
 
 	/**
-	 * Runs one operation as an in-process client sees it. An operation that is slower than
-	 * the client waits takes effect after the client has given up.
+	 * Runs one operation as an in-process client sees it. An operation that takes longer than the
+	 * client's timeout fails for the client and takes effect later.
 	 */
 	async run<T>(
 		access: AccessKind,
@@ -122,7 +122,7 @@
 		return isLost ? unavailable('the answer was lost') : result;
 	}
 
-	/** Resolves after some time; at once, but not synchronously, for zero. */
+	/** Resolves after a time in milliseconds; without a timer if the time is not positive. */
 	async wait(durationMs: number): Promise<void> {
 		if (durationMs <= 0) {
 			return;
--- a/standins/platform/lagged-values.ts
+++ b/standins/platform/lagged-values.ts
@@ -1,22 +1,22 @@
 /**
- * Values whose changes become visible some time after they were made.
+ * Values whose changes become visible to readers some time after they were made.
  */
 
 type Change<T> = {readonly atMs: number; readonly value: T};
 
-/** The recent changes of each key. */
+/** Holds the recent changes of each key. */
 export class LaggedValues<T> {
 	private readonly _changes = new Map<string, Array<Change<T>>>();
-	private readonly _keptMs: number;
+	private readonly _retentionMs: number;
 
-	/** Changes that were replaced longer ago than `keptMs` are forgotten. */
-	constructor(keptMs: number) {
-		this._keptMs = keptMs;
+	/** Creates an empty store that drops changes replaced longer ago than `retentionMs` milliseconds. */
+	constructor(retentionMs: number) {
+		this._retentionMs = retentionMs;
 	}
 
 	write(key: string, value: T, nowMs: number): void {
 		const changes = this._changes.get(key) ?? [];
-		while (changes.length > 1 && changes[1].atMs < nowMs - this._keptMs) {
+		while (changes.length > 1 && changes[1].atMs < nowMs - this._retentionMs) {
 			changes.shift();
 		}
 
@@ -24,7 +24,7 @@
 		this._changes.set(key, changes);
 	}
 
-	/** The newest change of each key that had been made at a time. */
+	/** Returns the newest change of each key as of a time. */
 	readAt(timeMs: number): ReadonlyMap<string, Change<T>> {
 		const found = new Map<string, Change<T>>();
 		for (const [key, changes] of this._changes) {
--- a/standins/platform/loopback-platform.ts
+++ b/standins/platform/loopback-platform.ts
@@ -8,11 +8,11 @@
 import {PlatformServer} from './server.js';
 import {makeInjectedFaults, platformSettingsSchema} from './settings.js';
 
-/** A platform that a test reaches over the network. */
+/** A platform stand-in that a test reaches over HTTP. */
 export class LoopbackPlatform implements Disposable {
 	readonly server = new PlatformServer(platformSettingsSchema.parse({}), new SystemClock(), new SeededRandom(1));
 
-	/** Starts to listen; resolves with settings for the adapters. */
+	/** Starts to listen; resolves to settings for the adapters. */
 	async start(changes: Partial<PlatformSettings> = {}): Promise<PlatformSettings> {
 		const port = await this.server.listen();
 		const url = `http://127.0.0.1:${port}`;
@@ -24,7 +24,7 @@
 		});
 	}
 
-	/** Makes the platform healthy again. */
+	/** Clears all faults. */
 	clearFaults(): void {
 		Object.assign(this.server.faults, makeInjectedFaults());
 	}
--- a/standins/platform/main.ts
+++ b/standins/platform/main.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the platform stand-in: `node main.js --settings FILE`. Prints one line of JSON on
- * standard output when it is ready, and ends on SIGTERM or SIGINT.
+ * Entry point of the platform stand-in: `node main.js --settings FILE`. Prints one line of JSON on
+ * standard output when it is ready, and exits on SIGTERM or SIGINT.
  */
 import process from 'node:process';
 import {Command} from 'commander';
--- a/standins/platform/memory-host-list.ts
+++ b/standins/platform/memory-host-list.ts
@@ -1,5 +1,6 @@
 /**
- * The platform's host list in memory: it lags, and forgets hosts that don't renew.
+ * The platform's host list in memory. Changes become visible after a lag, and hosts that do not
+ * renew their registration are no longer listed.
  */
 import {Right, type Either} from 'purify-ts';
 import type {
--- a/standins/platform/memory-objects.ts
+++ b/standins/platform/memory-objects.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's object store in memory, with its faults.
+ * The platform's object store in memory, with injected faults.
  */
 import {Right, type Either} from 'purify-ts';
 import type {Objects, PlatformFault} from '../../src/common/services/services.js';
@@ -7,7 +7,7 @@
 
 export type StoredObject = {readonly body: string; readonly etag: string};
 
-/** A checksum that differs between bodies as far as tests need it (FNV-1a over code units). */
+/** Returns a checksum that tells bodies apart well enough for tests (FNV-1a over code units, and the length). */
 export function etagOf(body: string): string {
 	let hash = 0x81_1C_9D_C5;
 	for (let index = 0; index < body.length; index++) {
--- a/standins/platform/memory-platform.test.ts
+++ b/standins/platform/memory-platform.test.ts
@@ -31,7 +31,7 @@
 }
 
 describe('MemoryPlatform', () => {
-	it('throttles beyond a burst of one second and its rate, counting each item of a transaction', async () => {
+	it('throttles writes above the rate and a burst of one second, counting each item of a transaction', async () => {
 		const {clock, platform} = setUp({writesPerSecond: 10});
 		const {table} = platform.connect();
 		const writes = (name: string) => [1, 2, 3, 4].map(number => ({item: item(name, `${name}${number}`), expectedRevision: 0}));
@@ -43,7 +43,7 @@
 		expect(await kindOf(table.putAll(writes('z')))).toEqual('done');
 	});
 
-	it('lets a write take effect after its client gave up', async () => {
+	it('lets a write take effect after its client timed out', async () => {
 		const {clock, platform} = setUp({latencyMs: clientTimeoutMs + 500});
 		const {table} = platform.connect();
 		const put = await clock.advanceUntil(kindOf(table.put(item('late'), 0)));
@@ -55,7 +55,7 @@
 		expect(found?.changeId).toEqual('late');
 	});
 
-	it('cuts one client off and leaves the others', async () => {
+	it('makes the platform unreachable for one client only', async () => {
 		const {clock, platform} = setUp();
 		const [cut, other] = [platform.connect(), platform.connect()];
 		cut.faults.outage = 'silent';
@@ -66,7 +66,7 @@
 		expect(found?.body).toEqual('other');
 	});
 
-	it('shows changes of the host list late, and forgets hosts that do not renew', async () => {
+	it('delays changes of the host list, and removes hosts that do not renew their registration', async () => {
 		const {clock, platform} = setUp({hostListLagMs: 3000});
 		const {hostList} = platform.connect();
 		const names = async (): Promise<string> => {
--- a/standins/platform/memory-platform.ts
+++ b/standins/platform/memory-platform.ts
@@ -1,5 +1,5 @@
 /**
- * A whole platform in memory, for randomised runs inside one process.
+ * A complete platform in memory, for randomised runs within one process.
  */
 import type {
 	Clock, Host, Random, TableItem,
@@ -12,16 +12,16 @@
 import {makeInjectedFaults, type InjectedFaults} from './settings.js';
 import type {LaggedValues} from './lagged-values.js';
 
-/** What one node reaches of the platform, with faults of its own network. */
+/** One node's access to the platform, with the faults of its own network. */
 export type PlatformClient = {
 	readonly table: MemoryTable;
 	readonly objects: MemoryObjects;
 	readonly hostList: MemoryHostList;
-	/** Faults of this client alone, such as a cut-off availability zone. */
+	/** Faults of this client alone, such as those of an isolated availability zone. */
 	readonly faults: InjectedFaults;
 };
 
-/** One platform: its state, its rates and the faults that all clients see. */
+/** One platform: its state, its rate limits and the faults that apply to all clients. */
 export class MemoryPlatform {
 	readonly faults: InjectedFaults;
 	readonly limits: PlatformLimits;
--- a/standins/platform/memory-table.ts
+++ b/standins/platform/memory-table.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's table in memory, with its faults.
+ * The platform's table in memory, with injected faults.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import type {
@@ -38,7 +38,7 @@
 		return this._faultInjector.run('write', () => this._putAll(writes), writes.length);
 	}
 
-	/** Time by the platform's clock. */
+	/** Returns the time of the platform's clock, in milliseconds. */
 	nowMs(): number {
 		return this._clock.wallClockMs();
 	}
@@ -89,7 +89,7 @@
 
 	private _putAll(writes: readonly Write[]): Either<PlatformFault, void> {
 		const currents = writes.map(({item}) => this._current(item.partition, item.sort));
-		// All or none: one item of the change in the table proves that all of it took effect.
+		// A change takes effect as a whole: one of its items in the table proves that all of it took effect.
 		if (writes.some(({item}, index) => currents[index]?.changeId === item.changeId)) {
 			return Right(undefined);
 		}
@@ -108,5 +108,5 @@
 }
 
 function conditionFailed<T>(current: TableItem | undefined): Either<PlatformFault, T> {
-	return Left({kind: 'conditionFailed', detail: `the revision is ${current?.revision ?? 0}`});
+	return Left({kind: 'conditionFailed', detail: `the item has revision ${current?.revision ?? 0}, not the expected one`});
 }
--- a/standins/platform/ordered-rows.ts
+++ b/standins/platform/ordered-rows.ts
@@ -1,5 +1,5 @@
 /**
- * Rows of a table: partitions of rows in the order of their sort keys.
+ * Rows of a table in partitions, ordered by sort key within a partition.
  */
 
 type Partition<T> = {
@@ -7,7 +7,7 @@
 	readonly rows: Map<string, T>;
 };
 
-/** Index of the first key that is not below `sort`. */
+/** Returns the index of the first key that is not below `sort`. */
 function lowerBound(sorts: readonly string[], sort: string): number {
 	let low = 0;
 	let high = sorts.length;
@@ -23,7 +23,7 @@
 	return low;
 }
 
-/** Rows by partition and sort key. */
+/** Holds rows by partition and sort key. */
 export class OrderedRows<T> {
 	private readonly _partitions = new Map<string, Partition<T>>();
 
@@ -52,7 +52,7 @@
 		}
 	}
 
-	/** Rows of a partition with sort keys after one, in order. */
+	/** Yields the rows of a partition whose sort keys are above `afterSort`, in order. */
 	* after(partition: string, afterSort: string): Generator<T> {
 		const found = this._partitions.get(partition);
 		if (!found) {
--- a/standins/platform/server.test.ts
+++ b/standins/platform/server.test.ts
@@ -62,25 +62,25 @@
 		});
 	});
 
-	const wrong: ReadonlyArray<readonly [string, string, unknown, string]> = [
+	const invalidRequests: ReadonlyArray<readonly [string, string, unknown, string]> = [
 		['an unknown operation', 'Scan', {}, '400 UnknownOperationException'],
-		['what is not JSON', 'GetItem', '{', '400 SerializationException'],
+		['a body that is not JSON', 'GetItem', '{', '400 SerializationException'],
 		['an unknown parameter', 'GetItem', {TableName: table, Key: key('a'), Extra: 1}, '400 ValidationException'],
 		['an item without its key', 'PutItem', {TableName: table, Item: {partition: {S: 'p'}}}, '400 ValidationException'],
-		['an item beyond the limit', 'PutItem', {TableName: table, Item: {...key('a'), body: {S: 'x'.repeat(500_000)}}}, '400 ValidationException'],
+		['an item above the size limit', 'PutItem', {TableName: table, Item: {...key('a'), body: {S: 'x'.repeat(500_000)}}}, '400 ValidationException'],
 		['a name without a value', 'PutItem', {TableName: table, Item: key('a'), ConditionExpression: 'attribute_exists(#x)'}, '400 ValidationException'],
-		['an expression it does not know', 'PutItem', {TableName: table, Item: key('a'), ConditionExpression: 'size(body) < :a'}, '400 ValidationException'],
+		['an unsupported expression', 'PutItem', {TableName: table, Item: key('a'), ConditionExpression: 'size(body) < :a'}, '400 ValidationException'],
 		['a query without a partition', 'Query', {TableName: table, KeyConditionExpression: 'sort > :a', ExpressionAttributeValues: {':a': {S: 'a'}}}, '400 ValidationException'],
 		['a condition that does not hold', 'PutItem', {TableName: table, Item: key('a'), ConditionExpression: 'attribute_exists(body)'}, '400 ConditionalCheckFailedException'],
 	];
 
-	for (const [name, operation, request, expected] of wrong) {
+	for (const [name, operation, request, expected] of invalidRequests) {
 		it(`refuses ${name}`, async () => {
 			expect(await errorOf(operation, request)).toEqual(expected);
 		});
 	}
 
-	it('shows queries of the hosts partition late, and everything else at once', async () => {
+	it('delays changes only in queries of the hosts partition', async () => {
 		const query = async (partition: string): Promise<unknown> => {
 			const {body} = await call('Query', {
 				TableName: table, KeyConditionExpression: 'partition = :p', ExpressionAttributeValues: {':p': {S: partition}},
@@ -104,7 +104,7 @@
 		expect(absent.status).toEqual(404);
 	});
 
-	it('takes faults it knows, keeps those that are not named, and tells both', async () => {
+	it('applies known faults, keeps those that are not named, and reports both', async () => {
 		expect(await setFaults({outage: 'refused', latencyMs: 1})).toEqual(200);
 		expect(await setFaults({latencyMs: 2})).toEqual(200);
 		expect(await setFaults({latency: 2})).toEqual(400);
--- a/standins/platform/server.ts
+++ b/standins/platform/server.ts
@@ -1,6 +1,6 @@
 /**
- * The platform stand-in as an HTTP server: DynamoDB's JSON API at `POST /`, S3's objects at
- * `/bucket/key`, and for tests `POST /faults` and `GET /status`. Signatures are not checked.
+ * The platform stand-in as an HTTP server. It serves DynamoDB's JSON API at `POST /`, S3 objects at
+ * `/bucket/key`, and `POST /faults` and `GET /status` for tests. Signatures are not checked.
  */
 import {createHash} from 'node:crypto';
 import {Buffer} from 'node:buffer';
@@ -15,14 +15,14 @@
 import {FaultInjector, type AccessKind, type Admission} from './fault-injector.js';
 import {faultChangeSchema, type InjectedFaults, type PlatformSettings} from './settings.js';
 
-/** What the server answers with. */
+/** An answer of the server. */
 type Answer = {
 	readonly statusCode: number;
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: string;
 };
 
-/** One operation behind the gate, in the words of one of the two protocols. */
+/** One operation to which faults apply, with its answers in the form of one of the two protocols. */
 type PlatformOperation = {
 	readonly access: AccessKind;
 	readonly count: number;
@@ -78,12 +78,12 @@
 		});
 	}
 
-	/** Counters of what the platform was asked. */
+	/** Counters of the operations that the platform received. */
 	get counts(): Readonly<Record<string, number>> {
 		return this._faultInjector.limits.counts;
 	}
 
-	/** Starts to listen; resolves with the port. */
+	/** Starts to listen; resolves to the port. */
 	async listen(): Promise<number> {
 		await new Promise<void>((resolve, reject) => {
 			this._server.once('error', reject);
@@ -104,7 +104,7 @@
 			const route = routes[`${request.method} ${request.url}`] ?? (request.method === 'POST' ? 'dynamo' : 'objects');
 			await this._handlers[route](request, response, body);
 		} catch {
-			// The client went away or sent too much; there is nobody to tell.
+			// The client disconnected or its body is too large; no answer can be sent.
 			request.socket.destroy();
 		}
 	}
@@ -178,7 +178,7 @@
 	for await (const chunk of request as AsyncIterable<Uint8Array>) {
 		sizeBytes += chunk.length;
 		if (sizeBytes > maximumBodyBytes) {
-			throw new Error('request body is too large');
+			throw new Error('request body exceeds the maximum size');
 		}
 
 		chunks.push(chunk);
@@ -187,7 +187,7 @@
 	return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Undefined, which no schema takes, when the text is not JSON. */
+/** Parses JSON; returns undefined, which no schema accepts, if the text is malformed. */
 function parseJson(text: string): unknown {
 	try {
 		return JSON.parse(text);
--- a/standins/platform/settings.ts
+++ b/standins/platform/settings.ts
@@ -4,30 +4,30 @@
 import {z} from 'zod';
 import {defaultReadsPerSecond, defaultWritesPerSecond} from './constants.js';
 
-/** What is wrong with the platform at the moment; the defaults are a healthy one. */
+/** Active faults of the platform; the defaults describe a healthy platform. */
 export const faultsSchema = z.strictObject({
-	/** `refused` answers at once with an error, `silent` never answers. */
+	/** With `refused` every operation fails at once; with `silent` none is answered. */
 	outage: z.enum(['none', 'refused', 'silent']).default('none'),
-	/** Time each operation takes. */
+	/** Time that each operation takes. */
 	latencyMs: z.number().min(0).default(0),
-	/** Largest random addition to the latency. */
+	/** Maximum of the random addition to the latency. */
 	latencySpreadMs: z.number().min(0).default(0),
-	/** Share of writes that take effect and whose answer is lost. */
+	/** Share of writes that take effect and whose answers are lost. */
 	lostAnswerShare: z.number().min(0).max(1).default(0),
-	/** Number of next writes that take effect and whose answer is lost. */
+	/** Number of next writes that take effect and whose answers are lost. */
 	lostAnswers: z.int().min(0).default(0),
-	/** Writes a second beyond which writes are throttled. */
+	/** Number of writes per second above which writes are throttled. */
 	writesPerSecond: z.number().positive().default(defaultWritesPerSecond),
-	/** Reads a second beyond which reads are throttled. */
+	/** Number of reads per second above which reads are throttled. */
 	readsPerSecond: z.number().positive().default(defaultReadsPerSecond),
-	/** Time until a change of the host list becomes visible. */
+	/** Time after which a change of the host list becomes visible. */
 	hostListLagMs: z.number().min(0).default(0),
 });
 
-/** The faults in force; mutable, so that a test changes them while it runs. */
+/** The active faults; mutable, so that a test can change them while it runs. */
 export type InjectedFaults = z.infer<typeof faultsSchema>;
 
-/** A change of some faults; what is not named stays. No defaults, unlike the schema above. */
+/** A change of some faults; faults that it does not name stay as they are, so it has no defaults, unlike the schema above. */
 export const faultChangeSchema = z.strictObject({
 	outage: faultsSchema.shape.outage.unwrap().optional(),
 	latencyMs: faultsSchema.shape.latencyMs.unwrap().optional(),
@@ -39,12 +39,12 @@
 	hostListLagMs: faultsSchema.shape.hostListLagMs.unwrap().optional(),
 });
 
-/** Settings of the stand-in's process. */
+/** Settings of the process of the platform stand-in. */
 export const platformSettingsSchema = z.strictObject({
 	host: z.string().default('127.0.0.1'),
-	/** Zero chooses a free port. */
+	/** Port to listen on; zero chooses a free port. */
 	port: z.int().min(0).max(65_535).default(0),
-	/** Partition of the table whose queries lag as the host list does. */
+	/** Partition whose queries lag as the host list does. */
 	hostsPartition: z.string().default('hosts'),
 	/** Seed of the random faults. */
 	seed: z.int().default(1),
@@ -53,7 +53,7 @@
 
 export type PlatformSettings = z.infer<typeof platformSettingsSchema>;
 
-/** The faults of a healthy platform, with some of them changed. */
+/** Returns the faults of a healthy platform with some of them changed. */
 export function makeInjectedFaults(changes: Partial<InjectedFaults> = {}): InjectedFaults {
 	return faultsSchema.parse(changes);
 }
--- a/standins/platform/token-bucket.ts
+++ b/standins/platform/token-bucket.ts
@@ -1,5 +1,5 @@
 /**
- * Rate limit that allows bursts of one second's worth.
+ * Rate limit that allows bursts of up to one second's tokens.
  */
 import type {Clock} from '../../src/common/services/services.js';
 
@@ -13,7 +13,7 @@
 		this._clock = clock;
 	}
 
-	/** Takes some tokens, or none when there are too few. */
+	/** Takes `count` tokens and returns true; takes none and returns false if there are too few. */
 	tryTake(ratePerSecond: number, count = 1): boolean {
 		const nowMs = this._clock.nowMs();
 		const refill = (nowMs - this._filledAtMs) * ratePerSecond / 1000;
