--- a/standins/line/events.test.ts
+++ b/standins/line/events.test.ts
@@ -13,7 +13,7 @@
 
 type Proof = z.infer<typeof proofSchema>;
 
-/** Time in which a lost primary is replaced and its group is calm again, in virtual ms. */
+/** Time within which a lost primary is replaced and its group is stable again, in virtual milliseconds. */
 const replacedWithinMs = 6000;
 
 describe('log events of leases and promotions', () => {
@@ -25,7 +25,7 @@
 		return cluster;
 	}
 
-	/** Ends the primary and lets a node replace it; resolves with the node that did. */
+	/** Crashes the primary and lets a node replace it; resolves to that node. */
 	async function replacePrimary(): Promise<LineTestNode> {
 		const {clock, group, nodes, ordered} = cluster;
 		await nodes[0].session(databases.primary).send('WRITE x 1');
@@ -42,14 +42,14 @@
 		return nodes.find(({self}) => self.name === ordered[0].holder)!;
 	}
 
-	/** The one event of a name that fits. */
+	/** Returns the fields of the only matching event of a name; fails if there is none or more than one. */
 	function only(node: LineTestNode, name: LogEventName, doesFit: (fields: Fields) => boolean = () => true): Fields {
 		const found = node.logged(name).filter(fields => doesFit(fields));
 		expect(found.length).toEqual(1);
 		return found[0];
 	}
 
-	/** A proof that still covers the time at which it was logged. */
+	/** Expects a proof whose lease had not expired when it was logged. */
 	function expectLeased({provedAgoMs}: Proof): void {
 		expect(provedAgoMs >= 0 && provedAgoMs < primacyDefaults.leaseMs).toEqual(true);
 	}
@@ -58,7 +58,7 @@
 		cluster.dispose();
 	});
 
-	it('name the replica whose proof an acknowledged write rests on', async () => {
+	it('name the replica whose proof allowed a write to be acknowledged', async () => {
 		const {nodes: [node]} = await start(1);
 		expect(await answerStartsWith(node.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
 		const write = only(node, 'writeAcknowledged');
@@ -71,11 +71,11 @@
 		expectLeased(proof);
 	});
 
-	it('name the peer whose proof an acknowledged write rests on', async () => {
+	it('name the peer whose proof allowed a write to be acknowledged', async () => {
 		const {nodes} = await start(3);
-		const asker = nodes.find(({fleet}) => fleet.isCoordinator)!;
-		const other = nodes.find(node => node !== asker)!;
-		await asker.session(databases.primary).send('READ x');
+		const coordinator = nodes.find(({fleet}) => fleet.isCoordinator)!;
+		const other = nodes.find(node => node !== coordinator)!;
+		await coordinator.session(databases.primary).send('READ x');
 		for (const id of ['i-2', 'i-3']) {
 			other.connector.connectionFaults.set(id, 'refused');
 			other.pools.pool(other.registry.endpoint(id)!).closeIdle();
@@ -83,7 +83,7 @@
 
 		expect(await answerStartsWith(other.session(databases.primary).send('WRITE x 1', 'w1'), 'COMPLETE')).toEqual(true);
 		const proof = proofOf(only(other, 'writeAcknowledged'));
-		expect({source: proof.source, sourceKind: proof.sourceKind}).toEqual({source: asker.self.name, sourceKind: 'peer'});
+		expect({source: proof.source, sourceKind: proof.sourceKind}).toEqual({source: coordinator.self.name, sourceKind: 'peer'});
 		expectLeased(proof);
 	});
 
@@ -96,7 +96,7 @@
 		expect(only(node, 'writeAcknowledged').isConfirmed).toEqual(false);
 	});
 
-	it('say nothing at each poll: a calm group logs one lease and each endpoint once', async () => {
+	it('are not repeated at each poll: a stable group logs one lease, and each endpoint once', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		for (let round = 0; round < 80; round++) {
@@ -109,13 +109,13 @@
 		expect(node.logged('endpointStateChanged').map(({endpoint}) => String(endpoint)).toSorted()).toEqual(['i-1', 'i-2', 'i-3']);
 	});
 
-	it('say how long a term went without a proof', async () => {
+	it('report how long a term was without a proof', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('READ x');
 		node.connector.connectionFaults.set('i-2', 'silent');
 		node.connector.connectionFaults.set('i-3', 'silent');
-		// The store's word would prove the term as well.
+		// A read of the store would prove the term as well.
 		node.isStoreUnreachable = true;
 		for (let round = 0; round < 10; round++) {
 			await session.send('READ x');
@@ -131,7 +131,7 @@
 		expect(rest).toEqual([]);
 	});
 
-	it('follow a promotion from its fences over its order to its effect', async () => {
+	it('cover a promotion from its fences to its order and its effect', async () => {
 		await start(3);
 		const promoter = await replacePrimary();
 		const [{id: promoted, epoch}] = cluster.ordered;
@@ -150,12 +150,12 @@
 		const effect = only(promoter, 'endpointStateChanged', ({endpoint, isPrimary}) => endpoint === promoted && isPrimary === true);
 		expect({term: effect.term, knownTerm: effect.knownTerm}).toEqual({term: 2, knownTerm: 1});
 		const names = promoter.events.map(({name}) => name);
-		const places = (['replicaFenced', 'promotionOrdered', 'promotionAccepted', 'promotionFinished'] as const).map(name => names.indexOf(name));
-		expect(places).toEqual(places.toSorted((a, b) => a - b));
+		const indexes = (['replicaFenced', 'promotionOrdered', 'promotionAccepted', 'promotionFinished'] as const).map(name => names.indexOf(name));
+		expect(indexes).toEqual(indexes.toSorted((a, b) => a - b));
 		expect(only(promoter, 'leaseStarted', ({term}) => term === 2).gapMs).toEqual(undefined);
 	});
 
-	it('name on every node who fenced a term, and on whose word a primary was adopted', async () => {
+	it('name on every node the holder that fenced a term, and the source from which a primary was adopted', async () => {
 		await start(3);
 		const promoter = await replacePrimary();
 		const [{holder, epoch}] = cluster.ordered;
@@ -170,7 +170,7 @@
 		expect(only(promoter, 'primaryAdopted', ({term}) => term === 2).from).toEqual('endpoint');
 	});
 
-	it('say of a removed fence how long it had been seen', async () => {
+	it('report for how long a fence had been seen when it was removed', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		group.instance('i-2').fencedForTerm = 2;
--- a/standins/line/failover.test.ts
+++ b/standins/line/failover.test.ts
@@ -9,7 +9,7 @@
 } from './line-test-cluster.js';
 import type {LineTestNode} from './line-test-cluster.js';
 
-/** Longest time in virtual ms in which writes are tried again. */
+/** Maximum time for which writes are retried, in virtual milliseconds. */
 const timeoutMs = 15_000;
 
 describe('failover over the line protocol', () => {
@@ -21,7 +21,7 @@
 		return cluster;
 	}
 
-	/** Writes until one is acknowledged; resolves with the time that took. */
+	/** Retries a write until one is acknowledged; resolves to the time that took, in milliseconds. */
 	async function writeUntilDone(session: LineTestSession, text: string): Promise<number> {
 		const startedAtMs = cluster.clock.nowMs();
 		while (cluster.clock.nowMs() - startedAtMs < timeoutMs) {
@@ -33,14 +33,14 @@
 			await cluster.clock.advance(20);
 		}
 
-		throw new Error(`no write within ${timeoutMs} ms`);
+		throw new Error(`expected an acknowledged write within ${timeoutMs} ms, found none`);
 	}
 
 	afterEach(() => {
 		cluster.dispose();
 	});
 
-	it('does not take a primary that nobody asks for a lost one', async () => {
+	it('does not treat a primary that receives no requests as lost', async () => {
 		const {clock, ordered, nodes: [node]} = await start(3);
 		await node.session(databases.primary).send('READ x');
 		await clock.advance(60_000);
@@ -60,7 +60,7 @@
 		expect(await answerStartsWith(sessions[2].send('READ x'), 'DATAROW 1|')).toEqual(true);
 	});
 
-	it('goes over another node while a cut keeps it from a primary that others hear', async () => {
+	it('relays statements through another node while this node alone cannot reach the primary', async () => {
 		const {clock, ordered, nodes} = await start(3);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
@@ -76,7 +76,7 @@
 		expect(ordered).toEqual([]);
 	});
 
-	it('replaces a draining primary in order, losing nothing', async () => {
+	it('replaces a draining primary in a planned promotion that loses nothing', async () => {
 		const {clock, group, ordered, nodes} = await start(3);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
@@ -87,16 +87,16 @@
 		expect(group.instance(ordered[0].id).read('x')).toEqual('1');
 	});
 
-	it('loses nothing that a node acknowledges which leaves and still serves', async () => {
-		// Process soak, seed 900: a node that had said that it leaves finished its sessions for 3 s. The
-		// promoter knew it no more, fenced the replicas without a word to it, and ordered 50 ms later:
-		// eight writes that it acknowledged under its lease were lost.
+	it('loses no write that a leaving node acknowledges while it still serves', async () => {
+		// A node that has announced that it leaves goes on serving its sessions for 3 s. If the promoter
+		// removes it at the announcement, it fences the replicas without notifying it and orders the
+		// promotion 50 ms later: writes that the node acknowledges under its lease are then lost.
 		const {clock, group, nodes} = await start(3);
 		const [leaving, ...others] = nodes;
 		const session = leaving.session(databases.primary);
 		await session.send('WRITE x 0');
 		await clock.advanceUntil(leaving.directory.leave());
-		// The others reach the primary no more and ask nobody who does; its replicas receive on.
+		// The other nodes can no longer reach the primary and ask no node that can; its replicas still receive writes.
 		for (const other of others) {
 			cutConnections(other, ['i-1']);
 		}
@@ -114,7 +114,7 @@
 		expect(Number(/DATAROW (\d+)/v.exec(shown)?.[1]) >= acknowledged).toEqual(true);
 	});
 
-	it('promotes nobody while a replica that may prove the old term cannot be told', async () => {
+	it('promotes no replica while one that may prove the old term cannot be fenced', async () => {
 		const {clock, ordered, nodes} = await start(1);
 		const [node] = nodes;
 		const session = node.session(databases.primary);
@@ -126,13 +126,13 @@
 		expect(node.logged('promotionFailed').some(({outcome}) => outcome === 'notFenced')).toEqual(true);
 	});
 
-	it('acknowledges nothing of a primary that was replaced behind a cut', async () => {
+	it('acknowledges no write of a primary that was replaced while a partition isolated it', async () => {
 		const {clock, group, nodes} = await start(5);
 		const cutOff = nodes[0];
 		const session = cutOff.session(databases.primary);
 		await session.send('WRITE x 1');
 		await clock.advance(100);
-		// The first node and the primary are on one side, all else on the other.
+		// The first node and the primary are on one side of the partition, everything else is on the other.
 		cutConnections(cutOff, ['i-2', 'i-3']);
 		for (const node of nodes.slice(1)) {
 			cutConnections(node, ['i-1']);
@@ -160,7 +160,7 @@
 		expect(acknowledgedAfter).toEqual([]);
 	});
 
-	it('does not replace a primary that others hear when it comes back from behind a cut', async () => {
+	it('does not replace a primary that other nodes reach when a node returns from a partition', async () => {
 		const {clock, ordered, nodes} = await start(5);
 		const [cutOff, ...others] = nodes;
 		const session = others[0].session(databases.primary);
@@ -181,7 +181,7 @@
 		cutOff.unreachablePeers.clear();
 		cutOff.connector.connectionFaults.delete('i-2');
 		cutOff.connector.connectionFaults.delete('i-3');
-		// Its own way to the primary comes back last.
+		// The connection to the primary recovers last.
 		for (let round = 0; round < 30; round++) {
 			await cutOff.session(databases.primary).send('READ x');
 			await session.send(`WRITE y ${round}`);
@@ -191,11 +191,11 @@
 		expect(ordered).toEqual([]);
 	});
 
-	it('replaces no primary that others hear, though the store says that its replacement was begun', async () => {
+	it('replaces no primary that other nodes reach, although the store records that a replacement has begun', async () => {
 		const {clock, ordered, store, nodes} = await start(5);
 		const [behind, ...others] = nodes;
 		await others[0].session(databases.primary).send('WRITE x 1');
-		// A node that began it is gone; this one does not reach the primary and asks the store.
+		// The node that began the replacement is gone; this one does not reach the primary and reads the store.
 		store.put(dutyTable, 'holder', JSON.stringify({
 			holder: 'gone', epoch: 1, usedAtMs: clock.nowMs(), claimId: 'x', term: 1,
 		}), service);
@@ -212,13 +212,13 @@
 		expect(await answerStartsWith(others[1].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
 	});
 
-	it('acknowledges nothing once it has fenced replicas itself, and orders nothing if the primary answers meanwhile', async () => {
+	it('acknowledges nothing after it has fenced replicas itself, and orders no promotion if the primary answers meanwhile', async () => {
 		const {clock, group, ordered, nodes} = await start(3);
 		const [node] = nodes;
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 0');
 		await clock.advance(100);
-		// It cannot tell the others, and has to wait until their leases have run out.
+		// It cannot notify the other nodes, and has to wait until their leases have expired.
 		for (const other of nodes.slice(1)) {
 			node.unreachablePeers.add(other.self.name);
 		}
@@ -237,13 +237,13 @@
 		expect(await answerStartsWith(nodes[0].session(databases.primary).send('WRITE x 2'), 'COMPLETE')).toEqual(true);
 	});
 
-	it('acknowledges nothing of a replaced primary over a replica whose registration had lapsed', async () => {
+	it('acknowledges nothing of a replaced primary on the proof of a replica whose registration has expired', async () => {
 		const {clock, group, ordered, store, nodes} = await start(5);
 		const cutOff = nodes[0];
 		const session = cutOff.session(databases.primary);
 		await session.send('WRITE x 1');
 		await clock.advance(100);
-		// The first node reaches the primary and a replica that the others know no more; calls between it and the others fail.
+		// The first node reaches the primary and a replica that the other nodes no longer know; calls between it and them fail.
 		store.put(tables.instances, 'i-3', undefined);
 		cutConnections(cutOff, ['i-2']);
 		for (const node of nodes.slice(1)) {
@@ -276,7 +276,7 @@
 		expect(acknowledgedAfter).toEqual([]);
 	});
 
-	it('finds out by reading that it took a duty whose answer was lost', async () => {
+	it('finds out by reading that it acquired a duty although the answer was lost', async () => {
 		const {group, ordered, store, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
@@ -287,7 +287,7 @@
 		expect(ordered.map(({epoch}) => epoch)).toEqual([1]);
 	});
 
-	it('never lets two nodes promote with one epoch, nor by turns', async () => {
+	it('never lets two nodes promote with the same epoch, nor with epochs out of order', async () => {
 		const {clock, group, ordered, nodes} = await start(5);
 		const sessions = nodes.map(node => node.session(databases.primary));
 		await sessions[0].send('WRITE x 1');
@@ -303,7 +303,7 @@
 		expect(epochs.toSorted((a, b) => a - b)).toEqual(epochs);
 	});
 
-	it('lets replicas receive again that a node had fenced before it stopped', async () => {
+	it('removes fences that a node left at replicas before it stopped', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		group.instance('i-2').fencedForTerm = 2;
@@ -317,7 +317,7 @@
 		expect(await answerStartsWith(session.send('READ x'), 'COMPLETE')).toEqual(true);
 	});
 
-	it('believes no proof from before the host was suspended', async () => {
+	it('does not trust proofs from before the host was suspended', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		await node.session(databases.primary).send('READ x');
 		expect(node.group.isLeased).toEqual(true);
@@ -348,7 +348,7 @@
 		}
 	});
 
-	it('acknowledges writes also while replicas receive nothing, and says so', async () => {
+	it('acknowledges writes while replicas receive nothing, and logs that they are unconfirmed', async () => {
 		const {group, nodes: [node]} = await start(1);
 		group.instance('i-2').isReplicationBlocked = true;
 		group.instance('i-3').isReplicationBlocked = true;
@@ -357,7 +357,7 @@
 		expect(node.logged('writeUnconfirmed').map(({request}) => request)).toEqual(['w1']);
 	});
 
-	it('refuses at once what a silent primary would only let wait', async () => {
+	it('refuses statements at once while the primary is silent', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
@@ -367,12 +367,12 @@
 		expect(await answerStartsWith(session.send('WRITE x 3'), 'ERROR BUSY')).toEqual(true);
 		expect(clock.nowMs() - startedAtMs < 50).toEqual(true);
 		node.connector.connectionFaults.delete('i-1');
-		// An attempt to connect that is under way ends first.
+		// An attempt to connect that is in progress has to end first.
 		await clock.advance(1500);
 		expect(await answerStartsWith(session.send('WRITE x 4'), 'COMPLETE')).toEqual(true);
 	});
 
-	it('serves while the store is away', async () => {
+	it('serves while the store is unavailable', async () => {
 		const {clock, store, nodes} = await start(2);
 		const session = nodes[0].session(databases.primary);
 		await session.send('WRITE x 1');
--- a/standins/line/faulty-proxy.ts
+++ b/standins/line/faulty-proxy.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy on loopback between a node and what it calls, whose connections can be
- * delayed, reset, silenced, or cut in one direction.
+ * A TCP proxy on loopback between a node and a server that it calls. It can delay or reset
+ * connections, or drop their bytes in one direction or both.
  */
 import {
 	connect, createServer, type Server, type Socket,
@@ -8,7 +8,7 @@
 import {listenOn} from '../../src/node/listen-on.js';
 import {resetSocket} from './reset-socket.js';
 
-/** What happens to bytes on their way. */
+/** How the proxy treats connections and their bytes. */
 export type ProxyMode = 'pass' | 'slow' | 'silent' | 'cutToServer' | 'cutToCaller' | 'refuse';
 
 type Forwarding = {
@@ -17,7 +17,7 @@
 	readonly delayMs: number;
 };
 
-/** Delay of slow links, in milliseconds: well above a hop between zones, below the nodes' time-outs. */
+/** Delay of slow connections, in milliseconds: well above the latency between zones and below the nodes' timeouts. */
 const slowDelayMs = 60;
 
 const forwardingByMode: Record<ProxyMode, Forwarding> = {
@@ -29,10 +29,10 @@
 	refuse: {toServer: false, toCaller: false, delayMs: 0},
 };
 
-/** Forwards connections to one address. Bytes that a cut swallows are lost for their connection. */
+/** Forwards connections to one address. A connection of which bytes were dropped forwards none in that direction any more. */
 export class FaultyProxy {
 	mode: ProxyMode = 'pass';
-	/** What is done to it at the moment besides its mode; faults add up. */
+	/** Active faults, in addition to the mode; their effects add up. */
 	private readonly _faults = new Set<{readonly mode: ProxyMode}>();
 	private readonly _target: {readonly host: string; readonly port: number};
 	private readonly _server: Server;
@@ -45,17 +45,17 @@
 		});
 	}
 
-	/** Sockets that are open, on both sides. */
+	/** Number of open sockets, to callers and to the server. */
 	get openSockets(): number {
 		return this._sockets.size;
 	}
 
-	/** Listens on a free port; resolves with it. */
+	/** Listens on a free port; resolves to the port. */
 	async listen(host: string): Promise<number> {
 		return listenOn(this._server, {host, port: 0});
 	}
 
-	/** Disturbs it until the returned function is called, which resets the connections that lost bytes. */
+	/** Injects a fault. The returned function removes it and resets all connections, since some may have lost bytes. */
 	injectFault(mode: ProxyMode): () => void {
 		const fault = {mode};
 		this._faults.add(fault);
@@ -92,7 +92,7 @@
 		this._forward(server, caller, 'toCaller');
 	}
 
-	/** Passes bytes and the end of one direction on; a connection that lost bytes never passes any again. */
+	/** Forwards the bytes of one direction, and the close. Once bytes were dropped, nothing more is forwarded: the stream would have a gap. */
 	private _forward(from: Socket, to: Socket, direction: 'toServer' | 'toCaller'): void {
 		let hasLostBytes = false;
 		this._sockets.add(from);
--- a/standins/line/fleet-start.test.ts
+++ b/standins/line/fleet-start.test.ts
@@ -5,18 +5,18 @@
 import {dutyTable} from '../../src/common/primacy/promotion-duty.js';
 import {databases, LineTestCluster} from './line-test-cluster.js';
 
-/** Nodes in three zones: as many in a zone as in the largest deployment that is known, twice over. */
+/** Nodes in three zones: twice as many in a zone as in the largest known deployment. */
 const nodeCount = 200;
 
-/** Calls to the store that one node may make for its start: three first reads, its registration, one question for changes of the duties, and a share of what is followed meanwhile. */
+/** Maximum number of calls to the store for the start of one node: three initial reads, its registration, one request for changes of the duties, and a share of the requests that follow tables meanwhile. */
 const maximumStoreCalls = 8;
 
-/** Links that a node which is neither home nor asker may have opened. */
+/** Maximum number of links that a node which is neither home nor coordinator may open. */
 const maximumLinks = 20;
 
-// Power comes back to a fleet of hundreds: every node starts at one moment, and what each of them
-// does for itself is done hundreds of times before the first callers are served. It told all others
-// that it is there, over a link to each, and read the duty of every group.
+// When power returns to a fleet of hundreds, all nodes start at the same moment, and the work that each
+// does for itself is done hundreds of times before the first callers are served. A node must then not
+// announce itself to every other node over a link to each, nor read the duty of every group.
 describe('a fleet of hundreds that starts at once', () => {
 	let cluster: LineTestCluster;
 	const links = new Map<string, Set<string>>();
@@ -35,8 +35,8 @@
 		cluster.dispose();
 	});
 
-	it('has every node write its registration once', async () => {
-		// Rows that a node hears of over another one may be older than its own registration.
+	it('lets every node write its registration only once', async () => {
+		// Rows that a node receives from another node may be older than its own registration.
 		cluster = new LineTestCluster();
 		await cluster.start(72);
 		await cluster.clock.advance(3000);
@@ -44,14 +44,14 @@
 		expect(cluster.nodes.flatMap(node => node.logged('nodeRegistered')).length).toEqual(72);
 	});
 
-	it('serves writes over every node half a second later', async () => {
+	it('serves writes through every node half a second after the start', async () => {
 		cluster.restartAll();
 		await cluster.clock.advance(500);
 		const answers = await cluster.clock.advanceUntil(Promise.all(cluster.nodes.map(async node => node.session(databases.primary).start('WRITE x 1'))));
 		expect(answers.filter(answer => !answer.startsWith('COMPLETE'))).toEqual([]);
 	});
 
-	it('asks the store for little more than each node has to know', async () => {
+	it('makes few calls to the store per node', async () => {
 		const callsBefore = cluster.store.calls;
 		const readsBefore = cluster.store.reads.get(dutyTable) ?? 0;
 		cluster.restartAll();
@@ -62,7 +62,7 @@
 		expect({dutyReads, isFew: dutyReads <= nodeCount / 4}).toEqual({dutyReads, isFew: true});
 	});
 
-	it('opens links to homes and askers alone', async () => {
+	it('opens links only to homes and coordinators', async () => {
 		cluster.restartAll();
 		await cluster.clock.advance(2000);
 		const counts = [...links.values()].map(({size}) => size);
--- a/standins/line/instance-server.ts
+++ b/standins/line/instance-server.ts
@@ -9,17 +9,17 @@
 import type {LineInstanceSession} from './line-instance-session.js';
 import {resetSocket} from './reset-socket.js';
 
-/** Longest line that is read: a message of the protocol. */
+/** Maximum length of a line, which holds one message of the protocol. */
 const maximumLineBytes = 1_048_576;
 
-/** Accepts the connections of nodes. */
+/** Accepts connections of nodes to one instance. */
 export class InstanceServer {
 	readonly instance: LineInstance;
 	private readonly _workMs: number;
 	private readonly _server: Server;
 	private readonly _connections = new Set<InstanceConnection>();
 
-	/** Every statement takes `workMs`. */
+	/** Creates a server whose statements each take `workMs` milliseconds. */
 	constructor(instance: LineInstance, workMs: number) {
 		this.instance = instance;
 		this._workMs = workMs;
@@ -28,15 +28,15 @@
 		});
 	}
 
-	/** Listens on a free port; resolves with it. */
+	/** Listens on a free port; resolves to the port. */
 	async listen(host: string): Promise<number> {
 		return listenOn(this._server, {host, port: 0});
 	}
 
-	/** Ends every connection at once, as a crash does. */
+	/** Resets every connection at once, as a crash does. */
 	resetConnections(): void {
-		for (const link of this._connections) {
-			link.reset();
+		for (const connection of this._connections) {
+			connection.reset();
 		}
 	}
 
@@ -51,15 +51,15 @@
 			return;
 		}
 
-		const link = new InstanceConnection(socket, this.instance, this._workMs);
-		this._connections.add(link);
+		const connection = new InstanceConnection(socket, this.instance, this._workMs);
+		this._connections.add(connection);
 		socket.once('close', () => {
-			this._connections.delete(link);
+			this._connections.delete(connection);
 		});
 	}
 }
 
-/** One connection of a node: answers its lines one after the other. */
+/** One connection of a node; its lines are answered one after the other. */
 class InstanceConnection {
 	private readonly _socket: Socket;
 	private readonly _instance: LineInstance;
@@ -78,7 +78,7 @@
 			}
 		});
 		socket.on('error', () => {
-			// What follows is the close.
+			// The `close` event follows and is handled below.
 		});
 		socket.once('close', () => {
 			if (this._session) {
--- a/standins/line/large-fleet.test.ts
+++ b/standins/line/large-fleet.test.ts
@@ -7,7 +7,7 @@
 	LineTestNode, databases, LineTestCluster, service,
 } from './line-test-cluster.js';
 
-/** More than those that connect to every endpoint themselves. */
+/** Number of nodes: too many for every node to connect to every endpoint. */
 const nodeCount = 24;
 
 describe('a fleet too large for every node to connect to every endpoint', () => {
@@ -19,7 +19,7 @@
 		return cluster;
 	}
 
-	/** Sends one statement over every node at one time; resolves with the answers. */
+	/** Sends one statement through every node at the same time; resolves to the answers. */
 	async function sendOverAll(nodes: readonly LineTestNode[], text: string, database: string): Promise<string[]> {
 		return cluster.clock.advanceUntil(Promise.all(nodes.map(async node => node.session(database).start(text))));
 	}
@@ -28,9 +28,9 @@
 		cluster.dispose();
 	});
 
-	it('serves reads and writes over every node with few connections to an endpoint', async () => {
+	it('serves reads and writes through every node with few connections to each endpoint', async () => {
 		const {clock, group, nodes} = await start();
-		let mostConnections = 0;
+		let maximumConnections = 0;
 		for (let round = 0; round < 10; round++) {
 			for (const database of [databases.primary, databases.own]) {
 				for (const text of ['WRITE x 1', 'READ x']) {
@@ -39,18 +39,18 @@
 				}
 			}
 
-			mostConnections = Math.max(mostConnections, ...group.instances.map(({sessions}) => sessions.size));
+			maximumConnections = Math.max(maximumConnections, ...group.instances.map(({sessions}) => sessions.size));
 			await clock.advance(100);
 		}
 
-		// Two homes that each run three, and the askers of three zones.
-		expect(mostConnections <= (2 * 3) + 4).toEqual(true);
+		// Two homes that each run three statements, and the coordinators of three zones.
+		expect(maximumConnections <= (2 * 3) + 4).toEqual(true);
 	});
 
-	// With 195 nodes each opened 194 links when all started, some 40 ms of a cold process for each:
-	// seconds of a third of a core in which the first callers waited, and most of what a node that
-	// starts spends (`npm run bench -- fleet-cost`).
-	it('links a node that is neither home nor asker to homes and askers only', async () => {
+	// If each of 195 nodes opens 194 links when all start, each link takes some 40 ms of a cold process.
+	// That is seconds on a third of a core, during which the first callers wait, and most of the cost of
+	// a start (`npm run bench -- fleet-cost`).
+	it('links a node that is neither home nor coordinator only to homes and coordinators', async () => {
 		cluster = new LineTestCluster();
 		const links = new Map<string, Set<string>>();
 		cluster.peerCallListener = ({from, to}) => {
@@ -71,12 +71,12 @@
 			}
 		}
 
-		const strangers = cluster.nodes.flatMap(({self}) => [...links.get(self.name) ?? []].filter(peer => !serving.has(peer)));
-		// Before the first nodes knew that the fleet is large, they met each other.
-		expect(strangers.length <= peeringDefaults.homesFrom * peeringDefaults.homesFrom).toEqual(true);
+		const unexpectedPeers = cluster.nodes.flatMap(({self}) => [...links.get(self.name) ?? []].filter(peer => !serving.has(peer)));
+		// The first nodes opened links to each other before they knew that the fleet is large.
+		expect(unexpectedPeers.length <= peeringDefaults.homesFrom * peeringDefaults.homesFrom).toEqual(true);
 	});
 
-	it('knows every node soon after all started, one that joins, and one that starts again', async () => {
+	it('learns of every node soon after all have started, of one that joins, and of one that starts again', async () => {
 		const {clock, nodes} = await start();
 		const known = (): number[] => nodes.map(({directory}) => directory.size);
 		expect(new Set(known())).toEqual(new Set([nodeCount]));
@@ -93,7 +93,7 @@
 		expect(new Set(starts)).toEqual(new Set(['2']));
 	});
 
-	it('keeps a transaction on one connection of a home, and serves others meanwhile', async () => {
+	it('keeps a transaction on one connection of a home, and serves other sessions meanwhile', async () => {
 		const {nodes} = await start();
 		const sessions = nodes.map(node => node.session(databases.primary));
 		for (const [index, session] of sessions.slice(0, 8).entries()) {
@@ -109,7 +109,7 @@
 		expect(await answerStartsWith(sessions[10].send('READ k1'), 'DATAROW 1|')).toEqual(true);
 	});
 
-	it('asks endpoints for their states no more often than a small fleet', async () => {
+	it('polls the state of endpoints no more often than a small fleet', async () => {
 		const {clock, group, nodes} = await start();
 		await sendOverAll(nodes, 'READ x', databases.primary);
 		const before = group.statusRequests;
@@ -118,20 +118,20 @@
 			await clock.advance(250);
 		}
 
-		// Three zones ask, four times a second, for some 5 s.
+		// The coordinators of three zones poll four times a second for some 5 s.
 		expect(group.statusRequests - before <= 3 * 4 * 6).toEqual(true);
 	});
 
-	it('follows the store over one node a zone', async () => {
+	it('follows the store through one node per zone', async () => {
 		const {clock, store} = await start();
 		await clock.advance(5000);
 		const before = store.calls;
 		await clock.advance(10_000);
-		// Three zones follow two tables with questions of 2 s; registrations are read every 20 s.
+		// Three zones follow two tables with requests that wait up to 2 s; registrations are read every 20 s.
 		expect(store.calls - before <= (3 * 2 * 6) + nodeCount).toEqual(true);
 	});
 
-	it('puts a change of the configuration in force on every node', async () => {
+	it('applies a change of the configuration on every node', async () => {
 		const {clock, nodes} = await start();
 		await clock.advance(5000);
 		cluster.configure(7);
@@ -139,7 +139,7 @@
 		expect(nodes.map(({catalog}) => catalog.version)).toEqual(nodes.map(() => 7));
 	});
 
-	it('follows the store itself where the asking node cannot', async () => {
+	it('follows the store directly where the coordinator cannot', async () => {
 		const {clock, nodes} = await start();
 		await clock.advance(5000);
 		nodes.find(({fleet}) => fleet.isCoordinator)!.isStoreUnreachable = true;
@@ -150,7 +150,7 @@
 		expect(behind.length <= 1).toEqual(true);
 	});
 
-	it('goes over the other home when one dies, and says truly what did not run', async () => {
+	it('uses the other home when one is lost, and reports no statement as done that did not run', async () => {
 		const {clock, nodes, group} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
 		const home = nodes.find(node => node.fleet.homes(node.registry.endpoint('i-1')!)[0]?.name === node.self.name)!;
@@ -168,15 +168,15 @@
 		expect(second.filter(answer => !answer.startsWith('COMPLETE'))).toEqual([]);
 	});
 
-	// A node that may not ask endpoints looks at its groups only when it is woken. The one that takes
-	// the asking over has to be, or its zone has no proofs for seconds.
-	it('goes on serving over the next asker of a zone when the asker is gone', async () => {
+	// A node that may not poll endpoints checks its groups only when it is woken. The node that takes over
+	// as coordinator has to be woken, or its zone has no proofs for seconds.
+	it('goes on serving through the next coordinator of a zone when the coordinator is lost', async () => {
 		const {clock, nodes} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
-		const asker = nodes.find(({fleet, self}) => fleet.isCoordinator && self.availabilityZone === 'a')!;
-		const others = nodes.filter(node => node !== asker);
+		const coordinator = nodes.find(({fleet, self}) => fleet.isCoordinator && self.availabilityZone === 'a')!;
+		const others = nodes.filter(node => node !== coordinator);
 		for (const node of others) {
-			node.unreachablePeers.add(asker.self.name);
+			node.unreachablePeers.add(coordinator.self.name);
 		}
 
 		await clock.advance(peeringDefaults.shareEveryMs);
@@ -191,9 +191,9 @@
 		expect(others.filter(({fleet, self}) => fleet.isCoordinator && self.availabilityZone === 'a').length).toEqual(1);
 	});
 
-	// Each endpoint says something of itself every 1.2 s, which changes its row. Passed on one by one,
-	// the 42 endpoints of a fleet were 35 calls a second of every node, most of what it did.
-	it('passes changes of followed tables on in batches', async () => {
+	// Each endpoint writes its registration every 1.2 s, which changes its row. Forwarded one by one, the
+	// changes of 42 endpoints cost every node 35 calls a second, most of its work.
+	it('forwards changes of followed tables in batches', async () => {
 		const {clock} = await start();
 		let rowsCalls = 0;
 		cluster.peerCallListener = ({kind}) => {
@@ -206,11 +206,11 @@
 			await clock.advance(50);
 		}
 
-		// Four batches of reports, and a question each for the two tables that did not change.
+		// Four batches of registrations a second, and one request for each of the two tables that did not change.
 		expect(rowsCalls <= nodeCount * seconds * (4 + 2)).toEqual(true);
 	});
 
-	/** A node that joins a fleet that runs. */
+	/** Starts a node that joins the running fleet. */
 	async function join(): Promise<LineTestNode> {
 		const late = new LineTestNode('late', 'a', 1, cluster);
 		cluster.nodes.push(late);
@@ -219,15 +219,15 @@
 		return late;
 	}
 
-	// A node that starts read the duty of each group: 2,730 reads where 195 nodes start before 14 groups.
-	it('lets a node that joins rely on what its asker was told by the store, and asks for changes since', async () => {
+	// If every node reads the duty of each group at its start, 195 nodes with 14 groups make 2,730 reads.
+	it('lets a joining node rely on the checks of its coordinator, and on the changes that the store reports since', async () => {
 		const {store} = await start();
 		const before = store.reads.get(dutyTable) ?? 0;
 		const late = await join();
 		expect([late.group.isLeased, (store.reads.get(dutyTable) ?? 0) - before]).toEqual([true, 0]);
 	});
 
-	it('gives no lease to a node that joins while a replacement has begun that its asker has not heard of', async () => {
+	it('gives no lease to a joining node if a replacement has begun that its coordinator does not know of', async () => {
 		const {clock, store} = await start();
 		const begun = {
 			holder: 'elsewhere', epoch: 7, usedAtMs: clock.nowMs(), claimId: 'c', term: 1,
@@ -237,7 +237,7 @@
 		expect([late.group.primary?.term, late.group.isLeased]).toEqual([1, false]);
 	});
 
-	it('has something in progress as long as another node holds a transaction', async () => {
+	it('keeps a home busy while another node has a transaction open there', async () => {
 		const {clock, nodes} = await start();
 		const homes = new Set(nodes[0].fleet.homes(nodes[0].registry.endpoint('i-1')!).map(({name}) => name));
 		const holders = nodes.filter(({self}) => homes.has(self.name));
@@ -250,7 +250,7 @@
 		expect(holders.map(({forwarded}) => forwarded.isIdle)).toEqual([true, true]);
 	});
 
-	it('tries a node that stays away less and less often, and at once when it starts again', async () => {
+	it('retries an unreachable node with growing backoff, and at once when it starts again', async () => {
 		const {clock, nodes: [node, other]} = await start();
 		const {name} = other.self;
 		const isTried = (): boolean => node.directory.reachablePeers().some(peer => peer.name === name);
@@ -267,7 +267,7 @@
 		expect(isTried()).toEqual(true);
 	});
 
-	it('gives the work for others to large hosts, and to small ones where those are gone', async () => {
+	it('chooses large hosts as homes, and small ones when those are unreachable', async () => {
 		cluster = new LineTestCluster();
 		await cluster.start(nodeCount, index => index < 6 ? 1.35 : 0.324);
 		const [node] = cluster.nodes;
@@ -283,7 +283,7 @@
 		expect([homes.length, new Set(homes.map(({availabilityZone}) => availabilityZone)).size]).toEqual([2, 1]);
 	});
 
-	it('replaces a primary that crashed once, with the askers alone looking', async () => {
+	it('replaces a crashed primary only once, with only the coordinators polling', async () => {
 		const {clock, group, ordered, nodes} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
 		await clock.advance(100);
@@ -301,7 +301,7 @@
 		expect(ordered.length).toEqual(1);
 	});
 
-	it('lets nobody but an asker replace a draining primary, without waiting for a place in a long row', async () => {
+	it('lets only a coordinator replace a draining primary, without a delay that grows with the number of nodes', async () => {
 		const {clock, ordered, nodes} = await start();
 		await sendOverAll(nodes, 'WRITE x 1', databases.primary);
 		cluster.register('i-1');
--- a/standins/line/line-group.ts
+++ b/standins/line/line-group.ts
@@ -1,6 +1,6 @@
 /**
- * A database group of the platform in memory: a primary, replicas that lag, terms,
- * transactions, slots. It keeps to the published pages and to nothing else.
+ * A database group of the platform in memory: a primary, replicas that lag, terms, transactions
+ * and slots. It behaves as the platform's published documentation says and assumes nothing else.
  */
 import type {Clock} from '../../src/common/services/services.js';
 import {LineInstanceSession} from './line-instance-session.js';
@@ -10,17 +10,17 @@
 	readonly items: ReadonlyMap<string, string>;
 };
 
-/** A write that took effect at a primary. Times are of the group's clock. */
+/** A write that took effect at a primary; times are those of the group's clock. */
 export type CommittedWrite = {
 	readonly id: string;
 	readonly instance: string;
 	readonly term: number;
 	readonly atMs: number;
-	/** Whether faults kept every replica from receiving it: fences are no fault. */
+	/** Whether faults kept every replica from receiving it; a fence does not count as a fault. */
 	readonly isUnreplicable: boolean;
 };
 
-/** The effect of a promotion. */
+/** A promotion that took effect. */
 export type PromotionEffect = {
 	readonly term: number;
 	readonly instance: string;
@@ -31,42 +31,42 @@
 export class LineInstance {
 	readonly id: string;
 	readonly group: LineGroup;
-	/** Entries that it holds. */
+	/** Entries that the instance has received. */
 	log: Entry[] = [];
-	/** Number of entries that its reads show. */
+	/** Number of entries that are applied, and so visible to reads. */
 	applied = 0;
 	term: number;
 	isPrimary: boolean;
-	/** Term for which it stopped receiving. */
+	/** Term for which the replica is fenced, that is, receives nothing; 0 if it is not fenced. */
 	fencedForTerm = 0;
-	/** Whether it answers at all. */
+	/** Whether the instance runs and answers. */
 	isUp = true;
-	/** Whether it receives what the primary writes. */
+	/** Whether the instance receives nothing of what the primary writes. */
 	isReplicationBlocked = false;
-	/** Whether promotions of others do not reach it. */
+	/** Whether the instance does not learn of promotions of other instances. */
 	missesPromotions = false;
-	/** Whether no other instance and no order of the platform reaches it. */
+	/** Whether neither other instances nor orders of the platform reach the instance. */
 	isIsolated = false;
 	lagMs = 20;
-	/** Time until it has received what the primary wrote. */
+	/** Time from a write at the primary until the replica has received it. */
 	replicationDelayMs = 0;
 	maximumConnections = 23;
 	slots = 3;
-	/** Ids of the statements whose writes took effect here, first as a primary. */
+	/** Ids of the statements whose writes took effect here while this instance was the primary. */
 	readonly committed: string[] = [];
-	/** Statements that ran, by their id; for checks of tests. */
+	/** Ids of the statements that ran, for checks by tests. */
 	readonly ran: string[] = [];
-	/** As whom each of them ran, by what its connection said when it began, and when it did first. */
+	/** For the id of each statement that ran: the user of the connection and the time, both of its first run. */
 	readonly firstRuns = new Map<string, {readonly user: string; readonly atMs: number}>();
-	/** Connections that were opened. */
+	/** Number of connections that were opened since the beginning. */
 	openedConnections = 0;
-	/** Questions for its state. */
+	/** Number of status requests that were answered. */
 	statusRequests = 0;
-	/** Ids whose answers are lost after they ran. */
+	/** Ids of statements that run and whose next answers are lost. */
 	readonly lostAnswers = new Set<string>();
-	/** Reports since its start. */
+	/** Number of registrations written since the last start. */
 	registrationCount = 0;
-	/** When it started, where the platform says so. */
+	/** Time of the start in milliseconds; undefined if the platform does not report it. */
 	startedAtMs: number | undefined;
 	busySlots = 0;
 	private readonly _sessions = new Set<LineInstanceSession>();
@@ -88,12 +88,12 @@
 		return `${this.log.at(-1)?.term ?? this.term}.${this.log.length}`;
 	}
 
-	/** Position that its reads show. */
+	/** Position up to which entries are applied and visible to reads. */
 	get position(): string {
 		return `${this.log[this.applied - 1]?.term ?? this.term}.${this.applied}`;
 	}
 
-	/** A new connection; the text is the error that refuses it. */
+	/** Opens a connection; returns the text of the error if the connection is refused. */
 	open(service: string, user: string, id: string): LineInstanceSession | string {
 		if (service !== this.group.service || (id !== '' && id !== this.id)) {
 			return `REDIRECT ${this.id}`;
@@ -113,19 +113,19 @@
 		this._sessions.delete(session);
 	}
 
-	/** Whether the log holds a position. */
+	/** Returns whether the entry at a position is applied. */
 	hasApplied(position: string): boolean {
 		const [term, offset] = position.split('.').map(Number);
 		const entry = this.log[offset - 1];
 		return offset === 0 || (offset <= this.applied && entry?.term === term);
 	}
 
-	/** The value of an item as its reads show it. */
+	/** Returns the value of an item as of the applied entries. */
 	read(item: string): string | undefined {
 		return this.log.slice(0, this.applied).findLast(({items}) => items.has(item))?.items.get(item);
 	}
 
-	/** Takes in that a statement runs. */
+	/** Records that a statement runs. */
 	recordRun(id: string, user: string): void {
 		this.ran.push(id);
 		if (!this.firstRuns.has(id)) {
@@ -141,7 +141,7 @@
 		this.group.replicate(this);
 	}
 
-	/** Starts anew: nothing of before is held or known. */
+	/** Starts the instance again with empty memory: connections end, and log and fence are lost. */
 	reset(isPrimary: boolean): void {
 		for (const session of this._sessions) {
 			session.end();
@@ -176,17 +176,17 @@
 		this.instances = ids.map((id, index) => new LineInstance(id, this, index === 0));
 	}
 
-	/** Questions for states that all instances were asked. */
+	/** Number of status requests that all instances answered together. */
 	get statusRequests(): number {
 		return this.instances.reduce((sum, {statusRequests}) => sum + statusRequests, 0);
 	}
 
-	/** Time of the group's clock. */
+	/** Returns the time of the group's clock. */
 	nowMs(): number {
 		return this._clock.nowMs();
 	}
 
-	/** The instance of an id; throws when there is none. */
+	/** Returns the instance with an id; throws if there is none. */
 	instance(id: string): LineInstance {
 		const found = this.instances.find(instance => instance.id === id);
 		if (!found) {
@@ -197,8 +197,8 @@
 	}
 
 	/**
-	 * Makes an instance lead the next term with what it received. Fences end everywhere at that
-	 * moment, also at instances that don't hear of the new term.
+	 * Makes an instance the primary of the next term with the log that it has received. All fences
+	 * end at that moment, also those at instances that do not learn of the new term.
 	 */
 	promote(id: string): void {
 		const next = this.instance(id);
@@ -220,33 +220,33 @@
 		}
 	}
 
-	/** A crashed instance is back: it follows whoever leads a later term, and goes on leading otherwise. */
+	/** Brings a crashed instance back with its log. It follows the primary of a later term if it reaches one; otherwise a primary stays primary, and a replica follows a running primary. */
 	rejoin(id: string): void {
 		const instance = this.instance(id);
 		instance.isUp = true;
 		instance.fencedForTerm = 0;
-		const leader = this.newerPrimary(instance)
+		const primary = this.newerPrimary(instance)
 			?? (instance.isPrimary ? undefined : this._reachablePrimaries(instance).find(({isUp}) => isUp));
-		if (leader) {
-			follow(instance, leader);
+		if (primary) {
+			follow(instance, primary);
 		}
 	}
 
-	/** The leader of a later term that an instance can reach; undefined where it is not left behind. */
+	/** Returns the primary of a later term that an instance can reach; undefined if the instance is not stale. */
 	newerPrimary(instance: LineInstance): LineInstance | undefined {
 		return this._reachablePrimaries(instance).find(({term}) => term > instance.term);
 	}
 
-	/** An instance that was left behind follows the leader of a later term, with that one's log. */
+	/** Makes a stale instance follow the primary of a later term and adopt that primary's log. */
 	catchUp(instance: LineInstance): void {
-		const leader = this.newerPrimary(instance);
-		if (leader) {
-			instance.fencedForTerm = instance.fencedForTerm > leader.term ? instance.fencedForTerm : 0;
-			follow(instance, leader);
+		const primary = this.newerPrimary(instance);
+		if (primary) {
+			instance.fencedForTerm = instance.fencedForTerm > primary.term ? instance.fencedForTerm : 0;
+			follow(instance, primary);
 		}
 	}
 
-	/** Keeps that a write took effect. */
+	/** Records that a write took effect at a primary. */
 	recordCommit(id: string, primary: LineInstance): void {
 		const isUnreplicable = !this.instances.some(other => other !== primary && this._canReplicate(primary, other));
 		this.commits.push({
@@ -255,22 +255,22 @@
 	}
 
 	/**
-	 * An instance starts again under its id with an empty memory: its connections end, and it
-	 * has forgotten its log and its fence. It follows the primary that it reaches after a time,
-	 * or calls itself the primary that it was.
+	 * Starts an instance again under its id with empty memory: its connections end, and its log and
+	 * its fence are lost. After `syncMs` it follows a primary that it reaches; with `isPrimary` it
+	 * reports itself as the primary, with an empty log.
 	 */
 	restart(id: string, {syncMs, isPrimary = false}: {readonly syncMs: number; readonly isPrimary?: boolean}): void {
 		const instance = this.instance(id);
 		instance.reset(isPrimary);
 		this._clock.setTimer(syncMs, () => {
-			const leader = this._reachablePrimaries(instance).find(({isUp}) => isUp);
-			if (leader && !instance.isPrimary && instance.fencedForTerm === 0) {
-				follow(instance, leader);
+			const primary = this._reachablePrimaries(instance).find(({isUp}) => isUp);
+			if (primary && !instance.isPrimary && instance.fencedForTerm === 0) {
+				follow(instance, primary);
 			}
 		});
 	}
 
-	/** Sends what a primary wrote to its replicas; they apply it later. */
+	/** Replicates a primary's log to its replicas, which apply it after their lag. */
 	replicate(primary: LineInstance): void {
 		const {length} = primary.log;
 		for (const replica of this.instances) {
@@ -287,20 +287,20 @@
 		}
 	}
 
-	/** Whether what a primary writes arrives at a replica, but for a fence. */
+	/** Returns whether a replica can receive what a primary writes; fences are not considered. */
 	private _canReplicate(primary: LineInstance, replica: LineInstance): boolean {
 		const isLinked = replica.isUp && !replica.isReplicationBlocked && !replica.isIsolated && !primary.isIsolated;
 		return isLinked && !replica.isPrimary && replica.term === primary.term;
 	}
 
-	/** Other instances that call themselves primary and can be reached, that of the latest term first. */
+	/** Returns the other instances that report themselves as primary and can be reached, the latest term first. */
 	private _reachablePrimaries(instance: LineInstance): LineInstance[] {
 		return this.instances
 			.filter(other => other !== instance && other.isPrimary && !other.isIsolated && !instance.isIsolated && !instance.isReplicationBlocked)
 			.toSorted((a, b) => b.term - a.term);
 	}
 
-	/** A replica takes nothing from a primary whose log is shorter than its own of the term. */
+	/** Extends a replica's log with the primary's entries up to `length`. A replica accepts nothing from a primary whose log is shorter than its own. */
 	private _receive(replica: LineInstance, primary: LineInstance, length: number): void {
 		if (primary.log.length < replica.log.length) {
 			return;
@@ -317,14 +317,14 @@
 	return isUp && !missesPromotions && !isIsolated;
 }
 
-function follow(instance: LineInstance, leader: LineInstance): void {
+function follow(instance: LineInstance, primary: LineInstance): void {
 	instance.isPrimary = false;
-	instance.term = leader.term;
-	instance.log = [...leader.log];
-	instance.applied = leader.log.length;
+	instance.term = primary.term;
+	instance.log = [...primary.log];
+	instance.applied = primary.log.length;
 }
 
-/** What an instance writes into its registration; its count of reports goes on. */
+/** Returns the text of an instance's registration, and increases the instance's count of registrations. */
 export function registrationOf(instance: LineInstance, address: string, zone: string, isDraining = false): string {
 	instance.registrationCount += 1;
 	return JSON.stringify({
--- a/standins/line/line-instance-session.ts
+++ b/standins/line/line-instance-session.ts
@@ -1,42 +1,43 @@
 /**
- * One connection to an instance of the stand-in: its transaction, values and prepared statements.
+ * One connection to an instance of the stand-in, with its transaction, session values and prepared
+ * statements. It runs the statements of the platform's line protocol.
  */
 import type {LineInstance} from './line-group.js';
 
-/** A write that a transaction has not committed. */
+/** A transaction that has begun and has not ended; its writes take effect at the commit. */
 type Transaction = {
 	readonly isReadOnly: boolean;
 	readonly items: Map<string, string>;
-	/** Term in which it began. */
+	/** Term of the instance at the beginning of the transaction. */
 	readonly term: number;
 	isFailed: boolean;
 };
 
-/** One connection's state at an instance. */
+/** State of one connection at an instance. */
 export class LineInstanceSession {
 	readonly instance: LineInstance;
-	/** Who connected. */
+	/** User that the connection was opened for. */
 	readonly user: string;
 	readonly values = new Map<string, string>();
 	readonly prepared = new Map<string, {isWrite: boolean; shape: string}>();
 	private _transaction: Transaction | undefined;
 	private _onEnd: (() => void) | undefined;
-	/** Id of the statement that runs. */
+	/** Id of the statement in progress. */
 	private _id = '';
 
 	private readonly _handlers: Readonly<Record<string, (rest: string, floor: string | undefined) => string>> = {
-		BEGIN: (rest, floor) => this._begin(rest === 'READ', floor),
+		BEGIN: (rest, minimumPosition) => this._begin(rest === 'READ', minimumPosition),
 		COMMIT: () => this._commit(),
 		ROLLBACK: () => this._rollBack(),
-		READ: (rest, floor) => this._read(rest, floor),
+		READ: (rest, minimumPosition) => this._read(rest, minimumPosition),
 		WRITE: rest => this._write(rest),
 		SET: rest => this._set(rest),
 		PREPARE: rest => this._prepare(rest),
-		EXECUTE: (rest, floor) => this._execute(rest, floor),
+		EXECUTE: (rest, minimumPosition) => this._execute(rest, minimumPosition),
 		DEALLOC: rest => this._deallocate(rest),
 		DISCARD: () => this._discard(),
-		STATUS: () => this._row(),
-		PAUSE: rest => this._pause(Number(rest)),
+		STATUS: () => this._statusResponse(),
+		PAUSE: rest => this._fence(Number(rest)),
 		RESUME: () => this._resume(),
 		STEPDOWN: rest => this._stepDown(Number(rest)),
 	};
@@ -46,18 +47,18 @@
 		this.user = user;
 	}
 
-	/** Calls back when the instance ends the connection. */
+	/** Sets the listener that is called when the instance ends the connection. */
 	onEnd(listener: () => void): void {
 		this._onEnd = listener;
 	}
 
-	/** The instance has ended: so has the connection. */
+	/** Ends the connection because its instance has ended. */
 	end(): void {
 		this.instance.close(this);
 		this._onEnd?.();
 	}
 
-	/** Answers one statement: its lines, each with its end; undefined where the answer is lost. */
+	/** Runs one statement and returns its answer, each line with its terminator; undefined if a test had the answer lost. */
 	query(id: string, text: string): string | undefined {
 		const {floor, statement} = splitMinimumPosition(text);
 		const [word, rest] = splitWord(statement);
@@ -81,13 +82,13 @@
 		return this._transaction.isFailed ? 'E' : 'T';
 	}
 
-	private _begin(isReadOnly: boolean, floor: string | undefined): string {
-		if (floor !== undefined && !this.instance.hasApplied(floor)) {
+	private _begin(isReadOnly: boolean, minimumPosition: string | undefined): string {
+		if (minimumPosition !== undefined && !this.instance.hasApplied(minimumPosition)) {
 			return `ERROR LAGGING ${this.instance.id}\r\n`;
 		}
 
 		if (!isReadOnly && !this.instance.isPrimary) {
-			return this._readOnly();
+			return this._readOnlyError();
 		}
 
 		this._transaction = {
@@ -108,7 +109,7 @@
 		}
 
 		if (!this.instance.isPrimary || this.instance.term !== transaction.term) {
-			return this._readOnly();
+			return this._readOnlyError();
 		}
 
 		this.instance.append(this._id, transaction.items);
@@ -120,13 +121,13 @@
 		return complete('-');
 	}
 
-	private _read(item: string, floor: string | undefined): string {
-		if (floor !== undefined && !this.instance.hasApplied(floor)) {
+	private _read(item: string, minimumPosition: string | undefined): string {
+		if (minimumPosition !== undefined && !this.instance.hasApplied(minimumPosition)) {
 			return `ERROR LAGGING ${this.instance.id}\r\n`;
 		}
 
 		if (this._wasDemoted()) {
-			return this._fail();
+			return this._failTransaction();
 		}
 
 		const value = this._transaction?.items.get(item) ?? this.instance.read(item);
@@ -135,7 +136,7 @@
 
 	private _write(rest: string): string {
 		if (!this.instance.isPrimary || this._transaction?.isReadOnly === true || this._wasDemoted()) {
-			return this._fail();
+			return this._failTransaction();
 		}
 
 		const [item, data] = splitWord(rest);
@@ -161,14 +162,14 @@
 		return complete('-');
 	}
 
-	private _execute(rest: string, floor: string | undefined): string {
+	private _execute(rest: string, minimumPosition: string | undefined): string {
 		const [name, parameters] = splitWord(rest);
 		const prepared = this.prepared.get(name);
 		if (!prepared) {
 			return `ERROR NOSTMT ${name}\r\n`;
 		}
 
-		return prepared.isWrite ? this._write(parameters) : this._read(parameters, floor);
+		return prepared.isWrite ? this._write(parameters) : this._read(parameters, minimumPosition);
 	}
 
 	private _deallocate(name: string): string {
@@ -182,22 +183,22 @@
 		return complete('-');
 	}
 
-	private _row(): string {
+	private _statusResponse(): string {
 		this.instance.statusRequests += 1;
 		return `DATAROW ${this.instance.statusRow()}\r\n${complete('-')}`;
 	}
 
-	private _pause(term: number): string {
+	private _fence(term: number): string {
 		if (!this.instance.isPrimary && term > this.instance.term) {
 			this.instance.fencedForTerm = term;
 		}
 
-		return this._row();
+		return this._statusResponse();
 	}
 
 	private _resume(): string {
 		this.instance.fencedForTerm = 0;
-		return this._row();
+		return this._statusResponse();
 	}
 
 	private _stepDown(term: number): string {
@@ -205,7 +206,7 @@
 			this.instance.isPrimary = false;
 		}
 
-		return this._row();
+		return this._statusResponse();
 	}
 
 	private _wasDemoted(): boolean {
@@ -213,19 +214,19 @@
 		return transaction !== undefined && !transaction.isReadOnly && (!this.instance.isPrimary || this.instance.term !== transaction.term);
 	}
 
-	private _fail(): string {
+	private _failTransaction(): string {
 		if (this._transaction) {
 			this._transaction.isFailed = true;
 		}
 
-		return this._readOnly();
+		return this._readOnlyError();
 	}
 
-	private _readOnly(): string {
+	private _readOnlyError(): string {
 		return `ERROR READONLY ${this.instance.id}\r\n`;
 	}
 
-	/** Ends a line of a success; the values it ran with are part of it, so that tests see them. */
+	/** Returns the text of a success: the instance and the session values that the statement ran with, so that tests can check them. */
 	private _digest(): string {
 		return `${this.instance.id}|${[...this.values].map(([name, value]) => `${name}=${value}`).toSorted().join(',')}`;
 	}
--- a/standins/line/line-platform-server.ts
+++ b/standins/line/line-platform-server.ts
@@ -29,18 +29,18 @@
 	conditionFailed: 412, throttled: 429, invalid: 400, unavailable: 503,
 };
 
-/** The same for promotions: an order that is not carried out is in conflict with what stands. */
+/** Statuses of promotions: an order that is not carried out conflicts with the state of the group. */
 const promotionStatuses = {...statuses, invalid: 409};
 
 type Answer = {readonly status: number; readonly body: unknown};
 
-/** One port for all calls. */
+/** Serves all calls on one port. */
 export class LinePlatformServer {
-	/** Most rows of one answer to a read. */
+	/** Maximum number of rows in one answer to a read. */
 	maximumPageRows = 500;
-	/** Whether answers say how often the store has come back from a copy. */
+	/** Whether answers carry the era of the store. */
 	sendsEra = true;
-	/** Told of each read right after its rows were taken. */
+	/** Called for each read after its rows were read and before it is answered. */
 	onRead: (() => void) | undefined;
 	private readonly _store: MemoryRowStore;
 	private readonly _promotions: PromotionCalls;
@@ -68,7 +68,7 @@
 		});
 	}
 
-	/** Listens on a free port; resolves with it. */
+	/** Listens on a free port; resolves to the port. */
 	async listen(host: string): Promise<number> {
 		return listenOn(this._server, {host, port: 0});
 	}
@@ -86,7 +86,7 @@
 			const era = this.sendsEra ? {[eraHeader]: this._store.era} : {};
 			response.writeHead(status, {'content-type': 'application/json', ...era}).end(JSON.stringify(body));
 		} catch (error) {
-			// A caller that broke its call off, or one whose body cannot be read.
+			// The caller aborted the request, or its body is malformed.
 			response.writeHead(400).end(String(error));
 		}
 	}
@@ -101,7 +101,7 @@
 		return toAnswer(written, ({version, storeNowMs}) => ({status: 200, body: {ver: counterOf(version), 'now-ms': storeNowMs}}));
 	}
 
-	/** Callers name a counter; the store takes it for one of its own. */
+	/** Converts a counter that a caller sent to a version in the store's current era. */
 	private _versionOf(counter: number): number {
 		return storeVersion(this._store.era, counter);
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-/** The rows of an answer from a key on, as many as one page holds. */
+/** Reduces an answer to one page: the rows from a key on, in the order of their keys, at most `limit`. */
 function pageOf({status, body}: Answer, from: string, limit: number): Answer {
 	const read = z.looseObject({rows: z.array(z.looseObject({key: z.string()}))}).safeParse(body);
 	if (status !== 200 || !read.success) {
--- a/standins/line/line-test-cluster.ts
+++ b/standins/line/line-test-cluster.ts
@@ -1,5 +1,6 @@
 /**
- * Whole nodes in one process on a virtual clock: everything but sockets is the product's own.
+ * A cluster of complete nodes in one process on a virtual clock. All components except the sockets
+ * are the product's own.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -56,24 +57,24 @@
 import {MemoryConnector} from './memory-connector.js';
 import {MemoryRowStore} from './memory-row-store.js';
 
-/** Name of the one service. */
+/** Name of the only service. */
 export const service = 'svc';
 
-/** Databases of the bench, by the kind of their routes. */
+/** Databases of the test cluster, by the kind of their routes. */
 export const databases = {primary: 'db-primary', aged: 'db-aged', own: 'db-own'} as const;
 
 const routeKinds = {primary: 'primary', aged: 'bounded_staleness', own: 'read_your_writes'} as const;
 
-/** How the usage of organisations is counted. */
+/** Rule by which the usage of organisations is limited. */
 export const usageRule: UsageRule = {windowS: 5, overshootShare: 0.1, slack: 20};
 
-/** Time that a promotion takes to have an effect, unless a test says otherwise. */
+/** Default time from the order of a promotion to its effect. */
 const defaultPromotionMs = 500;
 
-/** Something that a node logged. */
+/** A log event of a node. */
 export type LoggedEvent = {readonly name: LogEventName; readonly fields: Readonly<Record<string, unknown>>};
 
-/** One node. */
+/** One node of the test cluster. */
 export class LineTestNode {
 	readonly events: LoggedEvent[] = [];
 	readonly connector: MemoryConnector;
@@ -88,9 +89,9 @@
 	readonly fleet: Fleet;
 	readonly forwarded: ForwardedStatements;
 	readonly usage: UsageLimits;
-	/** Whether the store turns this node away. */
+	/** Whether this node's calls to the store fail. */
 	isStoreUnreachable = false;
-	/** Names of nodes that it cannot call. */
+	/** Names of nodes that cannot be reached: calls between them and this node fail in both directions. */
 	readonly unreachablePeers = new Set<string>();
 	private readonly _cluster: LineTestCluster;
 	private readonly _noticeHandlers: HandlersOf<PeerNotice, void> = {
@@ -109,7 +110,7 @@
 	};
 
 	private readonly _access: AccessControl;
-	private readonly _sharing: OverviewPoller;
+	private readonly _overviewPoller: OverviewPoller;
 	private readonly _registrations: Registrations;
 	private readonly _runner: StatementRunner;
 
@@ -157,7 +158,7 @@
 			queueOptions: defaultHomeOptions,
 		});
 		const peers = new FleetPrimacyPeers(peering, this.directory, fleet);
-		const ways = new EndpointPoolSelector({
+		const poolSelector = new EndpointPoolSelector({
 			...peering, directory: this.directory, fleet, pools: this.pools, poolOptions: poolDefaults,
 		});
 		const sharing = {
@@ -167,7 +168,7 @@
 			get isCoordinatorOnly() {
 				return fleet.isCoordinatorOnly;
 			},
-			refresh: async () => this._sharing.refresh(),
+			refresh: async () => this._overviewPoller.refresh(),
 		};
 		this.primacies = new PrimaryTrackers({
 			...shared,
@@ -176,16 +177,16 @@
 			pools: this.pools,
 			promotions: cluster.promotions,
 			sharing,
-			endpointPools: ways,
+			endpointPools: poolSelector,
 			audit: {
 				record() {
-					// Not looked at.
+					// The tests do not check audit records.
 				},
 			},
 			options: primacyDefaults,
 			availabilityZone,
 		});
-		this._sharing = new OverviewPoller(peering, this.directory, fleet, this.primacies);
+		this._overviewPoller = new OverviewPoller(peering, this.directory, fleet, this.primacies);
 		const relays = new Relays({
 			...peering, peers, poolOptions: poolDefaults,
 		}, this.primacies);
@@ -198,7 +199,7 @@
 			budgets,
 			options: usageDefaults,
 			holders: new FleetUsageHolders({
-				directory: this.directory, fleet, touchMs: usageDefaults.touchMs, sharing: () => this._sharing,
+				directory: this.directory, fleet, touchMs: usageDefaults.touchMs, sharing: () => this._overviewPoller,
 			}),
 		});
 		this.catalog.onChange(() => {
@@ -213,7 +214,7 @@
 			catalog: this.catalog,
 			access: this._access,
 			usage: this.usage,
-			endpointPools: ways,
+			endpointPools: poolSelector,
 			trackers: this.primacies,
 			availabilityZone,
 			options: lineSessionDefaults,
@@ -225,7 +226,7 @@
 		this.requests = this._makeRequests();
 	}
 
-	/** The group as this node knows it. */
+	/** This node's tracker of the group's primary. */
 	get group(): PrimaryTracker {
 		return this.primacies.group(service);
 	}
@@ -241,21 +242,21 @@
 		});
 		void this.directory.discover();
 		void this._registrations.run();
-		void this._sharing.run();
+		void this._overviewPoller.run();
 	}
 
-	/** A new session with one of the databases, of a caller that sends a word or a key. */
-	session(database: string, word = 'caller'): LineTestSession {
-		return new LineTestSession(new LineSession(database, this._access.credential(word), this.sessionServices, this._runner), this._cluster.clock);
+	/** Opens a session with one of the databases for a caller that sends a credential: a word, or an API key. */
+	session(database: string, credential = 'caller'): LineTestSession {
+		return new LineTestSession(new LineSession(database, this._access.credential(credential), this.sessionServices, this._runner), this._cluster.clock);
 	}
 
-	/** Fields of every event of a name. */
+	/** Returns the fields of every logged event of a name. */
 	logged(name: LogEventName): ReadonlyArray<Readonly<Record<string, unknown>>> {
 		return this.events.filter(event => event.name === name).map(({fields}) => fields);
 	}
 
 	dispose(): void {
-		this._sharing.dispose();
+		this._overviewPoller.dispose();
 		this._registrations.dispose();
 		this.directory.dispose();
 		this.primacies.dispose();
@@ -264,7 +265,7 @@
 		this.catalog.dispose();
 	}
 
-	/** The store as this node reaches it. */
+	/** Wraps the store so that this node's calls fail while the store is unreachable. */
 	private _storeWithFaults(store: RowStore): RowStore {
 		const reach = async <T>(call: () => Promise<Either<PlatformFault, T>>): Promise<Either<PlatformFault, T>> =>
 			this.isStoreUnreachable ? Left({kind: 'unavailable', detail: 'cut by the test'}) : call();
@@ -288,7 +289,7 @@
 				this._onNotice(notice);
 			},
 			overview: async name => {
-				this._sharing.recordIncomingPoll();
+				this._overviewPoller.recordIncomingPoll();
 				return name === '' ? this.primacies.overviews(name) : this.primacies.opinion(name);
 			},
 			status: async (endpointId, timeoutMs) => forwarded.status(endpointId, timeoutMs),
@@ -297,7 +298,7 @@
 			begin: async (endpointId, statement, isReadOnly) => forwarded.begin(endpointId, statement, isReadOnly),
 			runHeld: async (heldId, statement) => forwarded.runHeld(heldId, statement),
 			end: async (heldId, manner) => forwarded.end(heldId, manner),
-			takeUsage: async ask => this.usage.ask(ask),
+			takeUsage: async request => this.usage.ask(request),
 		};
 	}
 
@@ -306,33 +307,33 @@
 	}
 }
 
-/** A call that a node made to another one. */
+/** A call from one node to another. */
 export type ObservedPeerCall = {readonly from: string; readonly to: string; readonly kind: Exclude<keyof PeerCalls, 'dispose'>};
 
-/** Nodes before one group of three instances. */
+/** Nodes in front of one group of three instances. */
 export class LineTestCluster {
 	readonly clock = new VirtualClock();
 	readonly store = new MemoryRowStore(this.clock);
 	readonly group = new LineGroup(service, ['i-1', 'i-2', 'i-3'], this.clock);
 	readonly nodes: LineTestNode[] = [];
-	/** Promotions that were ordered: instance, holder and epoch. */
+	/** Promotions that were ordered: the instance, the holder of the duty and the epoch. */
 	readonly ordered: Array<{readonly id: string; readonly holder: string; readonly epoch: number}> = [];
-	/** Time from the next order to its effect. */
+	/** Time from the order of a promotion to its effect. */
 	promotionMs = defaultPromotionMs;
-	/** Orders whose answers are lost: they are carried out all the same. */
+	/** Number of next orders whose answers are lost although the promotions take effect. */
 	orderAnswersToLose = 0;
-	/** Time after which a revoked key may count on no node; as on platforms that ask for it. */
+	/** Time within which every node must refuse a revoked key; undefined for a platform without such a bound. */
 	keyRevocationMs: number | undefined;
-	/** Organisations that the next configuration names, as operators write them; none by default. */
+	/** Organisations of the next configuration, in the form in which operators write them; none by default. */
 	organisations: ReadonlyArray<Readonly<Record<string, unknown>>> | undefined;
-	/** Told of every call between nodes before it is made. */
+	/** Called for every call between nodes, before the call is made. */
 	peerCallListener: ((call: ObservedPeerCall) => void) | undefined;
 
 	readonly promotions: PromotionCalls = {
 		promote: async (name, id, holder, epoch) => {
 			this.ordered.push({id, holder, epoch});
 			if (!this.group.instance(id).isUp) {
-				return Left({kind: 'invalid', detail: 'does not run'});
+				return Left({kind: 'invalid', detail: 'the instance does not run'});
 			}
 
 			this.clock.setTimer(this.promotionMs, () => {
@@ -348,7 +349,7 @@
 		},
 	};
 
-	/** Starts nodes in zones a, b, c by turns, with as many cores as given, and waits until they serve. */
+	/** Starts nodes in the zones a, b and c in turn, with the given numbers of cores, and waits until they serve. */
 	async start(nodes: number, coresOf: (index: number) => number = () => 1): Promise<void> {
 		this.configure(1);
 		this.register();
@@ -368,7 +369,7 @@
 		return node;
 	}
 
-	/** Ends every node without a word and starts all again at once, as a loss of power does. */
+	/** Ends every node without notice and starts all of them again at once, as after a loss of power. */
 	restartAll(): void {
 		const ended = this.nodes.splice(0);
 		for (const node of ended) {
@@ -380,7 +381,7 @@
 		}
 	}
 
-	/** Writes a configuration; `without` leaves a database out. */
+	/** Writes a configuration; `without` names a database whose route is left out. */
 	configure(version: number, without?: keyof typeof databases): void {
 		const routes = (['primary', 'aged', 'own'] as const).filter(kind => kind !== without).map(kind => ({
 			name: `r-${kind}`, host: databases[kind], kind: routeKinds[kind], service,
@@ -391,7 +392,7 @@
 		}));
 	}
 
-	/** Writes what the instances say of themselves; `draining` names one that leaves. */
+	/** Writes the registrations of all instances; `draining` names one that is draining. */
 	register(draining?: string): void {
 		for (const [index, instance] of this.group.instances.entries()) {
 			const {id} = instance;
@@ -399,7 +400,7 @@
 		}
 	}
 
-	/** Calls between nodes, which the test may cut. */
+	/** Returns a node's calls to other nodes; they fail for the peers that a test made unreachable. */
 	peerCallsOf(from: LineTestNode): PeerCalls {
 		const {clock} = this;
 		const reach = async <T>(peer: PeerNode, kind: ObservedPeerCall['kind'], work: (requests: PeerRequestHandlers) => T | Promise<T>): Promise<Either<string, T>> => {
@@ -440,12 +441,12 @@
 			async end(peer, heldId, manner) {
 				await reach(peer, 'end', async requests => requests.end(heldId, manner));
 			},
-			async takeUsage(peer, ask, timeoutMs) {
-				const answer = await withTimeout(clock, reach(peer, 'takeUsage', async requests => requests.takeUsage(ask)), timeoutMs);
+			async takeUsage(peer, request, timeoutMs) {
+				const answer = await withTimeout(clock, reach(peer, 'takeUsage', async requests => requests.takeUsage(request)), timeoutMs);
 				return (answer ?? Left('silent')).chain(grant => grant ? Right(grant) : Left(noBudgetHere));
 			},
 			dispose() {
-				// Nothing is held.
+				// There is nothing to release.
 			},
 		};
 	}
@@ -457,7 +458,7 @@
 	}
 }
 
-/** Cuts a node off from instances. */
+/** Makes a node's connections to instances fail and closes those that are idle. */
 export function cutConnections(node: LineTestNode, ids: readonly string[]): void {
 	for (const id of ids) {
 		node.connector.connectionFaults.set(id, 'refused');
--- a/standins/line/memory-connector.ts
+++ b/standins/line/memory-connector.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to a group in memory, with faults that tests inject.
+ * Connections to an in-memory group, with faults that tests inject.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -13,17 +13,17 @@
 import type {LineGroup, LineInstance} from './line-group.js';
 import type {LineInstanceSession} from './line-instance-session.js';
 
-/** Time that an answer takes, in milliseconds. */
+/** Time from a request to its answer, in milliseconds. */
 const answerMs = 1;
 
-/** Who connects on a node's own behalf. */
+/** User of connections that a node opens on its own behalf, for no organisation. */
 const nodeUser = 'node';
 
 /** Connects to instances of a group without a network. */
 export class MemoryConnector implements LineConnector {
-	/** Ids of instances that cannot be reached from here: `refused` at once, `silent` for ever. */
+	/** Faults by the id of the instance: `refused` connections fail at once; on `silent` ones nothing is answered. */
 	readonly connectionFaults = new Map<string, 'refused' | 'silent'>();
-	/** Ids of statements that run, and whose answers never come. */
+	/** Ids of statements that run and are never answered. */
 	readonly unanswered = new Set<string>();
 	private readonly _group: LineGroup;
 	private readonly _clock: Clock;
@@ -52,7 +52,7 @@
 		return Right(new MemoryConnection(session, this, this._clock));
 	}
 
-	/** How an instance is cut off. */
+	/** Returns the fault of connections to an instance; undefined if it can be reached. */
 	connectionFaultOf(instance: LineInstance): 'refused' | 'silent' | undefined {
 		return instance.isUp ? this.connectionFaults.get(instance.id) : 'refused';
 	}
@@ -79,7 +79,7 @@
 	async exchange(requests: readonly string[]): Promise<Either<ConnectionFault, readonly EndpointAnswer[]>> {
 		const {instance} = this._session;
 		if (this._isClosed) {
-			return Left({kind: 'closed', detail: 'closed before'});
+			return Left({kind: 'closed', detail: 'the connection is closed'});
 		}
 
 		const cut = this._connector.connectionFaultOf(instance);
@@ -118,7 +118,7 @@
 
 function answerOf(lines: readonly string[]): EndpointAnswer {
 	const decoded = lines.map(line => lineWire.decodeAnswer(line));
-	const ready = decoded.at(-1) as Extract<AnswerLine, {kind: 'ready'}>; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- every answer ends so
+	const ready = decoded.at(-1) as Extract<AnswerLine, {kind: 'ready'}>; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- every answer ends with a ready line
 	const error = decoded.find(line => line.kind === 'error');
 	return {
 		text: lines.slice(0, -1).map(line => `${line}\r\n`).join(''),
--- a/standins/line/memory-row-store.ts
+++ b/standins/line/memory-row-store.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store of versioned rows in memory, with outages, lost answers, a history that
- * can be dropped, and copies from which it can come back.
+ * The platform's store of versioned rows in memory. Tests can make it unavailable or silent, lose
+ * answers, drop its history, and restore it from a snapshot.
  */
 import type {Either} from 'purify-ts';
 import {Left, Right} from 'purify-ts';
@@ -11,10 +11,10 @@
 	Clock, ConditionalWrite, PlatformFault, RowStore, StoredRow, StoredRows,
 } from '../../src/common/services/services.js';
 
-/** A row with its version as the store counts it. */
+/** A row with its version as the store's counter, without the era. */
 type VersionedRow = StoredRow & {readonly partition: string};
 
-/** What the store held at one moment. */
+/** The contents of the store at one moment. */
 export type StoreSnapshot = {
 	readonly rows: ReadonlyMap<string, VersionedRow>;
 	readonly history: readonly VersionedRow[];
@@ -22,23 +22,23 @@
 	readonly version: number;
 };
 
-const unavailable: PlatformFault = {kind: 'unavailable', detail: 'away, by the test'};
+const unavailable: PlatformFault = {kind: 'unavailable', detail: 'made unavailable by the test'};
 
-/** Rows, and the changes since the history was last dropped. */
+/** The rows, and the history of their changes since it was last dropped. */
 export class MemoryRowStore implements RowStore {
-	/** Whether nobody is answered. */
+	/** Whether every call fails as unavailable. */
 	isUnavailable = false;
-	/** Whether calls are never answered. */
+	/** Whether reads are never answered, neither those of rows nor those of changes. */
 	isSilent = false;
-	/** Whether changes are never kept. */
+	/** Whether the history of changes is always reported as gone. */
 	keepsNoHistory = false;
-	/** Answers of writes that are lost after they took effect. */
+	/** Number of next conditional writes that take effect and whose answers are lost. */
 	writeAnswersToLose = 0;
-	/** Told of each conditional write right after it took effect, before it is answered. */
+	/** Called for each conditional write after it took effect and before it is answered. */
 	onConditionalWrite: ((write: ConditionalWrite) => void) | undefined;
-	/** Calls that were made. */
+	/** Number of calls that were made. */
 	calls = 0;
-	/** Reads of whole partitions among them, by table. */
+	/** Number of reads of whole partitions, by table; they count as calls as well. */
 	readonly reads = new Map<string, number>();
 	private readonly _clock: Clock;
 	private _rows = new Map<string, VersionedRow>();
@@ -80,7 +80,7 @@
 		}
 
 		await this._waitWhileSilent();
-		// Questions that wait are cut when the store is restored.
+		// Requests that wait for a change fail when the store is restored.
 		return this.isUnavailable || era !== this._era ? Left(unavailable) : Right(this._answer(this._changes(table, after)));
 	}
 
@@ -93,7 +93,7 @@
 		const key = keyOf(write);
 		const known = this._rows.get(key)?.version ?? 0;
 		if (write.expectedVersion !== (known === 0 ? 0 : storeVersion(this._era, known))) {
-			return Left({kind: 'conditionFailed', detail: 'another version'});
+			return Left({kind: 'conditionFailed', detail: 'the row has another version than expected'});
 		}
 
 		this.put(write.table, write.key, write.value, write.partition);
@@ -106,7 +106,7 @@
 		return Right({version: storeVersion(this._era, this._version), storeNowMs: this._clock.nowMs()});
 	}
 
-	/** Writes a row as the operator or an instance does; undefined removes it. */
+	/** Writes a row without a condition, as the operator and the instances do; the value undefined removes it. */
 	put(table: string, key: string, value: string | undefined, partition = ''): void {
 		this._version += 1;
 		const row: VersionedRow = {
@@ -124,30 +124,30 @@
 		}
 	}
 
-	/** Forgets all changes so far. */
+	/** Drops the history of all changes so far. */
 	dropHistory(): void {
 		this._history = [];
 		this._historyFrom = this._version;
 	}
 
-	/** Version of its newest transaction. */
+	/** Version of the store's newest transaction. */
 	get currentVersion(): number {
 		return storeVersion(this._era, this._version);
 	}
 
-	/** How often it has come back from an older copy. */
+	/** Era of the store: how often it was restored from a snapshot. */
 	get era(): number {
 		return this._era;
 	}
 
-	/** What the store holds now. */
+	/** Returns the current contents of the store. */
 	takeSnapshot(): StoreSnapshot {
 		return {
 			rows: new Map(this._rows), history: [...this._history], historyFrom: this._historyFrom, version: this._version,
 		};
 	}
 
-	/** Comes back from an older copy: what was written since is gone, and its versions are given out again. */
+	/** Restores an older snapshot: later writes are lost, and the counter gives out their versions again, in a new era. */
 	restore({rows, history, historyFrom, version}: StoreSnapshot): void {
 		this._era += 1;
 		this._rows = new Map(rows);
@@ -159,7 +159,7 @@
 		}
 	}
 
-	/** Goes on, unless the store has fallen silent: then never. */
+	/** Resolves at once, or never while the store is silent. */
 	private async _waitWhileSilent(): Promise<void> {
 		if (this.isSilent) {
 			await new Promise<void>(() => undefined); // eslint-disable-line no-promise-executor-return -- never answered
--- a/standins/line/open-connections.test.ts
+++ b/standins/line/open-connections.test.ts
@@ -53,19 +53,19 @@
 		connections = new OpenConnections(clock, poolDefaults);
 	});
 
-	it('hands a connection out to no organisation but its own', async () => {
+	it('gives a connection to no organisation but its own', async () => {
 		const [shop] = await openIdle('shop', undefined);
 		expect(connections.acquire(statementOf('gang'))).toEqual(undefined);
 		expect(connections.acquire(statementOf('shop')) === shop).toEqual(true);
 	});
 
-	it('asks endpoints on a connection of the node\'s own before one of an organisation', async () => {
+	it('prefers a connection of the node itself to one of an organisation for internal statements', async () => {
 		const [shop, own] = await openIdle('shop', undefined);
 		expect(connections.acquire() === own).toEqual(true);
 		expect(connections.acquire() === shop).toEqual(true);
 	});
 
-	it('closes the one that statements used longest ago, whatever asked on it since', async () => {
+	it('closes the connection least recently used by statements, whatever status requests used it since', async () => {
 		const [shop, gang] = await openIdle('shop', 'gang');
 		const asked = connections.acquire()!;
 		const answer = asked.control({kind: 'status'}, 100);
@@ -76,12 +76,12 @@
 		expect([shop.isOpen, gang.isOpen]).toEqual([false, true]);
 	});
 
-	it('keeps those that were used last when more are given back than it keeps', async () => {
+	it('keeps the most recently used connections when more are released than it keeps', async () => {
 		const opened = await openIdle('a', 'b', 'c', 'd', 'e');
 		expect(opened.map(({isOpen}) => isOpen)).toEqual([false, false, true, true, true]);
 	});
 
-	it('wakes who waits when one is given back, of whichever organisation', async () => {
+	it('wakes a waiter when a connection of any organisation is released', async () => {
 		const connection = await open('shop');
 		let isAwake = false;
 		void connections.waitForRelease(1000).then(() => {
--- a/standins/line/organisations.test.ts
+++ b/standins/line/organisations.test.ts
@@ -1,6 +1,7 @@
 /**
- * Callers by API key: who may ask, whose connections their statements use, and how much they may ask.
- * The rules are judged at the instances: what ran there, as whom, and when.
+ * Callers with API keys: which of them are admitted, as which user their statements run, and how many
+ * operations their organisation may run. The tests check these rules at the instances, by what ran
+ * there, as which user, and when.
  */
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
@@ -15,7 +16,7 @@
 const shop = {name: 'shop', 'api-keys': ['key-of-shop', 'second-key-of-shop']};
 const gang = {name: 'gang', 'api-keys': ['key-of-gang']};
 
-/** Time in which a key that was taken away must count on no node. */
+/** Time within which every node must refuse a revoked key, in virtual milliseconds. */
 const keyRevocationMs = 5000;
 
 async function startWith(organisations: LineTestCluster['organisations'], nodes = 3): Promise<LineTestCluster> {
@@ -26,37 +27,37 @@
 	return cluster;
 }
 
-/** Cuts a node off from the store and from all other nodes; instances still answer it. */
-function cutAway(cluster: LineTestCluster, node: LineTestNode): void {
+/** Isolates a node from the store and from all other nodes; instances still answer it. */
+function isolateNode(cluster: LineTestCluster, node: LineTestNode): void {
 	node.isStoreUnreachable = true;
 	for (const {self} of cluster.nodes) {
 		node.unreachablePeers.add(self.name);
 	}
 }
 
-/** Revokes every key of the shop while a node is cut off from whoever could tell it. */
-async function revokeBehindCut(cluster: LineTestCluster, node: LineTestNode): Promise<void> {
-	cutAway(cluster, node);
-	// The question that waits at the store is still answered.
+/** Revokes every key of the shop while a node is isolated from the store and from all other nodes. */
+async function revokeWhileIsolated(cluster: LineTestCluster, node: LineTestNode): Promise<void> {
+	isolateNode(cluster, node);
+	// The request that waits at the store is still answered.
 	await cluster.clock.advance(1200);
 	cluster.organisations = [{...shop, 'api-keys': []}];
 	cluster.configure(2);
 }
 
-/** As whom statements ran at the instances, by their id. */
-function ranAs(cluster: LineTestCluster): Map<string, string> {
+/** Returns the user of each statement that ran at an instance, by the statement's id. */
+function usersByStatement(cluster: LineTestCluster): Map<string, string> {
 	return new Map(cluster.group.instances.flatMap(instance => [...instance.firstRuns].map(([id, {user}]) => [id, user] as const)));
 }
 
-describe('callers by API key', () => {
+describe('callers with API keys', () => {
 	let cluster: LineTestCluster;
 
 	afterEach(() => {
 		cluster.dispose();
 	});
 
-	it('have their statements run under the name of the organisation that holds the key', async () => {
-		// Before nodes knew organisations, instances were told the node's name for every statement.
+	it('run their statements under the name of the organisation that holds the key', async () => {
+		// Guards against connections that are opened under the node's own name for statements of callers.
 		cluster = await startWith([shop, gang]);
 		for (const [index, node] of cluster.nodes.entries()) {
 			await node.session(databases.primary, 'key-of-shop').send(`WRITE x ${index}`, `shop-${index}`);
@@ -67,23 +68,23 @@
 			await transaction.send('COMMIT', `gang-commit-${index}`);
 		}
 
-		const names = [...ranAs(cluster)];
+		const names = [...usersByStatement(cluster)];
 		expect(names.length >= 12).toEqual(true);
 		expect(names.filter(([id, name]) => !id.startsWith(name))).toEqual([]);
 	});
 
-	it('are refused where no configuration holds the key, and nothing of theirs runs', async () => {
-		// Callers whose key nobody had ever given out were served.
+	it('are refused if the configuration does not hold their key, and run nothing', async () => {
+		// Guards against serving callers whose key was never issued.
 		cluster = await startWith([shop]);
 		for (const word of ['key-of-gang', 'shop', '', 'SHOP']) {
 			const answer = await cluster.nodes[0].session(databases.primary, word).send('WRITE x 1', `by-${word}`);
 			expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
 		}
 
-		expect(ranAs(cluster).size).toEqual(0);
+		expect(usersByStatement(cluster).size).toEqual(0);
 	});
 
-	it('get in with a key that was just given out, on a node that has not heard of it', async () => {
+	it('are admitted with a key that was just issued, on a node that has not received it yet', async () => {
 		cluster = await startWith([shop], 1);
 		const [node] = cluster.nodes;
 		node.isStoreUnreachable = true;
@@ -95,8 +96,8 @@
 		expect(answer.includes('COMPLETE')).toEqual(true);
 	});
 
-	it('lose an open session and an open transaction with their key', async () => {
-		// Keys that were taken away went on being served: 4,825 times on one day of trouble.
+	it('lose open sessions and open transactions when their key is revoked', async () => {
+		// Guards against serving open sessions after their key was revoked: 4,825 statements were served so on one day of faults.
 		cluster = await startWith([shop]);
 		const [node] = cluster.nodes;
 		const session = node.session(databases.primary, 'key-of-shop');
@@ -107,21 +108,21 @@
 		cluster.organisations = [{...shop, 'api-keys': ['second-key-of-shop']}];
 		cluster.configure(2);
 		await cluster.clock.advance(100);
-		const ran = ranAs(cluster).size;
+		const ran = usersByStatement(cluster).size;
 		const answers = [await session.send('WRITE x 3'), await transaction.send('COMMIT')];
 		expect(answers.map(answer => answer.split(' ').slice(0, 2).join(' '))).toEqual(['ERROR NOAUTH', 'ERROR NOAUTH']);
 		expect([session.session.mustCloseConnection, transaction.session.mustCloseConnection]).toEqual([true, true]);
-		expect(ranAs(cluster).size).toEqual(ran);
+		expect(usersByStatement(cluster).size).toEqual(ran);
 		const other = await node.session(databases.primary, 'second-key-of-shop').send('READ x');
 		expect(other.includes('DATAROW 1')).toEqual(true);
 	});
 
-	it('are not served on nodes out of touch once their key may have been taken away for long', async () => {
-		// The rule holds for all nodes, in touch or not: a node may serve only as long as it knows
-		// that no configuration can have been acknowledged that long ago without its knowing.
+	it('are not served on an isolated node once their key may have been revoked for too long', async () => {
+		// The rule holds for all nodes, isolated or not: a node may serve only while it knows that no
+		// newer configuration, unknown to it, can have been acknowledged longer ago than the bound.
 		cluster = await startWith([shop]);
 		const [node] = cluster.nodes;
-		await revokeBehindCut(cluster, node);
+		await revokeWhileIsolated(cluster, node);
 		const removedAtMs = cluster.clock.nowMs();
 		const session = node.session(databases.aged, 'key-of-shop');
 		let lastServedMs = 0;
@@ -141,27 +142,27 @@
 		expect(lastServedMs <= keyRevocationMs).toEqual(true);
 	});
 
-	it('are judged by what the proof of the moment brought, not by what was known before it', async () => {
-		// A day of trouble: the store, silent for 9 s, answered the question that a statement waited for.
-		// The key had been taken away 8.5 s before; its holder had been looked up before the wait.
+	it('are checked against the configuration after a proof of freshness, not against the one before it', async () => {
+		// The store, silent for 9 s, answers the request that a statement waits for. The key was revoked
+		// 8.5 s before. If the key's holder is looked up before the wait, the statement runs.
 		cluster = await startWith([shop]);
 		const [node] = cluster.nodes;
-		await revokeBehindCut(cluster, node);
+		await revokeWhileIsolated(cluster, node);
 		await cluster.clock.advance(2 * keyRevocationMs);
 		node.isStoreUnreachable = false;
 		const answer = await node.session(databases.aged, 'key-of-shop').send('READ x', 'after-silence');
 		expect(answer.startsWith('ERROR NOAUTH')).toEqual(true);
-		expect(ranAs(cluster).has('after-silence')).toEqual(false);
+		expect(usersByStatement(cluster).has('after-silence')).toEqual(false);
 	});
 
-	it('are served again by a node that comes back into touch, and by one that only peers tell', async () => {
+	it('are served again by a node after its isolation, and by one that follows the store through peers only', async () => {
 		cluster = await startWith([shop], 18);
 		const member = cluster.nodes.find(({fleet}) => !fleet.isCoordinator)!;
 		member.isStoreUnreachable = true;
 		await cluster.clock.advance(3 * keyRevocationMs);
 		const overPeers = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(overPeers.includes('COMPLETE')).toEqual(true);
-		cutAway(cluster, member);
+		isolateNode(cluster, member);
 		await cluster.clock.advance(keyRevocationMs);
 		const cutOff = await member.session(databases.aged, 'key-of-shop').send('READ x');
 		expect(cutOff.startsWith('ERROR BUSY')).toEqual(true);
@@ -172,7 +173,7 @@
 		expect(back.includes('COMPLETE')).toEqual(true);
 	});
 
-	it('show no word of an earlier time that may be a key, once organisations are named', async () => {
+	it('appear in no log with a credential that they sent before organisations were configured, since it may be a key', async () => {
 		cluster = await startWith(undefined, 1);
 		const [node] = cluster.nodes;
 		const session = node.session(databases.primary, 'key-of-gang');
@@ -186,7 +187,7 @@
 		expect(JSON.stringify(node.events).includes('key-of')).toEqual(false);
 	});
 
-	it('show their keys nowhere: not in logs, nor in what nodes tell each other or keep', async () => {
+	it('appear with their keys neither in logs nor in the rows that nodes exchange', async () => {
 		cluster = await startWith([shop, gang], 18);
 		for (const node of cluster.nodes) {
 			await node.session(databases.primary, 'key-of-shop').send('WRITE x 1');
@@ -195,8 +196,8 @@
 		}
 
 		const [node] = cluster.nodes;
-		const told = await node.requests.rows('op', 0, 0);
-		const emitted = JSON.stringify([told, cluster.nodes.map(({events}) => events)]);
+		const followedRows = await node.requests.rows('op', 0, 0);
+		const emitted = JSON.stringify([followedRows, cluster.nodes.map(({events}) => events)]);
 		expect(emitted.includes('digests')).toEqual(true);
 		expect(emitted.includes('key-of')).toEqual(false);
 	});
@@ -209,7 +210,7 @@
 		cluster.dispose();
 	});
 
-	it('serve more organisations than an endpoint takes connections, and never more than it takes', async () => {
+	it('serve more organisations than an endpoint accepts connections, without exceeding its maximum', async () => {
 		const many = Array.from({length: 74}, (_, index) => ({name: `org-${index}`, 'api-keys': [`key-${index}`]}));
 		cluster = await startWith(many, 18);
 		const answers = many.flatMap(({name, 'api-keys': [key]}, index) => [0, 1].map(async round => {
@@ -224,7 +225,7 @@
 		}
 	});
 
-	it('are kept where the statements of an organisation meet, so that most need no new one', async () => {
+	it('are reused by the statements of an organisation from all nodes, so that few are opened', async () => {
 		const few = Array.from({length: 8}, (_, index) => ({name: `org-${index}`, 'api-keys': [`key-${index}`]}));
 		cluster = await startWith(few, 18);
 		const opened = (): number => cluster.group.instances.reduce((sum, instance) => sum + instance.openedConnections, 0);
@@ -235,38 +236,38 @@
 			}
 		}
 
-		// One replica and one home an organisation, and a few for questions and for replicas in doubt.
+		// One replica and one home per organisation, and a few more for status requests and for replicas whose state is uncertain.
 		expect(opened() - before <= few.length * 3).toEqual(true);
 	});
 });
 
-/** What a test does to a node, and when. */
+/** A fault of a node, or its end, and the time at which it is injected. */
 type ScheduledFault = {
 	readonly atMs: number;
 	readonly node: number;
 	readonly what: 'cut' | 'heal' | 'passOver';
 };
 
-/** Most operations that may run in any window. */
-function allowed(perS: number, burst: number): number {
+/** Returns the maximum number of operations that may run in any window. */
+function maximumAllowed(perS: number, burst: number): number {
 	const {windowS, overshootShare, slack} = usageRule;
 	return (((perS * windowS) + burst) * (1 + overshootShare)) + slack;
 }
 
-/** Most of some moments that lie within one window. */
-function mostInWindow(timesMs: readonly number[]): number {
+/** Returns the maximum number of the given times that lie within one window. */
+function maximumInWindow(timesMs: readonly number[]): number {
 	const sorted = timesMs.toSorted((a, b) => a - b);
-	let most = 0;
+	let maximum = 0;
 	let first = 0;
 	for (const [index, timeMs] of sorted.entries()) {
 		while (timeMs - sorted[first] > usageRule.windowS * 1000) {
 			first += 1;
 		}
 
-		most = Math.max(most, index - first + 1);
+		maximum = Math.max(maximum, index - first + 1);
 	}
 
-	return most;
+	return maximum;
 }
 
 describe('usage limits', () => {
@@ -274,7 +275,7 @@
 	let ranAtMs: number[];
 	let refusals: string[];
 
-	/** Sends reads over the nodes by turns at a rate; what ran is noted with its time. */
+	/** Sends reads through the sessions in turn at a rate; records the time of each read that ran, and each refusal. */
 	async function load(perS: number, forMs: number, sessions: readonly LineTestSession[]): Promise<void> {
 		const answers: Array<Promise<void>> = [];
 		for (let index = 0; index < perS * forMs / 1000; index++) {
@@ -295,8 +296,8 @@
 		}
 	}
 
-	function sessionsOfAll(each = 10): LineTestSession[] {
-		return Array.from({length: each}, () => cluster.nodes.map(node => node.session(databases.aged, 'key-of-shop'))).flat();
+	function sessionsOfAll(sessionsPerNode = 10): LineTestSession[] {
+		return Array.from({length: sessionsPerNode}, () => cluster.nodes.map(node => node.session(databases.aged, 'key-of-shop'))).flat();
 	}
 
 	async function startLimited(perS: number, burst: number, nodes: number): Promise<void> {
@@ -314,25 +315,25 @@
 		await load(12, 10_000, sessionsOfAll());
 		expect(refusals).toEqual([]);
 		await load(150, 8000, sessionsOfAll());
-		expect(mostInWindow(ranAtMs) <= allowed(20, 20)).toEqual(true);
+		expect(maximumInWindow(ranAtMs) <= maximumAllowed(20, 20)).toEqual(true);
 		expect(ranAtMs.length >= 20 * 8).toEqual(true);
 		expect(refusals.every(answer => answer.startsWith('ERROR BUSY') && answer.includes('retry-after-ms='))).toEqual(true);
 	}
 
-	// A hot organisation ran 1,379 operations in 5 s where 1,366 were allowed: nobody counted.
-	it('bind over all nodes of a small fleet together, and leave what is below them alone', async () => checkBound(3));
+	// Guards against usage that is not limited: a hot organisation ran 1,379 operations in 5 s where 1,366 were allowed.
+	it('hold for all nodes of a small fleet together, and refuse nothing below them', async () => checkBound(3));
 
-	it('bind over all nodes of a large fleet together, and leave what is below them alone', async () => checkBound(18));
+	it('hold for all nodes of a large fleet together, and refuse nothing below them', async () => checkBound(18));
 
-	it('leave an organisation alone whose callers are all in one zone', async () => {
-		// With equal parts of the limit a zone, 5.6% of a calm day's requests were refused below it.
+	it('refuse nothing below them when all callers of an organisation are in one zone', async () => {
+		// If every zone only had an equal part of the limit, 5.6% of the requests of a day without faults would be refused below it.
 		await startLimited(12, 12, 18);
 		const zone = cluster.nodes.filter(({self}) => self.availabilityZone === 'a');
 		await load(10, 15_000, zone.map(node => node.session(databases.aged, 'key-of-shop')));
 		expect(refusals).toEqual([]);
 	});
 
-	it('cost organisations nothing that stay below theirs', async () => {
+	it('do not affect organisations that stay below theirs', async () => {
 		await startLimited(10, 10, 18);
 		const hot = load(200, 5000, sessionsOfAll());
 		const quiet = cluster.nodes.map(async (node, index) => {
@@ -344,7 +345,7 @@
 		expect(answers.filter(answer => !answer.includes('COMPLETE'))).toEqual([]);
 	});
 
-	it('bind in full once they were lowered', async () => {
+	it('hold in full after they were lowered', async () => {
 		await startLimited(100, 100, 18);
 		await load(60, 3000, sessionsOfAll());
 		cluster.organisations = [{...shop, 'rate-per-s': 4, burst: 4}, gang];
@@ -352,13 +353,13 @@
 		await cluster.clock.advance(usageRule.windowS * 1000);
 		ranAtMs = [];
 		await load(60, 10_000, sessionsOfAll());
-		expect(mostInWindow(ranAtMs) <= allowed(4, 4)).toEqual(true);
+		expect(maximumInWindow(ranAtMs) <= maximumAllowed(4, 4)).toEqual(true);
 		expect(ranAtMs.length >= 4 * 8).toEqual(true);
 	});
 
-	it('make no operation wait for a zone that is cut off', async () => {
-		// With a zone cut off each operation whose zone's part was used up waited 200 ms for one node
-		// of that zone after the other.
+	it('make no operation wait for a zone that is isolated', async () => {
+		// If isolated zones are not skipped, each operation whose zone has used up its part of the budget
+		// waits 200 ms for every node of the isolated zone, one after the other.
 		await startLimited(12, 12, 18);
 		for (const node of cluster.nodes) {
 			for (const {self} of cluster.nodes) {
@@ -382,7 +383,7 @@
 		expect(asked.length <= 4).toEqual(true);
 	});
 
-	it('let operations run where the node that keeps the budget is lost, and still bind', async () => {
+	it('let operations run when the holder of the budget is lost, and still hold', async () => {
 		await startLimited(20, 20, 18);
 		const lost = new Set(cluster.nodes.map(({fleet}) => fleet.usageHolders('shop')[0].name));
 		for (const node of cluster.nodes) {
@@ -393,15 +394,15 @@
 
 		const left = cluster.nodes.filter(({self}) => !lost.has(self.name));
 		await load(150, 8000, left.map(node => node.session(databases.aged, 'key-of-shop')));
-		expect(mostInWindow(ranAtMs) <= allowed(20, 20)).toEqual(true);
+		expect(maximumInWindow(ranAtMs) <= maximumAllowed(20, 20)).toEqual(true);
 		expect(ranAtMs.length >= 20 * 6).toEqual(true);
 	});
 
-	/** A node is cut off from all others, or no more, or passes one over that is well. */
+	/** Isolates a node from all others, ends the isolation, or makes the node treat a healthy peer as unreachable. */
 	function injectFault({node: index, what}: ScheduledFault): void {
 		const node = cluster.nodes[index];
 		const names = cluster.nodes.map(({self}) => self.name);
-		const acts: Record<ScheduledFault['what'], () => void> = {
+		const actions: Record<ScheduledFault['what'], () => void> = {
 			cut() {
 				for (const name of names) {
 					node.unreachablePeers.add(name);
@@ -414,10 +415,10 @@
 				node.directory.reportReachability(names[(index + 3) % names.length], false);
 			},
 		};
-		acts[what]();
+		actions[what]();
 	}
 
-	it('bind whatever nodes lose each other or pass each other over', async () => {
+	it('hold whichever nodes are isolated or treat each other as unreachable', async () => {
 		const scheduledFault = recordOf({
 			atMs: integer({min: 0, max: 6000}), node: integer({min: 0, max: 17}), what: constantFrom(...(['cut', 'heal', 'passOver'] as const)),
 		});
@@ -430,7 +431,7 @@
 			}
 
 			await load(150, 7000, sessionsOfAll(3));
-			expect(mostInWindow(ranAtMs) <= allowed(20, 20)).toEqual(true);
+			expect(maximumInWindow(ranAtMs) <= maximumAllowed(20, 20)).toEqual(true);
 			cluster.dispose();
 		}), {seed: 7, numRuns: 10});
 	});
--- a/standins/line/processes/diverted-connections.test.ts
+++ b/standins/line/processes/diverted-connections.test.ts
@@ -39,11 +39,11 @@
 		return answer;
 	};
 
-	it('goes over the proxy of an address that has one', async () => {
+	it('connects to the proxy of an address that has one', async () => {
 		expect(await answerOf('127.0.31.2')).toEqual('proxy');
 	});
 
-	it('leaves other addresses alone', async () => {
+	it('connects to other addresses directly', async () => {
 		expect(await answerOf('127.0.0.1')).toEqual('direct');
 	});
 });
--- a/standins/line/processes/diverted-connections.ts
+++ b/standins/line/processes/diverted-connections.ts
@@ -1,19 +1,19 @@
 /**
- * Makes a node's connections go over proxies of the stand-ins. Nodes tell each other their own
- * addresses, so a proxy before a node is only in the way of others if they connect elsewhere.
+ * Diverts a node's connections to proxies of the stand-ins. Nodes announce their own addresses to
+ * each other, so other nodes use a proxy in front of a node only if their connections are diverted.
  */
 import {Socket} from 'node:net';
 import process from 'node:process';
 import {z} from 'zod';
 
-/** Environment variable with the port on 127.0.0.1 for each address, as JSON. */
+/** Environment variable that holds, as JSON, the port of the proxy on 127.0.0.1 for each diverted address. */
 export const diversionsVariable = 'QUETZALSTREAM_STANDIN_DIVERSIONS';
 
 const portsSchema = z.record(z.string(), z.number());
 
 type Target = {readonly host?: string; readonly port?: number | string};
 
-/** Diverts every connection that this process opens from now on to an address with a proxy. */
+/** Diverts every connection that this process opens from now on to an address that has a proxy. */
 export function divertConnections(): void {
 	const ports = new Map(Object.entries(portsSchema.parse(JSON.parse(process.env[diversionsVariable] ?? '{}'))));
 	const {connect} = Socket.prototype;
@@ -25,8 +25,8 @@
 	Socket.prototype.connect = function (this: Socket, ...given: unknown[]): Socket {
 		const [first] = given;
 		if (Array.isArray(first)) {
-			// Node's own functions hand over one list that they have normalised and marked.
-			first[0] = divert(first[0] as Target); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- what Node documents for its own functions
+			// Node's own functions pass one array of arguments that they have normalised and marked.
+			first[0] = divert(first[0] as Target); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- Node's own functions put the options first
 		} else if (typeof first === 'object' && first !== null) {
 			given[0] = divert(first);
 		}
--- a/standins/line/processes/line-client.ts
+++ b/standins/line/processes/line-client.ts
@@ -4,36 +4,36 @@
 import {connect, type Socket} from 'node:net';
 import {LineSplitter} from '../../../src/node/line/line-splitter.js';
 
-/** Longest wait for one answer, in milliseconds: above every time-out of a node. */
+/** Timeout of one answer, in milliseconds: above every timeout of a node. */
 const answerTimeoutMs = 6000;
 
-/** What a node answered to a statement; `code` is empty after a success. */
+/** A node's answer to a statement; `code` is empty after a success. */
 export type ClientAnswer = {
 	readonly rows: readonly string[];
 	readonly code: string;
-	/** What the endpoint says of itself in a success; empty otherwise. */
+	/** Text of the endpoint's success line; empty after an error. */
 	readonly digest: string;
 	readonly text: string;
 };
 
-/** The connection ended, or no answer came. */
+/** The connection ended, or no answer came within the timeout. */
 export class ConnectionLostError extends Error {
 	override readonly name = 'ConnectionLostError';
 }
 
-/** Sends one statement at a time. */
+/** A connection to a node; sends one statement at a time. */
 export class LineClient {
 	/** Opens a session; rejects with `ConnectionLostError`. */
-	static async open(host: string, port: number, database: string, word = 'caller'): Promise<LineClient> {
+	static async open(host: string, port: number, database: string, credential = 'caller'): Promise<LineClient> {
 		const client = new LineClient(connect({host, port, noDelay: true}));
-		await client._exchange(`STARTUP ${database} ${word}`);
+		await client._exchange(`STARTUP ${database} ${credential}`);
 		return client;
 	}
 
 	private readonly _socket: Socket;
 	private readonly _splitter = new LineSplitter(1_048_576);
 	private _lines: string[] = [];
-	private _settle: ((lines: readonly string[] | undefined) => void) | undefined;
+	private _resolvePending: ((lines: readonly string[] | undefined) => void) | undefined;
 
 	private constructor(socket: Socket) {
 		this._socket = socket;
@@ -46,19 +46,19 @@
 			}
 		});
 		socket.on('error', () => {
-			// What follows is the close.
+			// The `close` event follows and is handled below.
 		});
 		socket.on('close', () => {
 			this._end(undefined);
 		});
 	}
 
-	/** Whether statements may still be sent. */
+	/** Whether statements can still be sent. */
 	get isOpen(): boolean {
 		return !this._socket.destroyed && this._socket.readyState === 'open';
 	}
 
-	/** Sends a statement; rejects with `ConnectionLostError`, after which nothing is known of it. */
+	/** Sends a statement; rejects with `ConnectionLostError`, after which the outcome of the statement is unknown. */
 	async query(id: string, text: string): Promise<ClientAnswer> {
 		const lines = await this._exchange(`QUERY ${id} ${text}`);
 		const error = lines.find(line => line.startsWith('ERROR '));
@@ -76,14 +76,14 @@
 
 	private async _exchange(line: string): Promise<readonly string[]> {
 		if (this._socket.destroyed) {
-			throw new ConnectionLostError('closed before');
+			throw new ConnectionLostError('the connection is closed');
 		}
 
 		const lines = await new Promise<readonly string[] | undefined>(resolve => {
 			const timer = setTimeout(() => {
 				this._socket.destroy();
 			}, answerTimeoutMs);
-			this._settle = answered => {
+			this._resolvePending = answered => {
 				clearTimeout(timer);
 				resolve(answered);
 			};
@@ -91,15 +91,15 @@
 			this._socket.write(`${line}\r\n`);
 		});
 		if (!lines) {
-			throw new ConnectionLostError('the connection ended before an answer');
+			throw new ConnectionLostError('the connection ended before the answer was complete');
 		}
 
 		return lines;
 	}
 
 	private _end(lines: readonly string[] | undefined): void {
-		const settle = this._settle;
-		this._settle = undefined;
-		settle?.(lines);
+		const resolvePending = this._resolvePending;
+		this._resolvePending = undefined;
+		resolvePending?.(lines);
 	}
 }
--- a/standins/line/processes/line-system.ts
+++ b/standins/line/processes/line-system.ts
@@ -1,6 +1,7 @@
 /**
- * A whole system of the line protocol on loopback: a group of instances and the platform in
- * this process, nodes as processes of their own, and a proxy before all that nodes call.
+ * A complete system of the line protocol on loopback: a group of instances and the platform run in
+ * this process, each node runs in its own process, and every server that a node calls has a proxy
+ * in front of it for each calling node.
  */
 import {mkdtemp, rm} from 'node:fs/promises';
 import {createServer} from 'node:net';
@@ -24,26 +25,27 @@
 
 const service = 'svc';
 
-/** Databases by the kind of their routes; reads of `aged` and `own` may be this old. */
+/** Databases by the kind of their routes. */
 export const databases = {primary: 'db-primary', aged: 'db-aged', own: 'db-own'} as const;
+/** Maximum staleness of reads of the databases `aged` and `own`, in milliseconds. */
 export const maximumAgeMs = 1500;
 
 const routeKinds = {primary: 'primary', aged: 'bounded_staleness', own: 'read_your_writes'} as const;
 const zones = ['a', 'b', 'c'] as const;
 
-/** Times of the stand-ins, in milliseconds. */
+/** Durations that the stand-ins simulate, in milliseconds. */
 const simulatedTimesMs = {
 	work: 2, lag: 20, promotion: 400, sync: 500,
-	/** A primary that was left behind goes on as one for this long after it can reach the new one. */
+	/** Time for which a stale primary stays a primary after it can reach the new one. */
 	demotion: 1000,
-	/** Time between two looks for instances that were left behind. */
+	/** Interval between two checks for stale instances. */
 	followCheck: 50,
 } as const;
 
-/** Port of all nodes' callers, readiness and peers would collide on one address: each node has its own. */
+/** Last byte of the first node's address. Each node has its own address, since the ports of several nodes could collide on one. */
 const firstNodeHost = 2;
 
-/** An organisation as operators change it; each change counts from the next configuration on. */
+/** An organisation as operators change it; a change takes effect with the next configuration. */
 export type SystemOrganisation = {
 	readonly name: string;
 	readonly keys: Set<string>;
@@ -51,46 +53,46 @@
 	burst: number;
 };
 
-/** A promotion as the platform was asked for it. */
+/** An order of a promotion as the platform received it. */
 export type PromotionOrder = {readonly id: string; readonly holder: string; readonly epoch: number};
 
-/** How the platform deals with orders. */
+/** How the platform responds to orders. */
 export type PromotionBehaviour = {
-	/** `lost`: carried out, never answered; `denied`: carried out, answered as if it were not. */
+	/** `lost`: the order takes effect and is never answered; `denied`: it takes effect and is answered with a failure. */
 	readonly answer: 'given' | 'lost' | 'denied';
 	readonly answerMs: number;
 	readonly effectMs: number;
 };
 
-/** How it deals with them when nothing is done to it. */
+/** Behaviour of the platform without faults. */
 export const defaultPromotionBehaviour: PromotionBehaviour = {answer: 'given', answerMs: 0, effectMs: simulatedTimesMs.promotion};
 
-const denied: PlatformFault = {kind: 'unavailable', detail: 'denied, by the stand-in'};
+const denied: PlatformFault = {kind: 'unavailable', detail: 'denied by the stand-in'};
 
-/** What a node did that others are to hear of. */
+/** A step of a node towards a promotion: it acquired the duty, or it ordered the promotion. */
 export type PromotionStep = 'duty' | 'order';
 
-/** The way from a node to what it calls. */
+/** A proxied connection path from a node to a server that it calls. */
 export type ProxiedLink = {
 	readonly from: NodeProcess;
 	readonly kind: 'instance' | 'platform' | 'node';
-	/** Id or name at its other end. */
+	/** Id of the instance, or name of the node, at the other end. */
 	readonly to: string;
-	/** Zone of its other end; empty for the platform, which is in none. */
+	/** Zone of the other end; empty for the platform, which is in no zone. */
 	readonly zone: string;
 	readonly proxy: FaultyProxy;
 };
 
-/** Owns everything that one run starts. */
+/** Starts and owns all servers, proxies and processes of one run. */
 export class LineSystem {
 	readonly group: LineGroup;
 	readonly store: MemoryRowStore;
 	readonly nodes: NodeProcess[] = [];
-	/** From each node to each instance, to the platform and to each other node. */
+	/** Links from each node to each instance, to the platform and to each other node. */
 	readonly links: ProxiedLink[] = [];
 	readonly ordered: PromotionOrder[] = [];
 	promotionBehaviour = defaultPromotionBehaviour;
-	/** Organisations that the configuration names; none where callers need no key. */
+	/** Organisations of the configuration; undefined if callers need no key. */
 	organisations: readonly SystemOrganisation[] | undefined;
 	private readonly _servers = new Map<string, InstanceServer>();
 	private readonly _addresses = new Map<string, string>();
@@ -100,7 +102,7 @@
 	private _configurationText = '';
 	private readonly _addedDatabases: string[] = [];
 	private _stepListener: ((step: PromotionStep, node: NodeProcess) => void) | undefined;
-	/** Since when instances that were left behind can reach the leader of a later term. */
+	/** For each stale instance, the time since which it can reach the primary of a later term. */
 	private readonly _staleSinceMs = new Map<string, number>();
 	private readonly _clock = new SystemClock();
 	private _followTimer: NodeJS.Timeout | undefined;
@@ -110,11 +112,11 @@
 			this.ordered.push({id, holder, epoch});
 			this._notifyPromotionStep('order', holder);
 			if (!this.group.instance(id).isUp) {
-				return Left({kind: 'invalid', detail: 'does not run'});
+				return Left({kind: 'invalid', detail: 'the instance does not run'});
 			}
 
 			if (this.ordered.some(other => other.epoch > epoch)) {
-				return Left({kind: 'invalid', detail: 'not the newest epoch'});
+				return Left({kind: 'invalid', detail: 'an order with a newer epoch was received before'});
 			}
 
 			const {answer, answerMs, effectMs} = this.promotionBehaviour;
@@ -136,12 +138,12 @@
 		};
 	}
 
-	/** Folder with the nodes' logs. */
+	/** Folder that holds the nodes' settings and logs. */
 	get folder(): string {
 		return this._folder;
 	}
 
-	/** Starts everything and waits until every node takes callers. */
+	/** Starts everything and waits until every node accepts callers; throws if a node does not become ready. */
 	async start(nodeCount: number): Promise<void> {
 		this._folder = await mkdtemp(path.join(tmpdir(), 'quetzalstream-line-'));
 		for (const instance of this.group.instances) {
@@ -173,13 +175,13 @@
 		}
 	}
 
-	/** Writes a further configuration that has one database more. */
+	/** Writes the next configuration, with one more database. */
 	addDatabase(name: string): void {
 		this._addedDatabases.push(name);
 		this.configure();
 	}
 
-	/** Writes a further configuration. */
+	/** Writes the next configuration. */
 	configure(): void {
 		this._configurationVersion += 1;
 		this._configurationText = this._formatConfiguration();
@@ -187,20 +189,20 @@
 	}
 
 	/**
-	 * The store is away for a time and comes back with what it held at a copy; operators and
-	 * instances write again some time later. Nodes' writes since the copy stay lost.
+	 * Makes the store unavailable for `awayMs` and then restores a snapshot. After another `againMs`
+	 * the operator and the instances write again. Writes of nodes since the snapshot stay lost.
 	 */
-	async restoreStore(copy: StoreSnapshot, {awayMs, againMs}: {readonly awayMs: number; readonly againMs: number}): Promise<void> {
+	async restoreStore(snapshot: StoreSnapshot, {awayMs, againMs}: {readonly awayMs: number; readonly againMs: number}): Promise<void> {
 		this.store.isUnavailable = true;
 		await pause(awayMs);
-		this.store.restore(copy);
+		this.store.restore(snapshot);
 		this.store.isUnavailable = false;
 		await pause(againMs);
 		this.store.put(tables.operator, configurationKey, this._configurationText);
 		this.register();
 	}
 
-	/** Writes what the running instances say of themselves. */
+	/** Writes the registrations of all instances that run and are not isolated. */
 	register(): void {
 		for (const [index, instance] of this.group.instances.entries()) {
 			const {id, isUp, isIsolated} = instance;
@@ -210,17 +212,17 @@
 		}
 	}
 
-	/** Links that go into a zone or out of it. */
+	/** Returns the links that lead into a zone or out of it. */
 	linksAcross(zone: string): ProxiedLink[] {
 		return this.links.filter(link => (link.from.plan.zone === zone) !== (link.zone === zone));
 	}
 
-	/** The zone in which an instance stands. */
+	/** Returns the zone of an instance. */
 	zoneOf(id: string): string {
 		return zones[this.group.instances.findIndex(instance => instance.id === id)];
 	}
 
-	/** Resolves with the node that is the next to take a step towards a promotion, before it hears that it did. */
+	/** Resolves to the node that next takes a step towards a promotion, before the node receives the answer. */
 	async nextPromotionStep(wanted: PromotionStep): Promise<NodeProcess> {
 		return new Promise(resolve => {
 			this._stepListener = (step, node) => {
@@ -232,13 +234,13 @@
 		});
 	}
 
-	/** Ends an instance without a word. */
+	/** Crashes an instance: its connections are reset and it answers nothing. */
 	crash(id: string): void {
 		this.group.instance(id).isUp = false;
 		this._servers.get(id)?.resetConnections();
 	}
 
-	/** Starts a replica again under its id with an empty memory; it has its log again after a time. */
+	/** Starts a replica again under its id with empty memory; it receives the log again after the simulated time `sync`. */
 	restartEmpty(id: string): void {
 		this.group.restart(id, {syncMs: simulatedTimesMs.sync});
 		this.group.instance(id).startedAtMs = Date.now();
@@ -246,13 +248,13 @@
 		this.register();
 	}
 
-	/** Starts it again with its log. */
+	/** Starts a crashed instance again with its log. */
 	restartWithLog(id: string): void {
 		this.group.rejoin(id);
 		this.register();
 	}
 
-	/** Ends everything that was started; removes the logs unless they are to be read. */
+	/** Ends everything that was started, and removes the folder with the logs unless `keepsLogs` is set. */
 	async stop(keepsLogs: boolean): Promise<void> {
 		clearInterval(this._followTimer);
 		await Promise.all(this.nodes.map(async node => {
@@ -269,7 +271,7 @@
 		}
 	}
 
-	/** An order takes effect, unless another with a later epoch came meanwhile. */
+	/** Lets an order take effect, unless one with a later epoch was received meanwhile. */
 	private _applyPromotion(id: string, epoch: number): void {
 		if (this.ordered.every(other => other.epoch <= epoch)) {
 			this.group.promote(id);
@@ -298,7 +300,7 @@
 		}
 	}
 
-	/** Instances that were left behind follow the leader of a later term some time after they can reach it. */
+	/** Makes stale instances follow the primary of a later term once they have been able to reach it for the simulated time `demotion`. */
 	private _followNewerPrimaries(): void {
 		for (const instance of this.group.instances) {
 			const {id, isUp} = instance;
@@ -350,7 +352,7 @@
 	}
 }
 
-/** Ports of an address that are free at the moment; held until all are chosen. */
+/** Returns free ports of an address. Each is kept open until all are chosen, so that they differ. */
 async function freePorts(host: string, count: number): Promise<number[]> {
 	const servers = Array.from({length: count}, () => createServer());
 	const ports = await Promise.all(servers.map(async server => listenOn(server, {host, port: 0})));
--- a/standins/line/processes/node-main.ts
+++ b/standins/line/processes/node-main.ts
@@ -1,5 +1,5 @@
 /**
- * A node as a process of its own, from the compiled modules.
+ * Entry point of a node that runs in its own process, from the compiled modules.
  */
 import {main} from '../../../platform/main.js';
 import {divertConnections} from './diverted-connections.js';
--- a/standins/line/processes/node-process.ts
+++ b/standins/line/processes/node-process.ts
@@ -1,5 +1,5 @@
 /**
- * One node as a process of its own, ended and paused by its id.
+ * One node that runs in its own process, which is signalled by its process id.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
@@ -16,15 +16,15 @@
 
 const program = fileURLToPath(new URL('node-main.js', import.meta.url));
 
-/** Time between two looks whether a node is ready, and how often it is looked. */
+/** Interval in milliseconds between two checks whether a node is ready, and the number of checks. */
 const readinessPolling = {everyMs: 100, times: 300} as const;
 
-/** What nodes owe to organisations: when a key must count no more, and how usage is counted. */
+/** Settings of access control: the time within which a revoked key must be refused, and the rule for usage limits. */
 export const accessRule: {readonly keyRevocationMs: number; readonly usage: UsageRule} = {
 	keyRevocationMs: 5000, usage: {windowS: 5, overshootShare: 0.1, slack: 20},
 };
 
-/** Where a node stands. */
+/** Name, zone, addresses and folder of a node. */
 export type NodePlan = {
 	readonly name: string;
 	readonly zone: string;
@@ -34,14 +34,14 @@
 	readonly peersPort: number;
 	/** Addresses of the store and of the promotion call. */
 	readonly platformAddress: string;
-	/** Where its settings and its log are written. */
+	/** Folder of the node's settings and log. */
 	readonly folder: string;
 };
 
 /** Starts, signals and restarts one node. */
 export class NodeProcess {
 	readonly plan: NodePlan;
-	/** Ports of the proxies that it connects to in place of addresses. */
+	/** For each address, the port of the proxy to which the node's connections are diverted. */
 	readonly diversions = new Map<string, number>();
 	private _child: ChildProcess | undefined;
 
@@ -53,14 +53,14 @@
 		return this._child?.exitCode === null && this._child.signalCode === null;
 	}
 
-	/** Starts the process; it is not ready yet. */
+	/** Starts the process without waiting until it is ready. */
 	async start(): Promise<void> {
 		const {name, folder} = this.plan;
 		const file = path.join(folder, `${name}.conf`);
 		await writeFile(file, settingsOf(this.plan));
 		const settings = path.join(folder, `${name}.jsonc`);
 		await writeFile(settings, '{"metrics": {"port": 0}, "logs": {"linesPerS": 1000}}');
-		// Two faults that ended it at one time both start it: a second process would outlive the run.
+		// Two faults that ended the process at the same time both start it again: a second process would outlive the run.
 		if (this.isRunning) {
 			return;
 		}
@@ -76,9 +76,9 @@
 		this._child = child;
 	}
 
-	/** Waits until it takes callers; resolves to whether it does. */
+	/** Waits until the node accepts callers; resolves to false if it does not in time. */
 	async waitUntilReady(): Promise<boolean> {
-		for (let look = 0; look < readinessPolling.times; look++) {
+		for (let attempt = 0; attempt < readinessPolling.times; attempt++) {
 			if (await this.isReady()) {
 				return true;
 			}
@@ -89,7 +89,7 @@
 		return false;
 	}
 
-	/** Whether it says that it takes callers. */
+	/** Resolves to whether the node reports that it accepts callers. */
 	async isReady(): Promise<boolean> {
 		const {host, readyPort} = this.plan;
 		return new Promise(resolve => {
@@ -114,7 +114,7 @@
 		}
 	}
 
-	/** Sends a signal that ends the process, and waits for the end. */
+	/** Sends a signal that ends the process, and waits until the process has exited. */
 	async end(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
 		const child = this._child;
 		if (!child || !this.isRunning) {
--- a/standins/line/promotion-duties.test.ts
+++ b/standins/line/promotion-duties.test.ts
@@ -28,7 +28,7 @@
 		}, leaseMs);
 	}
 
-	async function take(duties: PromotionDuties, term: number): Promise<HeldDuty> {
+	async function acquire(duties: PromotionDuties, term: number): Promise<HeldDuty> {
 		const taken = await clock.advanceUntil(duties.acquire(service, term));
 		return taken.unsafeCoerce();
 	}
@@ -48,61 +48,61 @@
 		store = new MemoryRowStore(clock);
 	});
 
-	it('keep a term that was ordered away on record when a later replacement is given up', async () => {
+	it('keep the record of a term that was ordered to be replaced when a later replacement is cancelled', async () => {
 		const duties = dutiesOf('a');
-		await order(duties, await take(duties, 3), 'i-2');
-		const later = await take(duties, 4);
+		await order(duties, await acquire(duties, 3), 'i-2');
+		const later = await acquire(duties, 4);
 		expect([later.term, later.orderedId]).toEqual([4, undefined]);
 		expect(await begunTerm()).toEqual(4);
 		await clock.advanceUntil(duties.cancelReplacement(service, later));
 		expect(await begunTerm()).toEqual(3);
 	});
 
-	it('take a term from the record after a refusal, and nothing that stood there before', async () => {
+	it('remove a term from the record after a refusal, and nothing that was recorded before', async () => {
 		const duties = dutiesOf('a');
-		await order(duties, await take(duties, 3), 'i-2');
-		const later = await take(duties, 4);
+		await order(duties, await acquire(duties, 3), 'i-2');
+		const later = await acquire(duties, 4);
 		const ordered = await order(duties, later, 'i-3');
 		expect(await begunTerm()).toEqual(4);
 		await clock.advanceUntil(duties.cancelReplacement(service, ordered!, later));
 		expect(await begunTerm()).toEqual(3);
 	});
 
-	it('name the endpoint that was ordered for the term, and a later term than is known', async () => {
+	it('return the endpoint that was ordered for the term, and a later term than the caller knows', async () => {
 		const duties = dutiesOf('a');
-		await order(duties, await take(duties, 3), 'i-2');
-		const again = await take(duties, 2);
+		await order(duties, await acquire(duties, 3), 'i-2');
+		const again = await acquire(duties, 2);
 		expect([again.term, again.orderedId]).toEqual([3, 'i-2']);
 	});
 
-	it('never replace a term again whose successor was seen', async () => {
+	it('never replace a term whose successor has been seen', async () => {
 		const duties = dutiesOf('a');
-		const ordered = await order(duties, await take(duties, 3), 'i-2');
+		const ordered = await order(duties, await acquire(duties, 3), 'i-2');
 		await clock.advanceUntil(duties.recordEffect(service, ordered!, 4));
-		const again = await take(duties, 3);
+		const again = await acquire(duties, 3);
 		expect([again.term, again.orderedId]).toEqual([4, undefined]);
 	});
 
-	it('put no order on record once another node has the duty', async () => {
-		const duty = await take(dutiesOf('a'), 3);
+	it('record no order after another node has acquired the duty', async () => {
+		const duty = await acquire(dutiesOf('a'), 3);
 		await clock.advance(leaseMs);
-		await take(dutiesOf('bb'), 3);
+		await acquire(dutiesOf('bb'), 3);
 		expect(await order(dutiesOf('a'), duty, 'i-2')).toEqual(undefined);
 	});
 
-	it('find out by reading that an order is on record whose answer was lost', async () => {
+	it('find out by reading that an order was recorded although the answer was lost', async () => {
 		const duties = dutiesOf('a');
-		const duty = await take(duties, 3);
+		const duty = await acquire(duties, 3);
 		store.writeAnswersToLose = 1;
 		const ordered = await order(duties, duty, 'i-2');
 		expect(ordered?.version).toEqual(duty.version + 1);
 	});
 
-	it('do not take a duty that a restored store may have lost', async () => {
-		const copy = store.takeSnapshot();
+	it('do not acquire a duty that another node may hold and a restored store may have lost', async () => {
+		const snapshot = store.takeSnapshot();
 		const duties = dutiesOf('a');
-		await take(duties, 3);
-		store.restore(copy);
+		await acquire(duties, 3);
+		store.restore(snapshot);
 		const refused = await clock.advanceUntil(dutiesOf('bb').acquire(service, 3));
 		expect(refused.swap().toMaybe().extract()?.reason).toEqual('heldByAnother');
 		await clock.advance(leaseMs);
@@ -110,32 +110,32 @@
 		expect(again.isRight()).toEqual(false);
 	});
 
-	it('put no order on record under a claim that the store has lost, also where its version was given out again', async () => {
+	it('record no order under a claim that the store has lost, even if its version was given out again', async () => {
 		store.put('other', 'row', '1');
-		const copy = store.takeSnapshot();
-		const duty = await take(dutiesOf('a'), 3);
-		store.restore(copy);
+		const snapshot = store.takeSnapshot();
+		const duty = await acquire(dutiesOf('a'), 3);
+		store.restore(snapshot);
 		store.put(dutyTable, 'holder', JSON.stringify({...duty.record, holder: 'bb'}), service);
 		expect(await order(dutiesOf('a'), duty, 'i-2')).toEqual(undefined);
 	});
 
-	it('put back the order that the store has lost, and whom it named', async () => {
+	it('rewrite an order that the store has lost, with the endpoint that it named', async () => {
 		const duties = dutiesOf('a');
-		const copy = store.takeSnapshot();
-		await order(duties, await take(duties, 3), 'i-2');
-		store.restore(copy);
+		const snapshot = store.takeSnapshot();
+		await order(duties, await acquire(duties, 3), 'i-2');
+		store.restore(snapshot);
 		await clock.advanceUntil(duties.rewriteLostRecord(service, {primaryTerm: 3, begunTerm: 3}));
 		await clock.advance(leaseMs);
-		const again = await take(duties, 2);
+		const again = await acquire(duties, 2);
 		expect([again.term, again.orderedId]).toEqual([3, 'i-2']);
 	});
 
-	it('put back as ordered what the copy shows begun: the order may be lost', async () => {
+	it('rewrite as ordered a replacement that the snapshot shows as begun, since its order may be lost', async () => {
 		const duties = dutiesOf('a');
-		const duty = await take(duties, 3);
-		const copy = store.takeSnapshot();
+		const duty = await acquire(duties, 3);
+		const snapshot = store.takeSnapshot();
 		await order(duties, duty, 'i-2');
-		store.restore(copy);
+		store.restore(snapshot);
 		const others = dutiesOf('bb');
 		await clock.advanceUntil(others.rewriteLostRecord(service, {primaryTerm: 3, begunTerm: 0}));
 		await clock.advance(leaseMs);
@@ -143,9 +143,9 @@
 		expect(state.toMaybe().extract()?.orderedTerm).toEqual(3);
 	});
 
-	it('put nothing back where nothing was lost', async () => {
+	it('rewrite nothing if nothing was lost', async () => {
 		const duties = dutiesOf('a');
-		const ordered = await order(duties, await take(duties, 3), 'i-2');
+		const ordered = await order(duties, await acquire(duties, 3), 'i-2');
 		await clock.advanceUntil(duties.recordEffect(service, ordered!, 4));
 		store.restore(store.takeSnapshot());
 		const before = store.currentVersion;
@@ -153,7 +153,7 @@
 		expect(store.currentVersion).toEqual(before);
 	});
 
-	it('say nothing of a row that cannot be read', async () => {
+	it('return no term for a row that cannot be parsed', async () => {
 		await assert(asyncProperty(string(), async value => {
 			store.put(dutyTable, 'holder', value, service);
 			expect(await begunTerm()).toEqual(undefined);
--- a/standins/line/replaced-primary.test.ts
+++ b/standins/line/replaced-primary.test.ts
@@ -1,21 +1,21 @@
 /**
- * What users saw: a write committed at a primary after another endpoint had been promoted, and
- * acknowledged.
+ * These tests guard against acknowledged writes that a primary commits after another endpoint has
+ * been promoted.
  *
- * The order of events: a zone with the primary and some nodes is cut off. The nodes outside
- * fence the replicas, wait until leases of those inside have run out, and promote. The
- * promotion's effect ends all fences, and a replica that receives nothing then goes on saying
- * that it follows the old term. The cut heals, a node from inside asks that replica first, and
- * its word begins a new lease on the old term.
+ * The order of events: a partition isolates a zone with the primary and some nodes. The nodes
+ * outside fence the replicas, wait until the leases of the nodes inside have expired, and promote.
+ * The effect of the promotion ends all fences, and a replica that receives nothing then goes on
+ * reporting that it follows the old term. The partition ends, a node from inside polls that replica
+ * first, and the reported status starts a new lease on the old term.
  *
- * The cause: "a replica that is not fenced proves its term" was argued up to a promotion's
- * order only. From the order on, whatever ends a fence (the effect itself, a node that gives
- * up, one that takes the fence for left behind) lets such a replica prove a term that has been
- * replaced, or is about to be.
+ * The cause: the rule "a replica that is not fenced proves its term" holds only up to the order of a
+ * promotion. From the order on, anything that ends a fence (the effect itself, a node that cancels
+ * the replacement, a node that treats the fence as orphaned) lets such a replica prove a term that
+ * has been replaced or is about to be.
  *
- * The evidence: states of endpoints logged at each change. At the effect, replicas changed from
- * fenced to not fenced in the old term; 1.7 s later a lease on that term began with the word of
- * the one that received nothing, 4.2 s after the last proof; the writes followed.
+ * In the logs this shows in the states of endpoints: at the effect, replicas change from fenced to
+ * not fenced in the old term. Later (1.7 s after the effect, 4.2 s after the last proof) a lease on
+ * that term starts with the proof of the replica that receives nothing, and the writes follow.
  */
 import {afterEach, describe, it} from 'node:test';
 import {expect} from 'earl';
@@ -23,15 +23,15 @@
 import {cutConnections, databases, LineTestCluster} from './line-test-cluster.js';
 import type {LineTestNode} from './line-test-cluster.js';
 
-/** Pause between two rounds of writes. */
+/** Pause between two rounds of writes, in virtual milliseconds. */
 const roundMs = 10;
 
-/** Longest time in virtual ms until writes are acknowledged again. */
+/** Maximum time until writes are acknowledged again, in virtual milliseconds. */
 const timeoutMs = 20_000;
 
 describe('a primary that was replaced', () => {
 	let cluster: LineTestCluster;
-	/** Writes that the old primary committed after the promotion's effect, and that were acknowledged. */
+	/** Acknowledgements of writes that the old primary committed after the promotion took effect. */
 	let wrongAcknowledgements: string[];
 	let rounds: number;
 
@@ -45,10 +45,10 @@
 		}
 
 		await cluster.clock.advance(100);
-		// The old primary never hears of another one, nor does the replica that receives nothing.
+		// Neither the old primary nor the replica that receives nothing learns of the promotion.
 		cluster.group.instance('i-1').missesPromotions = true;
 		blockReplication('i-2');
-		// So the other replica has more of the log, and is the one to be promoted.
+		// This write gives the other replica the longer log, so that it is the one to be promoted.
 		await cluster.nodes[0].session(databases.primary).send('WRITE x 1');
 		await cluster.clock.advance(100);
 		return cluster.nodes;
@@ -64,7 +64,7 @@
 		return cluster.group.instances.some(({id, isPrimary}) => isPrimary && id !== 'i-1');
 	}
 
-	/** Writes once over each node, and notes acknowledgements that must not be. */
+	/** Writes once through each node and records the acknowledgements that must not occur. */
 	async function write(nodes: readonly LineTestNode[]): Promise<string[]> {
 		rounds += 1;
 		const wasReplaced = isReplaced();
@@ -92,7 +92,7 @@
 		}
 	}
 
-	/** The new primary serves over every one of these nodes. */
+	/** Expects that the new primary serves writes through each of these nodes. */
 	async function expectServed(nodes: readonly LineTestNode[], primary = 'i-3'): Promise<void> {
 		const served = new Set<LineTestNode>();
 		const endMs = cluster.clock.nowMs() + timeoutMs;
@@ -110,7 +110,7 @@
 		cluster.dispose();
 	});
 
-	it('acknowledges nothing over nodes from behind a cut that has healed', async () => {
+	it('acknowledges nothing through nodes that return from a partition', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-2', 'i-3'], others);
 		cutOff.isStoreUnreachable = true;
@@ -120,13 +120,13 @@
 
 		await writeUntil(isReplaced, cluster.nodes);
 		await writeFor(1500, cluster.nodes);
-		heal();
+		clearFaults();
 		await writeFor(1500, cluster.nodes);
 		expect(wrongAcknowledgements).toEqual([]);
 		await expectServed(cluster.nodes);
 	});
 
-	it('acknowledges nothing when the promotion takes effect long after its call was given up on', async () => {
+	it('acknowledges nothing when the promotion takes effect long after its call was abandoned', async () => {
 		const nodes = await start(3);
 		cluster.orderAnswersToLose = 1;
 		cluster.promotionMs = 4000;
@@ -135,7 +135,7 @@
 		}
 
 		await writeUntil(() => cluster.ordered.length > 0, nodes);
-		heal();
+		clearFaults();
 		await writeFor(6000, nodes);
 		expect(isReplaced()).toEqual(true);
 		expect(wrongAcknowledgements).toEqual([]);
@@ -151,14 +151,14 @@
 
 		await writeUntil(() => cluster.ordered.length > 0, nodes);
 		const left = killPromoter();
-		heal(left);
+		clearFaults(left);
 		await writeFor(9000, left);
 		expect(isReplaced()).toEqual(true);
 		expect(wrongAcknowledgements).toEqual([]);
 		await expectServed(left);
 	});
 
-	it('is replaced once more where both the node that ordered and the endpoint that it ordered are gone', async () => {
+	it('is replaced again when both the node that ordered the promotion and the promoted endpoint are lost', async () => {
 		const nodes = await start(3);
 		for (const node of nodes) {
 			cutConnections(node, ['i-1']);
@@ -167,7 +167,7 @@
 		await writeUntil(() => cluster.ordered.length > 0, nodes);
 		const left = killPromoter();
 
-		// Nobody sees that it leads the next term, and its registration lapses.
+		// No node sees that the promoted endpoint is the primary of the next term, and its registration expires.
 		for (const node of left) {
 			node.connector.connectionFaults.clear();
 			cutConnections(node, ['i-3']);
@@ -195,11 +195,11 @@
 		await writeUntil(isReplaced, cluster.nodes);
 		await writeFor(2000, cluster.nodes);
 		expect(wrongAcknowledgements).toEqual([]);
-		heal();
+		clearFaults();
 		await expectServed(cluster.nodes);
 	});
 
-	it('acknowledges nothing when a fence was lost at a replica that the promoter cannot ask again', async () => {
+	it('acknowledges nothing when a fence was lost at a replica that the promoter cannot poll again', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-3'], others);
 		cutOff.isStoreUnreachable = true;
@@ -208,7 +208,7 @@
 		}
 
 		await writeUntil(() => cluster.group.instance('i-2').fencedForTerm > 0, cluster.nodes);
-		// It started again with its log; the promoter's second question gets no answer.
+		// The replica has started again with its log; the promoter's second status request gets no answer.
 		for (const node of others) {
 			cutConnections(node, ['i-2']);
 		}
@@ -218,7 +218,7 @@
 		expect(wrongAcknowledgements).toEqual([]);
 	});
 
-	it('acknowledges nothing when all fences run out before an order takes effect, at a node without the store', async () => {
+	it('acknowledges nothing through a node without the store when all fences expire before an order takes effect', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, [], others);
 		cutOff.isStoreUnreachable = true;
@@ -233,7 +233,7 @@
 		expect(wrongAcknowledgements).toEqual([]);
 	});
 
-	it('acknowledges nothing when all fences end between an order and its effect, at a node without the store', async () => {
+	it('acknowledges nothing through a node without the store when all fences end between an order and its effect', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, [], others);
 		cutOff.isStoreUnreachable = true;
@@ -251,7 +251,7 @@
 		expect(wrongAcknowledgements).toEqual([]);
 	});
 
-	it('acknowledges nothing over a later primary that a stale node replaces once more', async () => {
+	it('acknowledges nothing of a later primary that a stale node replaces again', async () => {
 		const [stale, ...others] = await start(5);
 		cutNode(stale, ['i-1', 'i-3'], others);
 		for (const node of others) {
@@ -260,7 +260,7 @@
 
 		await writeUntil(isReplaced, others);
 		await writeFor(1000, others);
-		// The new primary's entry expires for a while; the stale node finds an order on record.
+		// The new primary's registration expires for a while; the stale node finds a recorded order.
 		cluster.group.instance('i-2').missesPromotions = false;
 		cluster.group.instance('i-3').missesPromotions = true;
 		for (const node of others) {
@@ -278,7 +278,7 @@
 		expect(answers.filter(answer => answer.startsWith('COMPLETE i-3'))).toEqual([]);
 	});
 
-	it('is replaced at the first attempt beside a node that cannot be told', async () => {
+	it('is replaced at the first attempt although one node cannot be notified', async () => {
 		const [cutOff, ...others] = await start(5);
 		cutNode(cutOff, ['i-3'], others);
 		for (const node of others) {
@@ -291,7 +291,7 @@
 		expect(cluster.clock.nowMs() - startMs < 2500).toEqual(true);
 	});
 
-	/** The node that ordered neither hears nor says anything any more; the others are left. */
+	/** Stops the node that ordered the promotion and isolates it; returns the other nodes. */
 	function killPromoter(): readonly LineTestNode[] {
 		const [{holder}] = cluster.ordered;
 		const dead = cluster.nodes.find(({self}) => self.name === holder)!;
@@ -302,8 +302,8 @@
 		return left;
 	}
 
-	/** Ends all cuts of these nodes. */
-	function heal(nodes: readonly LineTestNode[] = cluster.nodes): void {
+	/** Clears all faults of these nodes. */
+	function clearFaults(nodes: readonly LineTestNode[] = cluster.nodes): void {
 		for (const node of nodes) {
 			node.connector.connectionFaults.clear();
 			node.unreachablePeers.clear();
@@ -312,7 +312,7 @@
 	}
 });
 
-/** Cuts a node off from endpoints and from other nodes. */
+/** Makes a node's connections to endpoints and its calls to other nodes fail. */
 function cutNode(node: LineTestNode, ids: readonly string[], others: readonly LineTestNode[]): void {
 	cutConnections(node, ids);
 	for (const other of others) {
--- a/standins/line/replacement-reads.test.ts
+++ b/standins/line/replacement-reads.test.ts
@@ -5,8 +5,8 @@
 
 const nodeCount = 40;
 
-describe('looks whether a primary is being replaced', () => {
-	it('reads the store at most twice a node during a promotion', async () => {
+describe('checks whether a primary is being replaced', () => {
+	it('read the store at most twice per node during a promotion', async () => {
 		const cluster = new LineTestCluster();
 		let reads = 0;
 		const {store} = cluster;
--- a/standins/line/restarts.test.ts
+++ b/standins/line/restarts.test.ts
@@ -4,10 +4,10 @@
 import {databases, LineTestCluster} from './line-test-cluster.js';
 import type {LineTestNode} from './line-test-cluster.js';
 
-/** Longest time in virtual ms until a group serves again. */
+/** Maximum time until a group serves again, in virtual milliseconds. */
 const timeoutMs = 15_000;
 
-/** Time until an instance that started again has its log from its primary. */
+/** Time until an instance that has started again has received the log from its primary. */
 const syncMs = 300;
 
 describe('instances that start again under their id', () => {
@@ -23,7 +23,7 @@
 		return cluster;
 	}
 
-	/** Starts an instance again, which says so in its registration after a time. */
+	/** Starts an instance again; its registration shows the new start after a delay, and without a start time unless `isStartTold` is set. */
 	function restart(id: string, options: {readonly isPrimary?: boolean; readonly saysSoAfterMs?: number; readonly isStartTold?: boolean} = {}): void {
 		const {isPrimary, saysSoAfterMs = 800, isStartTold = true} = options;
 		cluster.group.restart(id, {syncMs, isPrimary});
@@ -44,7 +44,7 @@
 			await cluster.clock.advance(20);
 		}
 
-		throw new Error(`not done within ${timeoutMs} ms`);
+		throw new Error(`expected a successful answer within ${timeoutMs} ms, found none`);
 	}
 
 	afterEach(() => {
@@ -52,7 +52,7 @@
 	});
 
 	for (const isStartTold of [true, false]) {
-		it(`read nothing from a primary that lost what it acknowledged, start time ${isStartTold ? 'told' : 'not told'}`, async () => {
+		it(`serve no reads as a primary that lost acknowledged writes, start time ${isStartTold ? 'reported' : 'not reported'}`, async () => {
 			const {clock, ordered, nodes} = await start(3);
 			for (let count = 1; count <= 5; count++) {
 				await nodes[0].session(databases.primary).send(`WRITE x ${count}`);
@@ -70,7 +70,7 @@
 		});
 	}
 
-	it('acknowledge no write at a primary that lost what it acknowledged', async () => {
+	it('acknowledge no writes as a primary that lost acknowledged writes', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		for (let count = 1; count <= 5; count++) {
 			await node.session(databases.primary).send(`WRITE x ${count}`);
@@ -84,7 +84,7 @@
 		expect(await answerStartsWith(untilDone(node, 'READ x'), 'DATAROW 5|')).toEqual(true);
 	});
 
-	it('are not believed as primary by a node that starts after them', async () => {
+	it('are not accepted as primary by a node that connects after the restart', async () => {
 		const {clock, group, nodes} = await start(2);
 		const [node, late] = nodes;
 		late.connector.connectionFaults.set('i-1', 'silent');
@@ -100,12 +100,12 @@
 		expect(await answerStartsWith(untilDone(late, 'READ x'), 'DATAROW 5|')).toEqual(true);
 	});
 
-	it('prove no term before the store says that nobody replaces its primary: their fence is forgotten', async () => {
+	it('prove no term until the store shows that its primary is not being replaced, since their fence is lost', async () => {
 		const {clock, nodes: [node]} = await start(1);
 		await node.session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
 		node.connector.connectionFaults.set('i-3', 'silent');
-		// Its position alone tells of the start: the node cannot ask the store.
+		// Only the position of the replica shows that it has started again: the node cannot read the store.
 		node.isStoreUnreachable = true;
 		cluster.group.restart('i-2', {syncMs: 600});
 		for (let round = 0; round < 20; round++) {
@@ -118,14 +118,14 @@
 		expect(await answerStartsWith(untilDone(node, 'READ x'), 'DATAROW 1|')).toEqual(true);
 	});
 
-	it('stop a promotion when they forgot its fence in the middle of it', async () => {
+	it('stop a promotion whose fence they lost while it was in progress', async () => {
 		const {clock, group, ordered, nodes} = await start(3);
 		const [node] = nodes;
 		await node.session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
 		group.instance('i-1').isUp = false;
 		const attempt = node.session(databases.primary).start('WRITE y 1');
-		// As soon as a replica is fenced it starts again.
+		// A replica starts again as soon as it is fenced.
 		while (!group.instances.some(({fencedForTerm}) => fencedForTerm > 0)) {
 			await clock.advance(1);
 		}
@@ -140,7 +140,7 @@
 		expect(ordered[0].id).toEqual('i-3');
 	});
 
-	it('confirm no write that they had received before', async () => {
+	it('confirm no write that they had received before the restart', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		const session = node.session(databases.primary);
 		await session.send('WRITE x 1');
@@ -154,7 +154,7 @@
 		expect(await clock.advanceUntil(node.group.confirm(position))).toEqual(false);
 	});
 
-	it('serve aged reads again once they have the log, over new connections', async () => {
+	it('serve reads with bounded staleness again once they have the log, over new connections', async () => {
 		const {clock, group, nodes: [node]} = await start(1);
 		await node.session(databases.primary).send('WRITE x 1');
 		await clock.advance(100);
--- a/standins/line/restore-schedules.test.ts
+++ b/standins/line/restore-schedules.test.ts
@@ -1,6 +1,6 @@
 /**
- * Random schedules of restores among changes of the configuration, promotions, cuts and starts,
- * on a virtual clock. The same seed gives the same schedule.
+ * Random schedules of restores mixed with changes of the configuration, promotions, partitions and
+ * starts of nodes, on a virtual clock. The same seed gives the same schedule.
  */
 import {describe, it} from 'node:test';
 import {expect} from 'earl';
@@ -11,24 +11,24 @@
 
 const seeds = Array.from({length: 24}, (_, index) => index + 1);
 
-/** Steps of one schedule, and the virtual time between two rounds of writes, in milliseconds. */
+/** Number of steps of one schedule, and the time between two rounds of writes in virtual milliseconds. */
 const steps = 14;
 const roundMs = 40;
 
-/** Time in which every node must have the last configuration, and serve again. */
+/** Time within which every node must have the last configuration and serve again, in virtual milliseconds. */
 const recoveryMs = 20_000;
 
 class Schedule {
 	readonly cluster = new LineTestCluster();
 	private readonly _random: SeededRandom;
 	private readonly _acknowledged = new Set<string>();
-	private readonly _copies: StoreSnapshot[] = [];
+	private readonly _snapshots: StoreSnapshot[] = [];
 	private _configuration = 1;
 	private _writes = 0;
 
 	private readonly _actions: Readonly<Record<string, () => Promise<void>>> = {
 		copy: async () => {
-			this._copies.push(this.cluster.store.takeSnapshot());
+			this._snapshots.push(this.cluster.store.takeSnapshot());
 		},
 		restore: async () => this._restore(),
 		restoreTwice: async () => {
@@ -41,37 +41,37 @@
 			this.cluster.configure(this._configuration);
 		},
 		replacePrimary: async () => {
-			const [leader] = this.cluster.group.instances.filter(({isPrimary}) => isPrimary).toSorted((a, b) => b.term - a.term);
+			const [primary] = this.cluster.group.instances.filter(({isPrimary}) => isPrimary).toSorted((a, b) => b.term - a.term);
 			for (const node of this.cluster.nodes.slice(1)) {
-				cutConnections(node, [leader.id]);
+				cutConnections(node, [primary.id]);
 			}
 
-			leader.missesPromotions = this._random.next() < 0.5;
+			primary.missesPromotions = this._random.next() < 0.5;
 			await this._writeFor(this._upTo(4000));
 		},
-		/** A node stays with a primary and a replica that hear of no promotion; it comes back to the store first. */
+		/** Isolates a node together with a primary and a replica that learn of no promotion; the node reaches the store again first. */
 		cutZone: async () => {
-			const [leader, deaf, ...others] = this.cluster.group.instances.toSorted((a, b) => Number(b.isPrimary) - Number(a.isPrimary) || b.term - a.term);
-			const inside = this._pick(this.cluster.nodes);
-			inside.isStoreUnreachable = this._random.next() < 0.7;
-			cutConnections(inside, others.map(({id}) => id));
-			for (const node of this.cluster.nodes.filter(other => other !== inside)) {
-				inside.unreachablePeers.add(node.self.name);
-				cutConnections(node, [leader.id]);
+			const [primary, blockedReplica, ...others] = this.cluster.group.instances.toSorted((a, b) => Number(b.isPrimary) - Number(a.isPrimary) || b.term - a.term);
+			const isolatedNode = this._pick(this.cluster.nodes);
+			isolatedNode.isStoreUnreachable = this._random.next() < 0.7;
+			cutConnections(isolatedNode, others.map(({id}) => id));
+			for (const node of this.cluster.nodes.filter(other => other !== isolatedNode)) {
+				isolatedNode.unreachablePeers.add(node.self.name);
+				cutConnections(node, [primary.id]);
 			}
 
-			this._copies.push(this.cluster.store.takeSnapshot());
-			for (const instance of [leader, deaf]) {
+			this._snapshots.push(this.cluster.store.takeSnapshot());
+			for (const instance of [primary, blockedReplica]) {
 				instance.missesPromotions = true;
 			}
 
-			deaf.isReplicationBlocked = true;
+			blockedReplica.isReplicationBlocked = true;
 			await this._writeFor(this._upTo(6000));
 			if (this._random.next() < 0.6) {
 				await this._restore();
 			}
 
-			inside.isStoreUnreachable = false;
+			isolatedNode.isStoreUnreachable = false;
 			await this._writeFor(this._upTo(6000));
 		},
 		cutStore: async () => {
@@ -92,7 +92,7 @@
 			this.cluster.store.dropHistory();
 		},
 		heal: async () => {
-			this._heal();
+			this._clearFaults();
 		},
 	};
 
@@ -102,40 +102,40 @@
 
 	async run(): Promise<void> {
 		await this.cluster.start(4);
-		this._copies.push(this.cluster.store.takeSnapshot());
+		this._snapshots.push(this.cluster.store.takeSnapshot());
 		for (let step = 0; step < steps; step++) {
 			await this._actions[this._pick([...Object.keys(this._actions), 'restore', 'copy', 'cutZone', 'heal'])]();
 			this.cluster.register();
 			await this._writeFor(this._upTo(1500));
 		}
 
-		this._heal();
+		this._clearFaults();
 		await this._actions.configure();
 		this.cluster.register();
 		await this._writeFor(recoveryMs);
 	}
 
-	/** Names of nodes without the last configuration. */
+	/** Returns the names of the nodes that do not have the last configuration. */
 	behind(): string[] {
 		return this.cluster.nodes.filter(({catalog}) => catalog.version !== this._configuration).map(({self}) => self.name);
 	}
 
-	/** Acknowledged writes that took effect at a primary after a later one led. */
-	acknowledgedAtReplaced(): string[] {
+	/** Returns the acknowledged writes that took effect at a primary after a promotion to a later term. */
+	acknowledgedAfterReplacement(): string[] {
 		const {commits, promotionEffects} = this.cluster.group;
 		return commits
 			.filter(({id, term, atMs}) => this._acknowledged.has(id) && promotionEffects.some(start => start.term > term && start.atMs < atMs))
 			.map(({id, instance, term}) => `${id} at ${instance} in term ${term}`);
 	}
 
-	/** Epochs that are lower than one before, or that two nodes used. */
-	falseEpochs(): string[] {
+	/** Returns the epochs of orders that are lower than an earlier one or that two nodes used. */
+	invalidEpochs(): string[] {
 		return this.cluster.ordered
 			.filter(({epoch, holder}, index) => this.cluster.ordered.slice(0, index).some(other => other.epoch > epoch || (other.epoch === epoch && other.holder !== holder)))
 			.map(({epoch, holder}) => `${holder} with ${epoch}`);
 	}
 
-	/** Whether every node acknowledges a write. */
+	/** Resolves to whether every node acknowledges a write. */
 	async areAllServing(): Promise<boolean> {
 		const answers = await this._write();
 		return answers.every(answer => answer.startsWith('COMPLETE'));
@@ -145,14 +145,14 @@
 		const {store, clock} = this.cluster;
 		store.isUnavailable = this._random.next() < 0.8;
 		await this._writeFor(this._upTo(1500));
-		store.restore(this._pick(this._copies.slice(-2)));
+		store.restore(this._pick(this._snapshots.slice(-2)));
 		store.isUnavailable = false;
 		await clock.advance(this._upTo(2000));
 		this.cluster.configure(this._configuration);
 		this.cluster.register();
 	}
 
-	private _heal(): void {
+	private _clearFaults(): void {
 		for (const node of this.cluster.nodes) {
 			node.connector.connectionFaults.clear();
 			node.unreachablePeers.clear();
@@ -194,8 +194,8 @@
 		return choices[Math.floor(this._random.next() * choices.length)];
 	}
 
-	private _upTo(longestMs: number): number {
-		return longestMs * this._random.next();
+	private _upTo(maximumMs: number): number {
+		return maximumMs * this._random.next();
 	}
 }
 
@@ -206,8 +206,8 @@
 			try {
 				await schedule.run();
 				expect(schedule.behind()).toEqual([]);
-				expect(schedule.acknowledgedAtReplaced()).toEqual([]);
-				expect(schedule.falseEpochs()).toEqual([]);
+				expect(schedule.acknowledgedAfterReplacement()).toEqual([]);
+				expect(schedule.invalidEpochs()).toEqual([]);
 				expect(await schedule.areAllServing()).toEqual(true);
 			} finally {
 				schedule.cluster.dispose();
--- a/standins/line/scarce-connections.test.ts
+++ b/standins/line/scarce-connections.test.ts
@@ -2,22 +2,22 @@
 import {expect} from 'earl';
 import {databases, LineTestCluster, service} from './line-test-cluster.js';
 
-/** Time that a test's statements may take together, in virtual milliseconds. */
+/** Time within which all statements of a test must be answered, in virtual milliseconds. */
 const timeoutMs = 2000;
 
 describe('endpoints that accept few connections', () => {
 	let cluster: LineTestCluster;
 
-	/** Opens connections that nobody uses: an endpoint counts those of hosts that lost power for 3 s. */
-	function fill(left: number): void {
+	/** Opens unused connections until each endpoint accepts only `remaining` more. An endpoint counts connections of hosts that lost power for 3 s. */
+	function fill(remaining: number): void {
 		for (const instance of cluster.group.instances) {
-			while (instance.sessions.size < instance.maximumConnections - left) {
+			while (instance.sessions.size < instance.maximumConnections - remaining) {
 				instance.open(service, 'other', instance.id);
 			}
 		}
 	}
 
-	/** Sends statements at one moment over all nodes by turns; resolves with how many were answered with success. */
+	/** Sends statements at the same moment through all nodes in turn; resolves to the number that succeeded. */
 	async function successes(statements: readonly string[], database: string): Promise<number> {
 		const answers = statements.map(async (text, index) =>
 			cluster.nodes[index % cluster.nodes.length].session(database).start(text, `id-${index}`));
@@ -30,7 +30,7 @@
 		cluster.dispose();
 	});
 
-	it('run statements on the connections that a node has while they take no more', async () => {
+	it('run statements on the connections that a node has while they accept no more', async () => {
 		cluster = new LineTestCluster();
 		await cluster.start(1);
 		await cluster.nodes[0].session(databases.primary).send('WRITE x 0');
@@ -39,7 +39,7 @@
 		expect(await successes(writes, databases.primary)).toEqual(writes.length);
 	});
 
-	it('leave room for every node where all start beside the connections of dead ones', async () => {
+	it('have connections for every node when all start while those of dead nodes are still counted', async () => {
 		cluster = new LineTestCluster();
 		fill(14);
 		await cluster.start(7);
@@ -47,7 +47,7 @@
 		expect(await successes(writes, databases.primary)).toEqual(writes.length);
 	});
 
-	it('are reached over a node that has a connection, and are not replaced', async () => {
+	it('are reached through a node that has a connection, and are not replaced', async () => {
 		cluster = new LineTestCluster();
 		fill(1);
 		await cluster.start(3);
@@ -57,7 +57,7 @@
 		expect(cluster.ordered).toEqual([]);
 	});
 
-	it('are not filled by one node while others have none', async () => {
+	it('do not give all connections to one node while other nodes have none', async () => {
 		cluster = new LineTestCluster();
 		await cluster.start(3);
 		await cluster.clock.advance(4000);
--- a/standins/line/sessions.test.ts
+++ b/standins/line/sessions.test.ts
@@ -16,14 +16,14 @@
 		cluster.dispose();
 	});
 
-	it('passes an endpoint\'s answers on', async () => {
+	it('forwards the answers of an endpoint', async () => {
 		const {nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		expect(await session.send('WRITE x 1')).toEqual('COMPLETE i-1||READY I 1.1');
 		expect(await session.send('READ x')).toEqual('DATAROW 1|COMPLETE i-1||READY I 1.1');
 	});
 
-	it('keeps values with their session and from all others', async () => {
+	it('keeps session values separate between sessions', async () => {
 		const {nodes: [node]} = await start();
 		const one = node.session(databases.primary);
 		const two = node.session(databases.primary);
@@ -35,7 +35,7 @@
 		expect(await one.send('READ x')).toEqual('COMPLETE i-1|colour=red|READY I 1.0');
 	});
 
-	it('tells prepared statements of one name in two sessions apart', async () => {
+	it('keeps prepared statements of the same name separate between sessions', async () => {
 		const {nodes: [node]} = await start();
 		const one = node.session(databases.primary);
 		const two = node.session(databases.primary);
@@ -47,7 +47,7 @@
 		expect(await answerStartsWith(two.send('EXECUTE s x'), 'ERROR NOSTMT')).toEqual(true);
 	});
 
-	it('shows a session its own write though replicas lag', async () => {
+	it('shows a session its own write although replicas lag', async () => {
 		const {group, nodes: [node], clock} = await start();
 		const session = node.session(databases.own);
 		for (const instance of group.instances) {
@@ -61,7 +61,7 @@
 		}
 	});
 
-	it('serves others in time while answers of a few statements are lost', async () => {
+	it('serves other sessions in time while a few statements get no answer', async () => {
 		const {nodes: [node], clock} = await start();
 		const lost = ['l1', 'l2', 'l3'];
 		for (const id of lost) {
@@ -72,13 +72,13 @@
 		await clock.advance(10);
 		const startedAtMs = clock.nowMs();
 		expect(await answerStartsWith(node.session(databases.primary).send('WRITE y 1'), 'COMPLETE')).toEqual(true);
-		// Three places are taken by statements that wait for 800 ms.
+		// Three slots are occupied by statements that wait for 800 ms.
 		expect(clock.nowMs() - startedAtMs < 300).toEqual(true);
 		const answers = await clock.advanceUntil(Promise.all(unanswered));
 		expect(answers.filter(answer => answer.startsWith('ERROR INDOUBT')).length).toEqual(3);
 	});
 
-	it('reads at replicas within the age, and at the primary when they are older', async () => {
+	it('reads at replicas within the maximum staleness, and at the primary when they are more stale', async () => {
 		const {group, nodes: [node], clock} = await start();
 		const writer = node.session(databases.primary);
 		const reader = node.session(databases.aged);
@@ -95,7 +95,7 @@
 		expect(await reader.send('READ x')).toEqual('DATAROW 2|COMPLETE i-1||READY I 1.2');
 	});
 
-	it('sends a write whose answer was lost once only, and says that its outcome is unknown', async () => {
+	it('does not retry a write whose answer was lost, and reports that its outcome is unknown', async () => {
 		const {group, nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		group.instance('i-1').lostAnswers.add('w1');
@@ -105,7 +105,7 @@
 		expect(group.instance('i-1').ran.filter(id => id === 'w1').length).toEqual(1);
 	});
 
-	it('sends a read whose answer was lost again', async () => {
+	it('retries a read whose answer was lost', async () => {
 		const {group, nodes: [node]} = await start();
 		const session = node.session(databases.aged);
 		for (let round = 0; round < 8; round++) {
@@ -114,7 +114,7 @@
 		}
 	});
 
-	it('sends a read elsewhere long before its time is over when no answer comes', async () => {
+	it('retries an unanswered read at another endpoint long before its deadline', async () => {
 		const {clock, nodes: [node]} = await start();
 		const session = node.session(databases.own);
 		await session.send('READ x');
@@ -127,7 +127,7 @@
 		}
 	});
 
-	it('says that a transaction is lost when its connection is, and never that it was committed', async () => {
+	it('reports a transaction as aborted when its connection is lost, and never as committed', async () => {
 		const {group, nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		expect(await session.send('BEGIN')).toEqual('COMPLETE -|READY T -');
@@ -141,7 +141,7 @@
 		expect(await session.send('READ x')).toEqual('COMPLETE i-1||READY I 1.0');
 	});
 
-	it('says that a commit whose answer was lost has an unknown outcome', async () => {
+	it('reports the outcome of a commit whose answer was lost as unknown', async () => {
 		const {group, nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		await session.send('BEGIN');
@@ -150,7 +150,7 @@
 		expect(await answerStartsWith(session.send('COMMIT', 'c1'), 'ERROR INDOUBT')).toEqual(true);
 	});
 
-	it('runs nothing outside of a transaction that its endpoint refused to begin', async () => {
+	it('runs no statement outside a transaction that the endpoint refused to begin', async () => {
 		const {group, nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		group.instance('i-1').isPrimary = false;
@@ -161,7 +161,7 @@
 		expect(group.instances.flatMap(({ran}) => ran).includes('r1')).toEqual(false);
 	});
 
-	it('rolls a transaction back that was idle for too long', async () => {
+	it('rolls back a transaction that was idle for too long', async () => {
 		const {group, nodes: [node], clock} = await start();
 		const session = node.session(databases.primary);
 		await session.send('BEGIN');
@@ -171,7 +171,7 @@
 		expect(group.instance('i-1').log.length).toEqual(0);
 	});
 
-	it('gives the connection of a transaction back that its caller left', async () => {
+	it('releases the connection of a transaction whose caller disconnected', async () => {
 		const {group, nodes: [node], clock} = await start();
 		const session = node.session(databases.primary);
 		await session.send('BEGIN');
@@ -183,7 +183,7 @@
 		expect(group.instance('i-1').log.length).toEqual(0);
 	});
 
-	it('follows routes from the next statement on', async () => {
+	it('applies changed routes from the next statement on', async () => {
 		const {nodes: [node], clock} = await start();
 		const session = node.session(databases.aged);
 		await session.send('READ x');
@@ -195,7 +195,7 @@
 		expect(node.catalog.version).toEqual(2);
 	});
 
-	it('answers what it does not know without harm', async () => {
+	it('refuses unknown statements and stays usable', async () => {
 		const {nodes: [node]} = await start();
 		const session = node.session(databases.primary);
 		expect(await answerStartsWith(session.send('DROP everything'), 'ERROR MALFORMED')).toEqual(true);
@@ -213,9 +213,9 @@
 		}
 	});
 
-	it('sends no read to a replica that drains, though it read there before', async () => {
-		// Reads reached an instance 11.9 s after it had said that it leaves, where 10 s are allowed: the
-		// pool that a replica's earlier reads had made knew its registration of that time.
+	it('sends no read to a draining replica at which it read before', async () => {
+		// Guards against a pool that keeps the registration with which earlier reads created it: reads then
+		// reach an instance 11.9 s after it announced that it drains, where 10 s are allowed.
 		cluster = new LineTestCluster();
 		await cluster.start(1);
 		const session = cluster.nodes[0].session(databases.aged);
