--- a/standins/endpoint/sql/access-path.ts
+++ b/standins/endpoint/sql/access-path.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the rows that a WHERE clause may hold for: by primary key where it fixes the key.
+ * Finds the rows for which a WHERE clause holds: by primary key if the clause determines it, otherwise by a scan.
  */
 import type {A_Expr as OperatorExpression, Node} from 'libpg-query';
 import type {Table} from '../store/table.js';
@@ -14,13 +14,13 @@
 import {convertValue, sqlTypes, typeNamed} from './sql-types.js';
 import type {Transaction} from './transaction.js';
 
-/** A row with its key. */
+/** A key with its row. */
 export type KeyedRow = readonly [string, Row];
 
-/** Gives the rows for which the condition holds. */
+/** Access to the rows of a table for which a condition holds. */
 export type AccessPath = {
 	readonly rows: (transaction: Transaction, evaluation: Omit<Evaluation, 'row'>) => KeyedRow[];
-	/** The whole condition, to be checked again after waiting for a lock. */
+	/** Evaluates the whole condition on one row, to check it again after waiting for a lock. */
 	readonly matches: (row: Row, evaluation: Omit<Evaluation, 'row'>) => boolean;
 };
 
@@ -76,7 +76,7 @@
 	return [node];
 }
 
-/** A way to the keys, if the condition fixes every column of the primary key. */
+/** Plans how to compute the keys, if the condition determines every column of the primary key; undefined otherwise. */
 function planKeys(table: Table, where: Node, compilation: Compilation): KeyFinder | undefined {
 	const {keyColumns} = table.definition;
 	if (keyColumns.length === 0) {
@@ -100,7 +100,7 @@
 	return keyColumns.length === 1 ? parts.map(part => planKeyList(table, part, compilation)).find(finder => finder !== undefined) : undefined;
 }
 
-/** Notes `column = value`, whichever side the column is on. */
+/** Adds the value of a condition `column = value` or `value = column` to `fixed`, if the column is part of the primary key. */
 function collectEquality(table: Table, part: OperatorExpression, compilation: Compilation, fixed: Map<number, Expression>): void {
 	if (part.kind !== 'AEXPR_OP' || namesOf(part.name).at(-1) !== '=') {
 		return;
@@ -124,7 +124,7 @@
 	return columnIndex !== undefined && table.definition.keyColumns.includes(columnIndex) ? columnIndex : undefined;
 }
 
-/** `column IN (...)` and `column = ANY (...)`. */
+/** Plans the keys of `column IN (...)` and `column = ANY (...)` for a key column. */
 function planKeyList(table: Table, part: OperatorExpression, compilation: Compilation): KeyFinder | undefined {
 	const index = keyColumn(table, part.lexpr, compilation);
 	if (index === undefined || namesOf(part.name).at(-1) !== '=') {
--- a/standins/endpoint/sql/aggregates.ts
+++ b/standins/endpoint/sql/aggregates.ts
@@ -1,5 +1,5 @@
 /**
- * Aggregates: count, sum, min, max and avg.
+ * Aggregate functions: count, sum, min, max and avg.
  */
 import type {SqlValue} from '../types.js';
 import {
@@ -8,7 +8,7 @@
 import {SqlError} from './sql-error.js';
 import {sqlTypes, type SqlType} from './sql-types.js';
 
-/** Takes values in and gives the result at the end. */
+/** Accumulates values into the result of an aggregate. */
 export type Accumulator = {
 	add(value: Exclude<SqlValue, undefined>): void;
 	result(): SqlValue;
@@ -80,7 +80,7 @@
 	return Object.hasOwn(definitions, name);
 }
 
-/** Makes an aggregate of a call. */
+/** Compiles the call of an aggregate function. */
 export function makeAggregate(name: string, rawArguments: readonly Expression[], isStar: boolean, isDistinct: boolean): Aggregate {
 	if (rawArguments.length !== (isStar ? 0 : 1) || (isStar && name !== 'count')) {
 		throw new SqlError('42883', `function ${name} with ${rawArguments.length} arguments does not exist`);
@@ -93,7 +93,7 @@
 	};
 }
 
-/** Runs aggregates over the rows of one group. */
+/** Evaluates aggregates over the rows of one group. */
 export function aggregate(aggregates: readonly Aggregate[], evaluations: readonly Evaluation[]): SqlValue[] {
 	return aggregates.map(({argument, isDistinct, createAccumulator}) => {
 		const accumulator = createAccumulator();
--- a/standins/endpoint/sql/array-text.ts
+++ b/standins/endpoint/sql/array-text.ts
@@ -1,11 +1,11 @@
 /**
- * Arrays in text form, as drivers send them for `= ANY ($1)`.
+ * Parses arrays in text format, as drivers send them for `= ANY ($1)`.
  */
 import {SqlError} from './sql-error.js';
 
 const itemPattern = /"(?<quoted>(?:[^"\\]|\\.)*)"|(?<plain>[^",\{\}\\]+)/gv;
 
-/** Items of a one-dimensional array; undefined for NULL. */
+/** Parses a one-dimensional array; an item is undefined for NULL. */
 export function parseArray(text: string): Array<string | undefined> {
 	if (!text.startsWith('{') || !text.endsWith('}')) {
 		throw new SqlError('22P02', `malformed array literal: "${text}"`);
--- a/standins/endpoint/sql/assignments.ts
+++ b/standins/endpoint/sql/assignments.ts
@@ -1,5 +1,5 @@
 /**
- * SET lists, and the checks of a row before it is written.
+ * Compiles SET lists, and checks rows before they are written.
  */
 import type {Node} from 'libpg-query';
 import type {Table} from '../store/table.js';
@@ -10,7 +10,7 @@
 import {SqlError, notSupported} from './sql-error.js';
 import {typeNamed} from './sql-types.js';
 
-/** One `column = expression`. */
+/** One `column = expression` of a SET list. */
 export type Assignment = {
 	readonly index: number;
 	readonly expression: Expression;
@@ -43,7 +43,7 @@
 	return literal(column.default?.value, type);
 }
 
-/** Refuses a NULL where the table wants a value. */
+/** Throws if a column that must not be NULL has no value. */
 export function checkRow(table: Table, row: Row): void {
 	for (const [index, column] of table.definition.columns.entries()) {
 		if (column.isRequired && row[index] === undefined) {
--- a/standins/endpoint/sql/compilation.ts
+++ b/standins/endpoint/sql/compilation.ts
@@ -1,5 +1,5 @@
 /**
- * State of compiling one statement: what names mean, parameters, aggregates and sleeps.
+ * State of the compilation of one statement: its sources of columns, parameters, aggregates and sleeps.
  */
 import type {Table} from '../store/table.js';
 import type {Aggregate} from './aggregates.js';
@@ -15,29 +15,30 @@
 	readonly reads: 'row' | 'excluded';
 };
 
-/** The columns of a table under a name. */
+/** Creates a source from the columns of a table. */
 export function sourceOfTable(table: Table, name: string, reads: ColumnSource['reads'] = 'row'): ColumnSource {
 	const columns = table.definition.columns.map(column => ({name: column.name, type: typeNamed(column.type)}));
 	return {name, columns, reads};
 }
 
-/** One statement on its way to a plan. */
+/** State of the compilation of one statement. */
 export class Compilation {
 	readonly aggregates: Aggregate[] = [];
 	/** Arguments of pg_sleep, in seconds. */
 	readonly sleeps: Expression[] = [];
-	/** Types of the parameters, as far as they are known. */
+	/** Types of the parameters; undefined while a type is not known. */
 	readonly parameterTypes: Array<SqlType | undefined>;
 	sources: readonly ColumnSource[] = [];
-	/** Columns that may stand outside aggregates once there are any; undefined while not checked. */
+	/** Whether the arguments of an aggregate are being compiled. */
 	isInsideAggregate = false;
+	/** Indices of the columns that are used outside aggregates; a grouped query must group by them. */
 	readonly columnsOutsideAggregates = new Set<number>();
 
 	constructor(declaredTypes: ReadonlyArray<SqlType | undefined>) {
 		this.parameterTypes = [...declaredTypes];
 	}
 
-	/** A parameter; the first context that expects a type decides an open one. */
+	/** Compiles a parameter. If its type is not known yet, the context decides it: the expected type, or text. */
 	parameter(number: number, expected: SqlType | undefined): Expression {
 		const index = number - 1;
 		while (this.parameterTypes.length <= index) {
@@ -49,12 +50,12 @@
 		return {type, readsRow: false, evaluate: evaluation => evaluation.parameters[index]};
 	}
 
-	/** Types of all parameters; those that nothing decided are text. */
+	/** Types of all parameters; those that are still unknown are text. */
 	resolvedParameterTypes(): SqlType[] {
 		return Array.from(this.parameterTypes, type => type ?? sqlTypes.text);
 	}
 
-	/** A column by its name. */
+	/** Compiles a reference to a column; throws if there is none of that name. */
 	column(qualifier: string | undefined, name: string): Expression {
 		const found = this.sources
 			.filter(source => qualifier === undefined ? source.reads === 'row' : source.name === qualifier)
@@ -67,7 +68,7 @@
 		return this._columnAt(found.source, found.index);
 	}
 
-	/** All columns of the row, or of one source. */
+	/** All columns of the row, or those of the source that the qualifier names. */
 	star(qualifier: string | undefined): Array<{readonly name: string; readonly expression: Expression}> {
 		const sources = this.sources.filter(source => qualifier === undefined ? source.reads === 'row' : source.name === qualifier);
 		return sources.flatMap(source => source.columns.map((column, index) => ({name: column.name, expression: this._columnAt(source, index)})));
--- a/standins/endpoint/sql/compile-expression.ts
+++ b/standins/endpoint/sql/compile-expression.ts
@@ -1,5 +1,5 @@
 /**
- * Compiles expressions of the parse tree, by node kind.
+ * Compiles expressions of the parse tree, with one handler for each kind of node.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {
@@ -26,12 +26,12 @@
 	return Object.entries(node)[0];
 }
 
-/** Texts of a list of name nodes. */
+/** Names in a list of string nodes. */
 export function namesOf(nodes: readonly Node[] | undefined): string[] {
 	return (nodes ?? []).map(node => 'String' in node ? node.String.sval ?? '' : '');
 }
 
-/** A type as SQL names it. */
+/** The type that a type name in SQL stands for; arrays are not supported. */
 export function typeOf(typeName: TypeName | undefined): SqlType {
 	if ((typeName?.arrayBounds ?? []).length > 0) {
 		throw notSupported('an array type');
@@ -58,7 +58,7 @@
 	SQLValueFunction: compileValueFunction,
 };
 
-/** Compiles one expression; `expected` is the type that its context would like. */
+/** Compiles one expression; `expected` is the type that its context expects, which decides the types of constants and parameters without one. */
 export function compileExpression(node: Node | undefined, compilation: Compilation, expected?: SqlType): Expression {
 	if (!node) {
 		throw new SqlError('42601', 'an expression is missing');
@@ -103,7 +103,7 @@
 	return node !== undefined && 'ParamRef' in node;
 }
 
-/** Compiles both sides; an open parameter gets the type of the other one. */
+/** Compiles both sides; a parameter whose type is not known gets the type of the other side. */
 function compilePair(left: Node | undefined, right: Node | undefined, compilation: Compilation): [Expression, Expression] {
 	if (isParameter(left) && !isParameter(right)) {
 		const compiledRight = compileExpression(right, compilation);
@@ -160,7 +160,7 @@
 	return combineConditions([compareExpressions('>=', left, low), compareExpressions('<=', left, high)], false);
 }
 
-/** `value = ANY ($1)` with an array in text form. */
+/** Compiles `value = ANY ($1)` with an array in text format. */
 function compileAny(body: OperatorExpression, name: string, compilation: Compilation): Expression {
 	const left = resolveUnknownType(compileExpression(body.lexpr, compilation));
 	const right = compileExpression(body.rexpr, compilation, sqlTypes.text);
@@ -229,17 +229,17 @@
 	return {type: aggregate.type, readsRow: true, evaluate: evaluation => evaluation.aggregates?.[index]};
 }
 
-/** The wait itself is part of running the statement; the call's value is empty. */
+/** Compiles pg_sleep. The delay is added to `compilation.sleeps` and happens when the statement runs; the value of the call is empty. */
 function compileSleep(parts: readonly Expression[], compilation: Compilation): Expression {
 	if (parts.length !== 1) {
-		throw new SqlError('42883', 'function pg_sleep needs one argument');
+		throw new SqlError('42883', 'function pg_sleep expects one argument');
 	}
 
 	compilation.sleeps.push(coerce(parts[0], sqlTypes.float8));
 	return {type: sqlTypes.void, readsRow: false, evaluate: () => ''};
 }
 
-/** Compiles alternatives and gives them one type. */
+/** Compiles alternatives (of CASE, COALESCE, LEAST or GREATEST) and converts them to one type. */
 function compileAlternatives(nodes: readonly Node[], compilation: Compilation, expected: SqlType | undefined): Expression[] {
 	const parts = nodes.map(node => compileExpression(node, compilation, expected));
 	const known = parts.map(part => part.type).filter(type => type !== sqlTypes.unknown);
--- a/standins/endpoint/sql/definitions.ts
+++ b/standins/endpoint/sql/definitions.ts
@@ -1,5 +1,5 @@
 /**
- * CREATE TABLE and DROP TABLE.
+ * Plans CREATE TABLE and DROP TABLE.
  */
 import type {
 	ColumnDef, Constraint, CreateStmt, DropStmt, Node,
@@ -56,7 +56,7 @@
 	};
 }
 
-/** Two transactions must not make or drop the same table at one time. */
+/** Locks the name of a table, so that no two transactions create or drop it concurrently. */
 function * lockTableName(name: string, {locks, transaction}: Execution): Steps<void> {
 	const wait = locks.acquire(transaction, '', name);
 	if (wait) {
@@ -82,7 +82,7 @@
 	const columns = definitions.map(column => defineColumn(column, keyNames.includes(column.colname ?? '')));
 	const keyColumns = keyNames.map(name => columns.findIndex(column => column.name === name));
 	if (keyColumns.includes(-1)) {
-		throw new SqlError('42703', 'a column named in the key does not exist');
+		throw new SqlError('42703', 'a column of the primary key does not exist');
 	}
 
 	return {name: statement.relation?.relname ?? '', columns, keyColumns};
--- a/standins/endpoint/sql/engine.ts
+++ b/standins/endpoint/sql/engine.ts
@@ -1,5 +1,5 @@
 /**
- * What the SQL sessions of one instance share.
+ * The objects that the SQL sessions of one instance share.
  */
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 import type {Clock, Random} from '../../../src/common/services/services.js';
@@ -10,7 +10,7 @@
 import type {SqlSession} from './session.js';
 import {SqlError} from './sql-error.js';
 
-/** SQL over one instance. `loadParser` of planner.ts must have resolved before the first statement. */
+/** Executes SQL on one instance. `loadParser` of planner.ts must have resolved before the first statement. */
 export class SqlEngine implements Disposable {
 	readonly instance: Instance;
 	readonly clock: Clock;
@@ -33,7 +33,7 @@
 		});
 	}
 
-	/** Transactions with changes that were committed here. */
+	/** Number of transactions with changes that were committed by this engine. */
 	get commitCount(): number {
 		return this._commitCount;
 	}
@@ -42,7 +42,7 @@
 		this._commitCount += 1;
 	}
 
-	/** Keeps a session until it is forgotten. */
+	/** Registers a session, so that its write transaction ends when the instance steps down. */
 	register(session: SqlSession): void {
 		this._sessions.add(session);
 	}
--- a/standins/endpoint/sql/expression.ts
+++ b/standins/endpoint/sql/expression.ts
@@ -1,27 +1,27 @@
 /**
- * Compiled expressions and what they are evaluated with.
+ * Compiled expressions, and the input of their evaluation.
  */
 import type {Row, SqlValue} from '../types.js';
 import {SqlError} from './sql-error.js';
 import {convertValue, sqlTypes, type SqlType} from './sql-types.js';
 
-/** What expressions may ask of the connection that runs them. */
+/** Facts about the session that expressions may read. */
 export type SessionFacts = {
 	readonly user: string;
 	readonly database: string;
 	readonly processId: number;
 	readonly isReplica: boolean;
-	/** Wall-clock time of the transaction's start, in milliseconds. */
+	/** Wall-clock time at which the transaction started, in milliseconds. */
 	readonly transactionTimeMs: number;
 	wallClockMs(): number;
 	random(): number;
 	setting(name: string): string | undefined;
 };
 
-/** What one evaluation sees. */
+/** Input of one evaluation. */
 export type Evaluation = {
 	readonly row: Row;
-	/** The row that an INSERT with ON CONFLICT proposed. */
+	/** The row that an INSERT with ON CONFLICT tried to insert. */
 	readonly excluded?: Row;
 	readonly parameters: readonly SqlValue[];
 	readonly aggregates?: readonly SqlValue[];
@@ -34,23 +34,23 @@
 	/** Whether it reads a column or an aggregate. */
 	readonly readsRow: boolean;
 	readonly evaluate: (evaluation: Evaluation) => SqlValue;
-	/** Value of a constant. */
+	/** Value, if the expression is a constant. */
 	readonly literal?: {readonly value: SqlValue};
-	/** Column of the table, where it is just that. */
+	/** Index of the column, if the expression is only a column of the table. */
 	readonly columnIndex?: number;
 };
 
-/** A row without columns, for expressions that read none. */
+/** A row without columns, for expressions that read no column. */
 export const emptyRow: Row = [];
 
-/** An expression with a fixed value. */
+/** Creates a constant expression. */
 export function literal(value: SqlValue, type: SqlType): Expression {
 	return {
 		type, readsRow: false, evaluate: () => value, literal: {value},
 	};
 }
 
-/** Makes an expression one of another type; constants are converted once. */
+/** Converts an expression to another type; constants are converted at compile time. */
 export function coerce(expression: Expression, type: SqlType): Expression {
 	if (expression.type === type) {
 		return expression;
@@ -64,12 +64,12 @@
 	return {type, readsRow, evaluate: evaluation => convertValue(evaluate(evaluation), from, type)};
 }
 
-/** Gives a constant without a type the type text. */
+/** Converts an expression of type unknown to text. */
 export function resolveUnknownType(expression: Expression): Expression {
 	return expression.type === sqlTypes.unknown ? coerce(expression, sqlTypes.text) : expression;
 }
 
-/** An expression that must be a condition. */
+/** Checks that an expression is a condition, after converting one of type unknown to boolean. */
 export function asCondition(expression: Expression): Expression {
 	const condition = expression.type === sqlTypes.unknown ? coerce(expression, sqlTypes.bool) : expression;
 	if (condition.type !== sqlTypes.bool) {
@@ -79,7 +79,7 @@
 	return condition;
 }
 
-/** Orders two values of one type; text in code unit order. */
+/** Compares two values of one type; text by UTF-16 code units. */
 export function compareValues(a: Exclude<SqlValue, undefined>, b: Exclude<SqlValue, undefined>): number {
 	if (a < b) {
 		return -1;
--- a/standins/endpoint/sql/functions.ts
+++ b/standins/endpoint/sql/functions.ts
@@ -1,5 +1,5 @@
 /**
- * Functions of single values.
+ * Scalar functions.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {SqlValue} from '../types.js';
@@ -16,12 +16,12 @@
 type SqlFunction = {
 	readonly minimum: number;
 	readonly maximum: number;
-	/** Type of the result; the first argument's type where left out. */
+	/** Type of the result; by default the type of the first argument. */
 	readonly type?: SqlType;
-	/** Type that arguments are made of; left as they are where left out. */
+	/** Type that the arguments are converted to; by default they keep their types. */
 	readonly argument?: SqlType;
 	readonly apply: (values: NonNullValue[], evaluation: Evaluation) => SqlValue;
-	/** Whether NULL arguments are passed over rather than making the result NULL. */
+	/** Whether NULL arguments are skipped; by default the result is NULL if any argument is. */
 	readonly skipsNull?: boolean;
 };
 
--- a/standins/endpoint/sql/insert.ts
+++ b/standins/endpoint/sql/insert.ts
@@ -1,5 +1,5 @@
 /**
- * INSERT, with ON CONFLICT and RETURNING.
+ * Plans INSERT, with ON CONFLICT and RETURNING.
  */
 import type {InsertStmt, Node, OnConflictClause} from 'libpg-query';
 import type {Table} from '../store/table.js';
@@ -23,7 +23,7 @@
 import type {Transaction} from './transaction.js';
 import {checkRow, compileAssignments, type Assignment} from './assignments.js';
 
-/** Fills rows for one run: values of the named columns. */
+/** Computes the rows of one execution, each as the values of the target columns; undefined stands for DEFAULT. */
 type RowsSource = (execution: Execution) => ReadonlyArray<ReadonlyArray<{readonly value: SqlValue} | undefined>>;
 
 type Conflict = {
@@ -102,7 +102,7 @@
 	return execution => {
 		const result = query.run(execution);
 		if (!('tag' in result)) {
-			throw new SqlError('0A000', 'INSERT from a query that waits is not supported by the endpoint stand-in');
+			throw new SqlError('0A000', 'INSERT from a query that sleeps or locks rows is not supported by the endpoint stand-in');
 		}
 
 		return (result.rows ?? []).map(row => row.map((value, index) => ({value: convertValue(value, query.columns?.[index].type ?? sqlTypes.text, types[index])})));
@@ -124,8 +124,8 @@
 function checkConflictTarget(clause: OnConflictClause, table: Table): void {
 	const named = (clause.infer?.indexElems ?? []).map(node => 'IndexElem' in node ? node.IndexElem.name ?? '' : '');
 	const key = table.definition.keyColumns.map(index => table.definition.columns[index].name);
-	const fits = named.length === key.length && key.every(name => named.includes(name));
-	if (clause.infer && !clause.infer.conname && !fits) {
+	const matchesKey = named.length === key.length && key.every(name => named.includes(name));
+	if (clause.infer && !clause.infer.conname && !matchesKey) {
 		throw new SqlError('42P10', 'there is no unique constraint matching the ON CONFLICT specification');
 	}
 }
@@ -148,7 +148,7 @@
 	return column.default?.value;
 }
 
-/** Inserts one row, or does what ON CONFLICT says; gives the row that was written. */
+/** Inserts one row, or applies ON CONFLICT; returns the row that was written, or undefined if there was none. */
 function * insertRow(table: Table, row: Row, conflict: Conflict | undefined, execution: Execution): Steps<Row | undefined> {
 	checkRow(table, row);
 	const key = table.keyOf(row);
--- a/standins/endpoint/sql/lock-rows.ts
+++ b/standins/endpoint/sql/lock-rows.ts
@@ -1,11 +1,11 @@
 /**
- * Locks the rows that a statement changes; after a wait the row is looked at again.
+ * Locks the rows that a statement changes. The condition is checked again on each row once it is locked.
  */
 import type {Table} from '../store/table.js';
 import type {AccessPath, KeyedRow} from './access-path.js';
 import type {Execution, Steps} from './plan.js';
 
-/** Waits until a key is locked by the transaction. */
+/** Locks a key for the transaction, after waiting if another one holds it. */
 export function * lockKey(table: Table, key: string, execution: Execution): Steps<void> {
 	const wait = execution.locks.acquire(execution.transaction, table.definition.name, key);
 	if (wait) {
@@ -13,7 +13,7 @@
 	}
 }
 
-/** Locks every row that the condition holds for, and gives them as they are under the lock. */
+/** Locks every row for which the condition holds, and returns those for which it still holds under the lock. */
 export function * lockRows(table: Table, access: AccessPath, execution: Execution): Steps<KeyedRow[]> {
 	const locked: KeyedRow[] = [];
 	for (const [key] of access.rows(execution.transaction, execution)) {
--- a/standins/endpoint/sql/lock-table.ts
+++ b/standins/endpoint/sql/lock-table.ts
@@ -1,14 +1,14 @@
 /**
- * Locks on rows, by primary key. A cycle of waiting transactions is refused at once.
+ * Row locks, by table and primary key. A lock request that would close a cycle of waiting transactions is refused at once.
  */
 import type {Clock} from '../../../src/common/services/services.js';
 import {SqlError} from './sql-error.js';
 import {Wait} from './wait.js';
 
-/** Whoever holds locks. */
+/** A holder of locks. */
 export type LockOwner = {
 	readonly locks: Set<string>;
-	/** The lock that it waits for. */
+	/** Name of the lock that it waits for. */
 	awaitedLock: string | undefined;
 };
 
@@ -22,7 +22,7 @@
 	readonly waiters: Waiter[];
 };
 
-/** All row locks of one instance; waiters are served in order. */
+/** All row locks of one instance; waiters get a lock in the order of their requests. */
 export class LockTable {
 	private readonly _locks = new Map<string, Lock>();
 	private readonly _clock: Clock;
@@ -33,7 +33,7 @@
 		this._timeoutMs = timeoutMs;
 	}
 
-	/** Takes a lock at once, or gives what must be waited for first. */
+	/** Acquires a lock: undefined if the owner holds it now, otherwise a wait that resolves when it does and fails after the lock timeout. */
 	acquire(owner: LockOwner, table: string, key: string): Wait | undefined {
 		const name = `${table}\0${key}`;
 		const lock = this._locks.get(name);
@@ -46,7 +46,7 @@
 		return lock.owner === owner ? undefined : this._wait(owner, name, lock);
 	}
 
-	/** Gives all locks of an owner to those who wait. */
+	/** Releases all locks of an owner; each passes to the next waiter. */
 	releaseAll(owner: LockOwner): void {
 		for (const name of owner.locks) {
 			this._release(name);
@@ -78,7 +78,7 @@
 		return wait;
 	}
 
-	/** Follows the chain of who waits for whom. */
+	/** Whether an owner waits, directly or through others, for a lock that `wanted` holds. */
 	private _isWaitingFor(waiting: LockOwner, wanted: LockOwner): boolean {
 		let current: LockOwner | undefined = waiting;
 		while (current) {
--- a/standins/endpoint/sql/operators.ts
+++ b/standins/endpoint/sql/operators.ts
@@ -1,5 +1,5 @@
 /**
- * Operators on two expressions.
+ * Compiles operators, conditions and their combinations.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {SqlValue} from '../types.js';
@@ -41,20 +41,20 @@
 	'^': (a, b) => a ** b,
 };
 
-/** Number types from the narrowest to the widest. */
+/** Numeric types from the narrowest to the widest. */
 const numberOrder = ['int2', 'int4', 'int8', 'numeric', 'float4', 'float8'];
 const integerTypes = new Set(['int2', 'int4', 'int8']);
 
-/** The type that holds values of both number types. */
+/** The wider of two numeric types. */
 export function widerNumber(a: SqlType, b: SqlType): SqlType {
 	return numberOrder.indexOf(a.name) >= numberOrder.indexOf(b.name) ? a : b;
 }
 
-/** Gives constants without a type the type of the other side. */
+/** Converts a side of type unknown to the type of the other side. */
 export function matchTypes(left: Expression, right: Expression): [Expression, Expression] {
 	if (left.type === sqlTypes.unknown) {
-		const settled = resolveUnknownType(right);
-		return [coerce(left, settled.type), settled];
+		const resolvedRight = resolveUnknownType(right);
+		return [coerce(left, resolvedRight.type), resolvedRight];
 	}
 
 	return [left, right.type === sqlTypes.unknown ? coerce(right, left.type) : right];
@@ -78,7 +78,7 @@
 	};
 }
 
-/** A comparison of two expressions. */
+/** Compiles a comparison of two expressions. */
 export function compareExpressions(name: string, leftRaw: Expression, rightRaw: Expression): Expression {
 	const [left, right] = matchTypes(leftRaw, rightRaw);
 	if (left.type.category !== right.type.category) {
@@ -128,7 +128,7 @@
 function compileLike(leftRaw: Expression, rightRaw: Expression, isCaseSensitive: boolean, isNegated: boolean): Expression {
 	const left = resolveUnknownType(leftRaw);
 	const right = resolveUnknownType(rightRaw);
-	// The pattern is the same for all rows of a query: it is made once.
+	// The pattern is usually the same for all rows of a query, so the regular expression is cached.
 	let cached: {readonly pattern: NonNullValue; readonly expression: RegExp} | undefined;
 	return compileBinary(sqlTypes.bool, left, right, (a, b) => {
 		if (cached?.pattern !== b) {
@@ -147,7 +147,7 @@
 	'!~~*': (left, right) => compileLike(left, right, false, true),
 };
 
-/** Applies an operator by its name. */
+/** Compiles an operator by its name. */
 export function applyOperator(name: string, left: Expression, right: Expression): Expression {
 	if (name in comparisons) {
 		return compareExpressions(name, left, right);
@@ -164,7 +164,7 @@
 	throw missingOperator(name, left, right);
 }
 
-/** AND and OR with NULL as unknown: `deciding` decides at once. */
+/** Compiles AND (`decidingValue` false) or OR (`decidingValue` true) in three-valued logic: one condition with that value decides the result. */
 export function combineConditions(conditions: readonly Expression[], decidingValue: boolean): Expression {
 	return {
 		type: sqlTypes.bool,
@@ -185,13 +185,13 @@
 	};
 }
 
-/** Whether a value is among others; unknown when a NULL is among them and none fits. */
+/** Compiles IN or NOT IN; the result is NULL if no item is equal and the value or an item is NULL. */
 export function compileInList(left: Expression, list: readonly Expression[], isNegated: boolean): Expression {
 	const any = combineConditions(list.map(item => compareExpressions('=', left, item)), true);
 	return isNegated ? negate(any) : any;
 }
 
-/** NOT. */
+/** Compiles NOT; the negation of NULL is NULL. */
 export function negate(condition: Expression): Expression {
 	const {evaluate} = condition;
 	return {
--- a/standins/endpoint/sql/planner.ts
+++ b/standins/endpoint/sql/planner.ts
@@ -1,5 +1,5 @@
 /**
- * Parses statements and makes plans of them; both are kept by the statement's text.
+ * Parses and plans statements; parsed statements and their plans are cached by the text of the statement.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import {
@@ -23,7 +23,7 @@
 	readonly parameterTypes: readonly SqlType[];
 };
 
-/** One parsed statement, and its plan for the tables of one version. */
+/** One parsed statement, and its cached plan for one catalog version. */
 export type ParsedStatement = {
 	readonly kind: string;
 	readonly node: Node;
@@ -46,21 +46,21 @@
 export type SimpleQuery = {
 	readonly statements: readonly ParsedStatement[];
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
-	/** Text of each parameter that stands for a literal. */
+	/** Text of each literal that was replaced by a parameter. */
 	readonly literalTexts: readonly string[];
 };
 
-/** Must have resolved before the first statement is parsed. */
+/** Loads the SQL parser; must have resolved before the first statement is parsed. */
 export async function loadParser(): Promise<void> {
 	await loadModule();
 }
 
-/** Whether a statement works on data, rather than on the session. */
+/** Whether a statement works on data or tables, rather than on the session. */
 export function isDataStatement(statement: ParsedStatement): boolean {
 	return Object.hasOwn(planners, statement.kind);
 }
 
-/** Parsed statements by text. */
+/** Cache of parsed statements by text; cleared as a whole when it is full. */
 export class StatementCache {
 	private _statements = new Map<string, readonly ParsedStatement[]>();
 	private readonly _limit: number;
@@ -69,11 +69,11 @@
 		this._limit = limit;
 	}
 
-	/** The statements in a text. */
+	/** Parses the statements in a text; throws a SqlError with a syntax error. */
 	parse(text: string): readonly ParsedStatement[] {
-		const known = this._statements.get(text);
-		if (known) {
-			return known;
+		const cached = this._statements.get(text);
+		if (cached) {
+			return cached;
 		}
 
 		const parsed = parseText(text);
@@ -85,7 +85,7 @@
 		return parsed;
 	}
 
-	/** The statements of a simple query, with its literals as parameters where that is safe. */
+	/** Parses a simple query, with its literals replaced by parameters if that is safe. */
 	parseSimple(text: string): SimpleQuery {
 		const parameterised = parameteriseLiterals(text);
 		if (parameterised) {
@@ -93,14 +93,14 @@
 				const statements = this.parse(parameterised.shape);
 				return {statements, declaredTypes: parameterised.declaredTypes, literalTexts: parameterised.literalTexts};
 			} catch {
-				// The text itself gives the error that belongs to it.
+				// Falls through to parse the original text, so that the error refers to it.
 			}
 		}
 
 		return this.parseVerbatim(text);
 	}
 
-	/** The statements of a simple query as they are written. */
+	/** Parses a simple query with its literals unchanged. */
 	parseVerbatim(text: string): SimpleQuery {
 		return {statements: this.parse(text), declaredTypes: [], literalTexts: []};
 	}
@@ -117,7 +117,7 @@
 		});
 	} catch (error) {
 		const message = hasSqlDetails(error) ? error.sqlDetails?.message : undefined;
-		// The parser refuses an empty text, which is no error on the wire.
+		// The parser rejects an empty text, which the protocol allows.
 		if (text.trim() === '') {
 			return [];
 		}
@@ -126,12 +126,12 @@
 	}
 }
 
-/** The plan of a statement for the tables that a transaction sees. */
+/** Plans a statement for the tables that a transaction sees, or returns the cached plan. */
 export function planStatement(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, transaction: Transaction, catalogVersion: number): PlannedStatement {
 	const declared = declaredTypes.length === 0 ? '' : declaredTypes.map(type => type?.name ?? '').join(',');
-	const known = statement.cachedPlan;
-	if (known?.catalogVersion === catalogVersion && known.declared === declared && !transaction.hasCatalogChanges) {
-		return known.planned;
+	const cached = statement.cachedPlan;
+	if (cached?.catalogVersion === catalogVersion && cached.declared === declared && !transaction.hasCatalogChanges) {
+		return cached.planned;
 	}
 
 	const planner = planners[statement.kind] as Planner | undefined;
--- a/standins/endpoint/sql/query-parameterisation.ts
+++ b/standins/endpoint/sql/query-parameterisation.ts
@@ -1,23 +1,23 @@
 /**
- * Takes literals out of simple queries, so that queries that differ only in them share one plan.
+ * Replaces the literals in simple queries by parameters, so that queries that differ only in literals share one plan.
  *
- * Parsing and planning cost more than running a query by key; a load generator that writes
- * its values into the text would otherwise pay them every time.
+ * Parsing and planning a query costs more than executing one that reads by key. Without this, a load
+ * generator that writes its values into the query text would cause that cost for every query.
  */
 import {sqlTypes, type SqlType} from './sql-types.js';
 
-/** A query text with parameters in place of literals. */
+/** A query text in which parameters replace the literals. */
 export type ParameterisedQuery = {
 	readonly shape: string;
-	/** Undefined for text literals, whose type the context decides. */
+	/** Types of the parameters; undefined for quoted literals, whose type the context decides. */
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
 	readonly literalTexts: readonly string[];
 };
 
 const parameterisablePattern = /^\s*(?:select|insert|update|delete)\b/iv;
-/** Comments, other quotes, parameters and places where a literal is no value. */
+/** Comments, other quotes, parameters, and constructs in which a literal is not a value. */
 const unsafePattern = /[$"\\;]|--|\/\*|::|\b(?:order|group|cast|interval|generate_series|date|timestamp|timestamptz)\b/iv;
-/** A quote after a word character begins a literal of another kind, which is left alone. */
+/** Quoted and numeric literals. A quote after a word character begins a literal of another kind (such as `E'...'`), which stays unchanged. */
 const literalPattern = /\w'(?:[^']|'')*'|'(?<quoted>(?:[^']|'')*)'|(?<![\w.])(?<number>\d+(?:\.\d+)?)(?![\w.])/gv;
 const maximumInt4 = 2_147_483_647;
 
@@ -29,7 +29,7 @@
 	return Number(text) > maximumInt4 ? sqlTypes.int8 : sqlTypes.int4;
 }
 
-/** Takes the literals out; undefined where that might change what the query means. */
+/** Replaces the literals by parameters; undefined if there are none or that might change the meaning of the query. */
 export function parameteriseLiterals(text: string): ParameterisedQuery | undefined {
 	if (!parameterisablePattern.test(text) || unsafePattern.test(text)) {
 		return undefined;
--- a/standins/endpoint/sql/row-source.ts
+++ b/standins/endpoint/sql/row-source.ts
@@ -1,5 +1,5 @@
 /**
- * Where a SELECT's rows come from: a table, generate_series, or one row without columns.
+ * Plans the source of the rows of a SELECT: a table, generate_series, or one row without columns.
  */
 import type {
 	FuncCall, Node, RangeVar, SelectStmt,
@@ -16,14 +16,14 @@
 import {sqlTypes} from './sql-types.js';
 import type {Transaction} from './transaction.js';
 
-/** Rows for one run. */
+/** Source of the rows of a SELECT. */
 export type RowSource = {
 	readonly rows: (transaction: Transaction, evaluation: Omit<Evaluation, 'row'>) => readonly Row[];
-	/** The table and the way to its rows, where rows can be locked. */
+	/** The table and the access to its rows, if the rows can be locked. */
 	readonly lockable?: {readonly table: Table; readonly access: AccessPath};
 };
 
-/** Finds a table that a statement names. */
+/** Finds the table that a statement refers to; throws if it does not exist. */
 export function openTable(relation: RangeVar | undefined, transaction: Transaction): Table {
 	const schema = relation?.schemaname;
 	if (schema !== undefined && schema !== 'public') {
@@ -33,7 +33,7 @@
 	return transaction.table(relation?.relname ?? '');
 }
 
-/** Plans the FROM and WHERE clauses. */
+/** Plans the FROM and WHERE clauses of a SELECT. */
 export function planSource(statement: SelectStmt, compilation: Compilation, transaction: Transaction): RowSource {
 	const from = statement.fromClause ?? [];
 	if (from.length > 1) {
@@ -61,9 +61,9 @@
 
 function planSingleRow(where: Node | undefined, compilation: Compilation): RowSource {
 	const condition = where ? asCondition(compileExpression(where, compilation, sqlTypes.bool)) : undefined;
-	const one = [emptyRow];
+	const singleRow = [emptyRow];
 	return {
-		rows: (_transaction, evaluation) => !condition || condition.evaluate({...evaluation, row: emptyRow}) === true ? one : [],
+		rows: (_transaction, evaluation) => !condition || condition.evaluate({...evaluation, row: emptyRow}) === true ? singleRow : [],
 	};
 }
 
@@ -80,7 +80,7 @@
 function planSeries(call: FuncCall, alias: string | undefined, where: Node | undefined, compilation: Compilation): RowSource {
 	const name = namesOf(call.funcname).at(-1) ?? '';
 	if (name !== 'generate_series') {
-		throw new SqlError('42883', `function ${name} does not exist as a source of rows`);
+		throw new SqlError('42883', `function ${name} does not exist or cannot be used in FROM`);
 	}
 
 	const parts = (call.args ?? []).map(argument => coerce(compileExpression(argument, compilation, sqlTypes.int4), sqlTypes.int4));
--- a/standins/endpoint/sql/select.ts
+++ b/standins/endpoint/sql/select.ts
@@ -1,5 +1,5 @@
 /**
- * SELECT and VALUES.
+ * Plans SELECT and VALUES.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {Node, SelectStmt, SortBy} from 'libpg-query';
@@ -74,27 +74,27 @@
 	compilation.columnsOutsideAggregates.clear();
 	const targets = compileTargets(statement.targetList, compilation);
 	const having = statement.havingClause ? asCondition(compileExpression(statement.havingClause, compilation, sqlTypes.bool)) : undefined;
-	const sortings = (statement.sortClause ?? []).flatMap(node => 'SortBy' in node ? [planSorting(node.SortBy, targets, compilation)] : []);
-	const outside = new Set(compilation.columnsOutsideAggregates);
+	const sortKeys = (statement.sortClause ?? []).flatMap(node => 'SortBy' in node ? [planSortKey(node.SortBy, targets, compilation)] : []);
+	const outsideAggregates = new Set(compilation.columnsOutsideAggregates);
 	const grouping = (statement.groupClause ?? []).map(node => referenceOrExpression(node, targets, compilation));
 	const isGrouped = grouping.length > 0 || compilation.aggregates.length > 0;
 	if (isGrouped) {
-		checkGrouping(outside, grouping);
+		checkGrouping(outsideAggregates, grouping);
 	}
 
 	return {
-		source, targets, grouping, having, sortKeys: sortings, isGrouped, compilation,
+		source, targets, grouping, having, sortKeys, isGrouped, compilation,
 		limit: planCount(statement.limitCount, compilation),
 		offset: planCount(statement.limitOffset, compilation),
 		isDistinct: (statement.distinctClause ?? []).length > 0,
 	};
 }
 
-/** Columns outside aggregates must be grouped by. */
-function checkGrouping(outside: ReadonlySet<number>, grouping: readonly Expression[]): void {
+/** Throws if a column that is used outside aggregates is not in GROUP BY. If GROUP BY has other expressions than columns, nothing is checked. */
+function checkGrouping(outsideAggregates: ReadonlySet<number>, grouping: readonly Expression[]): void {
 	const grouped = new Set(grouping.map(expression => expression.columnIndex));
 	const hasOnlyColumns = !grouped.has(undefined);
-	if (hasOnlyColumns && [...outside].some(index => !grouped.has(index))) {
+	if (hasOnlyColumns && [...outsideAggregates].some(index => !grouped.has(index))) {
 		throw new SqlError('42803', 'a column must appear in the GROUP BY clause or be used in an aggregate function');
 	}
 }
@@ -103,7 +103,7 @@
 	return node ? coerce(compileExpression(node, compilation, sqlTypes.int8), sqlTypes.int8) : undefined;
 }
 
-/** ORDER BY and GROUP BY take a result column's number or name, or an expression. */
+/** Compiles an item of ORDER BY or GROUP BY: the number or name of a result column, or an expression. */
 function referenceOrExpression(node: Node, targets: readonly Target[], compilation: Compilation): Expression {
 	if ('A_Const' in node) {
 		const position = node.A_Const.ival?.ival ?? 0;
@@ -120,7 +120,7 @@
 	return named ? named.expression : resolveUnknownType(compileExpression(node, compilation));
 }
 
-function planSorting(sort: SortBy, targets: readonly Target[], compilation: Compilation): SortKey {
+function planSortKey(sort: SortBy, targets: readonly Target[], compilation: Compilation): SortKey {
 	const isDescending = sort.sortby_dir === 'SORTBY_DESC';
 	const areNullsFirst = sort.sortby_nulls === 'SORTBY_NULLS_DEFAULT' || sort.sortby_nulls === undefined ? isDescending : sort.sortby_nulls === 'SORTBY_NULLS_FIRST';
 	const expression = referenceOrExpression(sort.node ?? {A_Const: {isnull: true}}, targets, compilation);
@@ -135,17 +135,17 @@
 		columns,
 		run({parameters, facts}) {
 			const evaluation = {row: emptyRow, parameters, facts};
-			return answer(rows.map(expressions => expressions.map(expression => expression.evaluate(evaluation))));
+			return selectResult(rows.map(expressions => expressions.map(expression => expression.evaluate(evaluation))));
 		},
 	};
 }
 
-function answer(rows: readonly Row[]): StatementResult {
+function selectResult(rows: readonly Row[]): StatementResult {
 	return {tag: 'SELECT', rows};
 }
 
 function runWithoutWaiting(parts: SelectParts, execution: Execution): StatementResult {
-	return answer(computeResult(parts, execution, parts.source.rows(execution.transaction, execution)));
+	return selectResult(computeResult(parts, execution, parts.source.rows(execution.transaction, execution)));
 }
 
 function * runAfterSleeps(parts: SelectParts, execution: Execution): Steps<StatementResult> {
@@ -157,7 +157,7 @@
 	return runWithoutWaiting(parts, execution);
 }
 
-/** SELECT ... FOR UPDATE. */
+/** Runs a SELECT ... FOR UPDATE. */
 function * runWithLocks(parts: SelectParts, execution: Execution): Steps<StatementResult> {
 	const {lockable} = parts.source;
 	if (!lockable) {
@@ -165,10 +165,10 @@
 	}
 
 	const locked = yield * lockRows(lockable.table, lockable.access, execution);
-	return answer(computeResult(parts, execution, locked.map(([, row]) => row)));
+	return selectResult(computeResult(parts, execution, locked.map(([, row]) => row)));
 }
 
-/** Groups, sorts and cuts the rows, and computes the result columns. */
+/** Groups and sorts the rows, computes the result columns, and applies DISTINCT, OFFSET and LIMIT. */
 function computeResult(parts: SelectParts, execution: Execution, rows: readonly Row[]): readonly Row[] {
 	const {parameters, facts} = execution;
 	let evaluations: Evaluation[] = rows.map(row => ({row, parameters, facts}));
@@ -208,11 +208,11 @@
 	return parts.having ? grouped.filter(evaluation => parts.having?.evaluate(evaluation) === true) : grouped;
 }
 
-function sort(sortings: readonly SortKey[], evaluations: readonly Evaluation[]): Evaluation[] {
-	const keyed = evaluations.map(evaluation => ({evaluation, keys: sortings.map(({expression}) => expression.evaluate(evaluation))}));
+function sort(sortKeys: readonly SortKey[], evaluations: readonly Evaluation[]): Evaluation[] {
+	const keyed = evaluations.map(evaluation => ({evaluation, keys: sortKeys.map(({expression}) => expression.evaluate(evaluation))}));
 	keyed.sort((a, b) => {
-		for (const [index, sorting] of sortings.entries()) {
-			const order = compareSorted(a.keys[index], b.keys[index], sorting);
+		for (const [index, sortKey] of sortKeys.entries()) {
+			const order = compareSorted(a.keys[index], b.keys[index], sortKey);
 			if (order !== 0) {
 				return order;
 			}
--- a/standins/endpoint/sql/session-transaction.ts
+++ b/standins/endpoint/sql/session-transaction.ts
@@ -1,14 +1,14 @@
 /**
- * The transaction of one connection, from BEGIN or the first statement to its end.
+ * The transaction state of one connection: explicit transactions from BEGIN, and implicit ones.
  */
 import type {SqlEngine} from './engine.js';
 import {SqlError} from './sql-error.js';
 import {Transaction} from './transaction.js';
 
-/** Status in ReadyForQuery: idle, in a transaction, in a failed one. */
+/** Status in ReadyForQuery: idle, in an explicit transaction, or in a failed one. */
 export type StatusCode = 'I' | 'T' | 'E';
 
-/** At most one transaction at a time; without BEGIN it ends with the request cycle. */
+/** Holds at most one transaction. Without BEGIN it is implicit and ends with the request cycle, when `commitImplicit` or `fail` is called. */
 export class SessionTransaction {
 	private readonly _engine: SqlEngine;
 	private readonly _isReadOnlyByDefault: () => boolean;
@@ -30,17 +30,17 @@
 		return this._isFailed ? 'E' : 'T';
 	}
 
-	/** Why the instance ended it from outside, if it did. */
+	/** Error with which the transaction was terminated from outside its statements; undefined if it was not. */
 	get terminationError(): SqlError | undefined {
 		return this._current?.terminationError;
 	}
 
-	/** Wall-clock time at which it began. */
+	/** Wall-clock time at which the last transaction began, in milliseconds. */
 	get startedMs(): number {
 		return this._startedMs;
 	}
 
-	/** The transaction that a statement runs in; it begins here if there is none. */
+	/** Returns the transaction for the next statement, and begins one if there is none. */
 	open(): Transaction {
 		if (!this._current) {
 			this._current = this._createTransaction();
@@ -50,12 +50,12 @@
 		return this._current;
 	}
 
-	/** What a statement would run in, without beginning anything. */
+	/** Returns the transaction that a statement would run in, without beginning one. */
 	peek(): Transaction {
 		return this._current ?? this._createTransaction();
 	}
 
-	/** BEGIN. */
+	/** Runs BEGIN; ignored within an explicit transaction. */
 	begin(isReadOnly: boolean | undefined): void {
 		if (this._isExplicit) {
 			return;
@@ -68,7 +68,7 @@
 		}
 	}
 
-	/** Makes the open transaction read-only or not; false when there is none. */
+	/** Sets whether the open transaction is read-only; returns false if there is none. */
 	setReadOnly(isReadOnly: boolean): boolean {
 		if (!this._current) {
 			return false;
@@ -82,7 +82,7 @@
 		return true;
 	}
 
-	/** COMMIT: a failed transaction is rolled back. Gives the command tag. */
+	/** Runs COMMIT and returns the command tag. A failed transaction is rolled back instead. */
 	commit(): string {
 		const isFailed = this._isFailed;
 		this._isExplicit = false;
@@ -96,7 +96,7 @@
 		return 'COMMIT';
 	}
 
-	/** ROLLBACK. Gives the command tag. */
+	/** Runs ROLLBACK and returns the command tag. */
 	rollback(): string {
 		this._isExplicit = false;
 		this._isFailed = false;
@@ -104,20 +104,20 @@
 		return 'ROLLBACK';
 	}
 
-	/** Commits what ran outside BEGIN and COMMIT. */
+	/** Commits the implicit transaction, if there is one. */
 	commitImplicit(): void {
 		if (!this._isExplicit) {
 			this._commitChanges();
 		}
 	}
 
-	/** A statement failed: an explicit transaction can only be rolled back now. */
+	/** Records that a statement failed: the changes are discarded, and an explicit transaction can only be rolled back from now on. */
 	fail(): void {
 		this._discard();
 		this._isFailed = this._isExplicit;
 	}
 
-	/** Ends it from outside if it writes. */
+	/** Terminates the open transaction with an error, if it has changes, holds locks or waits for one; its locks are released. */
 	endIfWriting(error: SqlError): void {
 		const transaction = this._current;
 		if (transaction && (transaction.hasWrites || transaction.locks.size > 0 || transaction.awaitedLock !== undefined)) {
@@ -126,7 +126,7 @@
 		}
 	}
 
-	/** Ends it for good; a statement that is about to go on must not take locks any more. */
+	/** Discards the transaction when its connection ends. The error is set too, so that a statement that is about to resume acquires no more locks. */
 	abandon(error: SqlError): void {
 		if (this._current) {
 			this._current.terminationError = error;
@@ -161,7 +161,7 @@
 		}
 
 		if (!transaction.matchesCatalog()) {
-			throw new SqlError('40001', 'a table that the transaction wrote to was changed meanwhile');
+			throw new SqlError('40001', 'a table that the transaction wrote to was dropped or replaced concurrently');
 		}
 
 		if (!this._engine.instance.append(transaction.changes())) {
--- a/standins/endpoint/sql/session.test.ts
+++ b/standins/endpoint/sql/session.test.ts
@@ -11,7 +11,7 @@
 type Parameters = readonly SqlValue[];
 type Answer = string | ReadonlyArray<readonly SqlValue[]>;
 
-/** Sessions of one instance that is a group of its own. */
+/** Sessions of one instance, in a group with only that instance. */
 class SqlHarness {
 	readonly group = new InProcessGroup(['a']);
 	readonly engine = new SqlEngine(this.group.get('a'), this.group.clock, makeRandom(1), 1000);
@@ -20,7 +20,7 @@
 		return new SqlSession(this.engine, {user: 'user', database: 'group', processId: 1});
 	}
 
-	/** Rows, or the command tag, or the SQLSTATE of the error. */
+	/** Runs statements; returns the rows of the last one, its command tag if it has no rows, or the SQLSTATE of an error. */
 	async run(session: SqlSession, text: string, parameters: readonly SqlValue[] = []): Promise<Answer> {
 		try {
 			let answer: Answer = '';
@@ -39,7 +39,7 @@
 	}
 }
 
-const setUp = [
+const setUpStatements = [
 	'CREATE TABLE IF NOT EXISTS items (id int PRIMARY KEY, name text NOT NULL, price numeric(10, 2), stock int8 DEFAULT 0, at timestamptz DEFAULT now())',
 	'INSERT INTO items (id, name, price) VALUES (1, \'apple\', 1.5), (2, \'pear\', 2), (3, \'plum\', NULL)',
 ];
@@ -87,10 +87,10 @@
 describe('SqlSession', () => {
 	before(loadParser);
 
-	it('answers statements, or refuses them with their SQLSTATE', async () => {
+	it('runs statements, or refuses them with the expected SQLSTATE', async () => {
 		const harness = new SqlHarness();
 		const session = harness.session();
-		for (const text of setUp) {
+		for (const text of setUpStatements) {
 			await harness.run(session, text);
 		}
 
@@ -99,7 +99,7 @@
 		}
 	});
 
-	it('answers queries the same when their literals are taken out', () => {
+	it('parameterises the literals of simple queries, only if that is safe', () => {
 		const {statements: cache} = new SqlHarness().engine;
 		const cases: ReadonlyArray<readonly [string, readonly string[]]> = [
 			['SELECT * FROM t WHERE id = 12 AND name = \'it\'\'s\'', ['12', 'it\'s']],
@@ -118,10 +118,10 @@
 		expect(cache.parse('SELECT * FROM t WHERE id = $1 AND name = $2')).toExactlyEqual(cache.parseSimple('SELECT * FROM t WHERE id = 5 AND name = \'x\'').statements);
 	});
 
-	it('makes writers of one row wait for each other, and refuses a deadlock', async () => {
+	it('makes writers of one row wait for each other, and detects deadlocks', async () => {
 		const harness = new SqlHarness();
 		const [one, two] = [harness.session(), harness.session()];
-		for (const text of setUp) {
+		for (const text of setUpStatements) {
 			await harness.run(one, text);
 		}
 
@@ -139,10 +139,10 @@
 		expect(await forUpdate).toEqual([[20]]);
 	});
 
-	it('ends write transactions when the instance steps down, and lets reads go on', async () => {
+	it('ends write transactions when the instance steps down, and lets read transactions continue', async () => {
 		const harness = new SqlHarness();
 		const [writer, reader, waiter] = [harness.session(), harness.session(), harness.session()];
-		for (const text of setUp) {
+		for (const text of setUpStatements) {
 			await harness.run(writer, text);
 		}
 
--- a/standins/endpoint/sql/session.ts
+++ b/standins/endpoint/sql/session.ts
@@ -1,5 +1,5 @@
 /**
- * SQL of one connection: runs its statements, one at a time.
+ * The SQL session of one connection: runs its statements one at a time.
  */
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 import type {SqlValue} from '../types.js';
@@ -19,31 +19,31 @@
 import {endsTransaction, runUtility, type UtilityTarget} from './utility-statements.js';
 import {sleep, type Wait} from './wait.js';
 
-/** Who the session belongs to. */
+/** Identity of a session, as SQL functions report it. */
 export type SessionIdentity = {
 	readonly user: string;
 	readonly database: string;
 	readonly processId: number;
 };
 
-/** What a client is told of a statement before it runs. */
+/** Description of a statement for the client, before it runs. */
 export type StatementDescription = {
 	readonly parameterTypes: readonly SqlType[];
 	readonly columns: readonly ResultColumn[] | undefined;
 };
 
-/** Called around waits for locks, so that the statement's slot is free meanwhile. */
+/** Called before and after each wait for a lock, so that the slot of the statement is free during the wait. */
 export type LockWaitHooks = {
 	before(): void;
 	after(): Promise<void> | undefined;
 };
 
-/** Statements with an own transaction, settings and waits. */
+/** One SQL session, with its transaction and its settings. */
 export class SqlSession implements UtilityTarget, Disposable {
 	readonly settings = new SessionSettings();
 	readonly transaction: SessionTransaction;
 	readonly facts: SessionFacts;
-	/** Called when a prepared statement, or without a name all, are dropped by DISCARD or DEALLOCATE. */
+	/** Called when DISCARD or DEALLOCATE drops a prepared statement; without a name, all of them. */
 	onDeallocate: ((name: string | undefined) => void) | undefined;
 	lockWaitHooks: LockWaitHooks | undefined;
 	private readonly _engine: SqlEngine;
@@ -63,7 +63,7 @@
 		return this.transaction.status;
 	}
 
-	/** Types of parameters and result columns; plans are made here, so unknown names are refused. */
+	/** Describes the parameters and result columns of a statement. The statement is planned for this, so unknown names are refused here. */
 	describe(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>): StatementDescription {
 		this._refuseIfFailed(statement);
 		if (isDataStatement(statement)) {
@@ -75,7 +75,7 @@
 		return {parameterTypes: [], columns: name === undefined ? undefined : [{name, type: sqlTypes.text}]};
 	}
 
-	/** Runs one statement. Throws, or rejects with, a SqlError; the caller then calls `onError`. */
+	/** Runs one statement. Throws, or rejects with, a SqlError, after which the caller must call `failTransaction`. */
 	execute(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, parameters: readonly SqlValue[]): StatementResult | Promise<StatementResult> {
 		this._refuseIfFailed(statement);
 		if (this._isDisposed) {
@@ -85,22 +85,22 @@
 		return isDataStatement(statement) ? this._executeData(statement, declaredTypes, parameters) : runUtility(this, statement);
 	}
 
-	/** Commits what ran outside BEGIN and COMMIT since the last call. */
+	/** Commits the implicit transaction of the statements that ran outside BEGIN and COMMIT; without one it does nothing. */
 	commitImplicitTransaction(): void {
 		this.transaction.commitImplicit();
 	}
 
-	/** A statement failed: an open transaction can only be rolled back now. */
+	/** Records that a statement failed: an implicit transaction is rolled back, an explicit one can only be rolled back from now on. */
 	failTransaction(): void {
 		this.transaction.fail();
 	}
 
-	/** Makes what the session waits for fail, if it waits. */
+	/** Makes the current wait of the session fail, if there is one. */
 	cancelWait(error: SqlError): void {
 		this._wait?.fail(error);
 	}
 
-	/** Waits in a way that `cancelWait` can end. */
+	/** Waits until `wait` resolves; `cancelWait` can make it fail. */
 	async waitFor(wait: Wait): Promise<void> {
 		this._wait = wait;
 		try {
@@ -110,7 +110,7 @@
 		}
 	}
 
-	/** Ends an open transaction that writes, from outside. */
+	/** Terminates the open transaction if it has changes or locks, and makes a wait for a lock fail. */
 	endWriteTransaction(error: SqlError): void {
 		this.transaction.endIfWriting(error);
 		if (this._wait?.isForLock) {
@@ -171,7 +171,7 @@
 		return planStatement(statement, declaredTypes, transaction, this._engine.instance.database.catalogVersion);
 	}
 
-	/** Runs steps at once as far as nothing must be waited for. */
+	/** Runs the first step; the result is a promise only if the statement has to wait. */
 	private _step(steps: Steps<StatementResult>, transaction: Transaction): StatementResult | Promise<StatementResult> {
 		const first = steps.next();
 		return first.done ? first.value : this._continue(steps, first.value, transaction);
--- a/standins/endpoint/sql/settings.ts
+++ b/standins/endpoint/sql/settings.ts
@@ -5,7 +5,7 @@
 import type {VariableSetStmt} from 'libpg-query';
 import {SqlError} from './sql-error.js';
 
-/** As the protocol spells it. */
+/** Name of the encoding in the spelling of the protocol. */
 const encoding = 'UTF8'; // eslint-disable-line unicorn/text-encoding-identifier-case -- the protocol's own spelling.
 
 const defaults: Readonly<Record<string, string>> = {
@@ -24,16 +24,16 @@
 	application_name: '',
 };
 
-/** Parameters with their values. */
+/** Values of the run-time parameters: defaults, and what the session has set. */
 export class SessionSettings {
 	private readonly _overrides = new Map<string, string>();
 
-	/** Value of a parameter; undefined when there is none. */
+	/** Value of a parameter; undefined if it does not exist. */
 	value(name: string): string | undefined {
 		return this._overrides.get(name.toLowerCase()) ?? defaults[name.toLowerCase()];
 	}
 
-	/** Value of a parameter that must be there. */
+	/** Value of a parameter; throws if it does not exist. */
 	show(name: string): string {
 		const value = this.value(name);
 		if (value === undefined) {
@@ -43,7 +43,7 @@
 		return value;
 	}
 
-	/** Does what SET and RESET say; any name is accepted. */
+	/** Applies SET or RESET; any name is accepted. */
 	apply(statement: VariableSetStmt): void {
 		const name = (statement.name ?? '').toLowerCase();
 		if (statement.kind === 'VAR_RESET_ALL') {
--- a/standins/endpoint/sql/sql-error.ts
+++ b/standins/endpoint/sql/sql-error.ts
@@ -1,8 +1,8 @@
 /**
- * Errors of SQL statements, with their SQLSTATE.
+ * Errors that SQL statements fail with, each with its SQLSTATE.
  */
 
-/** An error that a statement answers with. */
+/** An error that is reported to the client. */
 export class SqlError extends Error {
 	readonly sqlState: string;
 
@@ -13,7 +13,7 @@
 	}
 }
 
-/** The stand-in knows what was asked but does not do it. */
+/** Creates the error for a feature that the stand-in does not implement. */
 export function notSupported(what: string): SqlError {
 	return new SqlError('0A000', `${what} is not supported by the endpoint stand-in`);
 }
--- a/standins/endpoint/sql/sql-types.ts
+++ b/standins/endpoint/sql/sql-types.ts
@@ -1,20 +1,20 @@
 /**
- * Types of columns and expressions: their identifiers on the wire and their text form.
+ * Types of columns and expressions: their OIDs in the protocol and their text format.
  */
 import type {SqlValue} from '../types.js';
 import {SqlError} from './sql-error.js';
 
-/** Groups of types whose values compare with each other. */
+/** Categories of types; only values of one category can be compared. */
 export type TypeCategory = 'number' | 'text' | 'boolean' | 'time' | 'void' | 'unknown' | 'array';
 
 /** One type. */
 export type SqlType = {
 	readonly name: string;
 	readonly oid: number;
-	/** Size on the wire's description; -1 for variable. */
+	/** Size that RowDescription reports; -1 for variable, -2 for a zero-terminated string. */
 	readonly size: number;
 	readonly category: TypeCategory;
-	/** Reads a value's text form. */
+	/** Parses a value in text format; throws a SqlError if it is invalid. */
 	readonly read: (text: string) => SqlValue;
 };
 
@@ -62,7 +62,7 @@
 	return value;
 }
 
-/** Canonical text of a moment, in UTC and with milliseconds, so that text order is time order. */
+/** Formats a time in canonical form: in UTC with milliseconds, so that the order of the texts is the order of the times. */
 export function formatTimestamp(wallClockMs: number, hasZone: boolean): string {
 	const text = new Date(wallClockMs).toISOString().replace('T', ' ').replace('Z', '');
 	return hasZone ? `${text}+00` : text;
@@ -93,7 +93,7 @@
 
 const readText = (text: string): string => text;
 
-/** Every type that the stand-in knows, by its internal name. */
+/** Every supported type by its internal name. */
 export const sqlTypes = {
 	bool: {
 		name: 'bool', oid: 16, size: 1, category: 'boolean', read: readBoolean,
@@ -157,7 +157,7 @@
 const typesByName: ReadonlyMap<string, SqlType> = new Map<string, SqlType>(Object.values(sqlTypes).map(type => [type.name, type]));
 const typesByOid: ReadonlyMap<number, SqlType> = new Map<number, SqlType>(Object.values(sqlTypes).map(type => [type.oid, type]));
 
-/** Serial types and the type of their numbers. */
+/** Serial types by name, with the integer type of their values. */
 export const serialTypes: ReadonlyMap<string, SqlType> = new Map<string, SqlType>([
 	['smallserial', sqlTypes.int2],
 	['serial', sqlTypes.int4],
@@ -166,7 +166,7 @@
 	['serial8', sqlTypes.int8],
 ]);
 
-/** A type by its internal name. */
+/** Finds a type by its internal name; throws if there is none. */
 export function typeNamed(name: string): SqlType {
 	const type = typesByName.get(name);
 	if (!type) {
@@ -176,7 +176,7 @@
 	return type;
 }
 
-/** A type by its identifier on the wire; undefined when it is left open. */
+/** Finds a type by its OID; undefined if the client leaves the type unspecified. */
 export function typeOfOid(oid: number): SqlType | undefined {
 	if (oid === 0 || oid === sqlTypes.unknown.oid) {
 		return undefined;
@@ -190,7 +190,7 @@
 	return type;
 }
 
-/** Text form of a value that is not NULL. */
+/** Formats a value that is not NULL as text. */
 export function formatValue(value: string | number | boolean): string {
 	if (typeof value === 'string') {
 		return value;
@@ -205,7 +205,7 @@
 
 const integerRanges: ReadonlyMap<string, number> = new Map([['int2', 32_767], ['int4', 2_147_483_647], ['int8', Number.MAX_SAFE_INTEGER]]);
 
-/** Makes a value of one type one of another, as an assignment or a cast does. */
+/** Converts a value from one type to another, as an assignment or a cast does. */
 export function convertValue(value: SqlValue, from: SqlType, to: SqlType): SqlValue {
 	if (value === undefined || (from.name === to.name && typeof value !== 'number')) {
 		return value;
--- a/standins/endpoint/sql/targets.ts
+++ b/standins/endpoint/sql/targets.ts
@@ -1,5 +1,5 @@
 /**
- * Lists of result columns: of SELECT and of RETURNING.
+ * Compiles and evaluates lists of result columns, of SELECT and of RETURNING.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {Node} from 'libpg-query';
@@ -15,7 +15,7 @@
 export type Target = {
 	readonly name: string;
 	readonly expression: Expression;
-	/** Its node, so that ORDER BY and GROUP BY can be compared with it. */
+	/** Node of the expression in the parse tree; undefined for a column of `*`. */
 	readonly node: Node | undefined;
 };
 
@@ -34,12 +34,12 @@
 	});
 }
 
-/** Columns of an answer. */
+/** Names and types of the result columns. */
 export function columnsOf(targets: readonly Target[]): ResultColumn[] {
 	return targets.map(({name, expression}) => ({name, type: expression.type}));
 }
 
-/** Computes one row of an answer. */
+/** Computes one row of a result. */
 export function evaluateTargets(targets: readonly Target[], evaluation: Evaluation): Row {
 	return targets.map(target => target.expression.evaluate(evaluation));
 }
--- a/standins/endpoint/sql/transaction.ts
+++ b/standins/endpoint/sql/transaction.ts
@@ -1,5 +1,5 @@
 /**
- * One transaction: its own writes over the tables, and its locks.
+ * One transaction: its uncommitted writes, which overlay the tables, and its locks.
  */
 import type {
 	Change, Row, SqlValue, TableDefinition,
@@ -9,15 +9,15 @@
 import type {LockOwner} from './lock-table.js';
 import {SqlError} from './sql-error.js';
 
-/** Writes of one transaction to one table; undefined stands for a removed row. */
+/** Writes of one transaction to one table by key; undefined stands for a removed row. */
 type TableWrites = Map<string, Row | undefined>;
 
-/** Reads see the tables with the transaction's own writes over them. */
+/** Reads see the tables overlaid with the transaction's own writes. */
 export class Transaction implements LockOwner {
 	readonly locks = new Set<string>();
 	awaitedLock: string | undefined;
 	isReadOnly: boolean;
-	/** Set when the instance ended it from outside. */
+	/** Set when the transaction was terminated from outside its statements. */
 	terminationError: SqlError | undefined;
 	private readonly _database: Database;
 	private readonly _writes = new Map<Table, TableWrites>();
@@ -29,22 +29,22 @@
 		this.isReadOnly = isReadOnly;
 	}
 
-	/** Whether it changed anything. */
+	/** Whether the transaction has changes. */
 	get hasWrites(): boolean {
 		return this._writes.size > 0 || this._catalogChanges.length > 0;
 	}
 
-	/** Whether it changed which tables there are, so that shared plans don't fit. */
+	/** Whether the transaction created or dropped tables, so that shared plans must not be used. */
 	get hasCatalogChanges(): boolean {
 		return this._tables.size > 0;
 	}
 
-	/** A table as this transaction sees it. */
+	/** Finds a table as this transaction sees it; undefined if it does not exist. */
 	findTable(name: string): Table | undefined {
 		return this._tables.has(name) ? this._tables.get(name) : this._database.tables.get(name);
 	}
 
-	/** A table that must be there. */
+	/** Finds a table as this transaction sees it; throws if it does not exist. */
 	table(name: string): Table {
 		const table = this.findTable(name);
 		if (!table) {
@@ -54,24 +54,24 @@
 		return table;
 	}
 
-	/** One row by key. */
+	/** Finds a row by its key; undefined if it does not exist. */
 	row(table: Table, key: string): Row | undefined {
 		const writes = this._writes.get(table);
 		return writes?.has(key) ? writes.get(key) : table.rows.get(key);
 	}
 
-	/** One row by the values of its primary key. */
+	/** Finds a row by the values of its primary key; undefined if it does not exist. */
 	rowByKey(table: Table, values: readonly SqlValue[]): Row | undefined {
 		return this.row(table, encodeKey(values));
 	}
 
-	/** All rows with their keys. */
+	/** Iterates over all rows with their keys. */
 	* rows(table: Table): Generator<readonly [string, Row]> {
 		const writes = this._writes.get(table);
 		for (const [key, row] of table.rows) {
-			const own = writes?.has(key) ? writes.get(key) : row;
-			if (own) {
-				yield [key, own];
+			const visibleRow = writes?.has(key) ? writes.get(key) : row;
+			if (visibleRow) {
+				yield [key, visibleRow];
 			}
 		}
 
@@ -102,7 +102,7 @@
 		this._catalogChanges.push({kind: 'dropTable', table: name});
 	}
 
-	/** The physical changes for the log, in an order that can be replayed. */
+	/** The changes for the log, in an order in which they can be replayed. */
 	changes(): Change[] {
 		const changes = [...this._catalogChanges];
 		for (const [table, writes] of this._writes) {
@@ -119,7 +119,7 @@
 		return changes;
 	}
 
-	/** Whether every table that it wrote to is still there. */
+	/** Whether every table that the transaction wrote to still exists and was not replaced. */
 	matchesCatalog(): boolean {
 		return [...this._writes.keys()].every(table => this.findTable(table.definition.name) === table);
 	}
--- a/standins/endpoint/sql/update-delete.ts
+++ b/standins/endpoint/sql/update-delete.ts
@@ -1,5 +1,5 @@
 /**
- * UPDATE and DELETE, with RETURNING.
+ * Plans UPDATE and DELETE, with RETURNING.
  */
 import type {DeleteStmt, UpdateStmt} from 'libpg-query';
 import type {Table} from '../store/table.js';
@@ -88,7 +88,7 @@
 	return updated;
 }
 
-/** Writes a row under its key; a changed key moves it. */
+/** Writes a row under its key. If the key has changed, the row is moved after locking the new key. */
 function * writeRow(table: Table, key: string, row: Row, execution: Execution): Steps<void> {
 	const {keyColumns} = table.definition;
 	const newKey = keyColumns.length === 0 ? key : encodeKey(keyColumns.map(index => row[index]));
--- a/standins/endpoint/sql/utility-statements.ts
+++ b/standins/endpoint/sql/utility-statements.ts
@@ -1,5 +1,5 @@
 /**
- * Statements on the session: transactions, parameters, DISCARD and DEALLOCATE.
+ * Runs statements on the session: transaction control, parameters, DISCARD and DEALLOCATE.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree. */
 import type {
@@ -11,11 +11,11 @@
 import type {SessionSettings} from './settings.js';
 import {SqlError, notSupported} from './sql-error.js';
 
-/** What these statements work on. */
+/** The parts of a session that these statements work on. */
 export type UtilityTarget = {
 	readonly settings: SessionSettings;
 	readonly transaction: SessionTransaction;
-	/** Drops one prepared statement, or all. */
+	/** Drops one prepared statement, or all without a name. */
 	deallocate(name: string | undefined): void;
 };
 
@@ -42,7 +42,7 @@
 	return handler(target, statement.body as never); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the kind decides the content's type.
 }
 
-/** Whether a statement ends a transaction, which is all that a failed one allows. */
+/** Whether a statement is COMMIT or ROLLBACK, the only ones that a failed transaction accepts. */
 export function endsTransaction(statement: ParsedStatement): boolean {
 	const kind = 'TransactionStmt' in statement.node ? statement.node.TransactionStmt.kind : undefined;
 	return kind === 'TRANS_STMT_COMMIT' || kind === 'TRANS_STMT_ROLLBACK';
--- a/standins/endpoint/sql/wait.ts
+++ b/standins/endpoint/sql/wait.ts
@@ -1,13 +1,13 @@
 /**
- * Something a statement waits for; it can fail before its time, by cancel or by closing.
+ * Waits of statements, for a delay, a lock or a slot. They can fail early, when the statement is cancelled or the connection ends.
  */
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 import type {Clock} from '../../../src/common/services/services.js';
 
-/** A promise that its owner settles and that anyone may make fail. */
+/** A promise with callbacks. Its creator resolves it, and anyone may make it fail; only the first call has an effect. */
 export class Wait {
 	readonly promise: Promise<void>;
-	/** A waiting statement gives its slot up while it waits for a lock. */
+	/** Whether the wait is for a lock; a statement releases its slot during such a wait. */
 	readonly isForLock: boolean;
 	private _resolve!: () => void;
 	private _reject!: (error: Error) => void;
@@ -26,7 +26,7 @@
 		return this._isSettled;
 	}
 
-	/** Calls back once it is over either way. */
+	/** Registers a callback for when the wait has resolved or failed. */
 	onSettled(callback: () => void): void {
 		this._onSettled.push(callback);
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-/** Waits for a time. */
+/** Creates a wait that resolves after a delay in milliseconds. */
 export function sleep(clock: Clock, delayMs: number): Wait {
 	const wait = new Wait();
 	const timer: Disposable = clock.setTimer(delayMs, () => {
