--- a/standins/endpoint/store/database.ts
+++ b/standins/endpoint/store/database.ts
@@ -1,23 +1,23 @@
 /**
- * The tables of one instance, changed by log entries only; every change can be undone.
+ * The tables of one instance. Only log entries change them, and every change can be undone.
  */
 import type {Change, Row} from '../types.js';
 import {Table} from './table.js';
 
-/** Takes back one applied entry. */
+/** Undoes one applied entry. */
 export type Undo = () => void;
 
-/** Tables by name. */
+/** Tables by name, with a version for cached plans. */
 export class Database {
 	readonly tables = new Map<string, Table>();
-	/** Grows whenever a table comes or goes; plans made for another version are stale. */
+	/** Incremented whenever a table is created or dropped; plans that were made for another version are stale. */
 	private _catalogVersion = 0;
 
 	get catalogVersion(): number {
 		return this._catalogVersion;
 	}
 
-	/** Applies the changes of one entry, in order. */
+	/** Applies the changes of one entry in order, and returns a function that undoes them. */
 	apply(changes: readonly Change[]): Undo {
 		const undos = changes.map(change => this._applyOne(change));
 		return () => {
@@ -27,7 +27,7 @@
 		};
 	}
 
-	/** Everything as changes that build the same content from nothing. */
+	/** The whole content, as changes that recreate it in an empty database. */
 	snapshot(): Change[] {
 		const changes: Change[] = [];
 		for (const [name, table] of this.tables) {
@@ -42,7 +42,7 @@
 		return changes;
 	}
 
-	/** Drops everything. */
+	/** Drops all tables. */
 	clear(): void {
 		this.tables.clear();
 		this._catalogVersion += 1;
@@ -80,10 +80,10 @@
 	}
 
 	private _replaceTable(name: string, table: Table | undefined): Undo {
-		const before = this.tables.get(name);
+		const previous = this.tables.get(name);
 		this._setTable(name, table);
 		return () => {
-			this._setTable(name, before);
+			this._setTable(name, previous);
 		};
 	}
 
@@ -99,7 +99,7 @@
 	private _table(name: string): Table {
 		const table = this.tables.get(name);
 		if (!table) {
-			throw new Error(`the log changes a table that does not exist: ${name}`);
+			throw new Error(`a log entry changes a table that does not exist: ${name}`);
 		}
 
 		return table;
--- a/standins/endpoint/store/replicated-log.ts
+++ b/standins/endpoint/store/replicated-log.ts
@@ -1,5 +1,5 @@
 /**
- * The log of one instance: entries, where terms begin, and how to undo what was applied.
+ * The log of one instance: its entries, where terms begin, and how to undo applied entries.
  */
 import type {LogPosition} from '../../../src/common/positions/log-position.js';
 import type {LogEntry, StreamRequest, TermStart} from '../types.js';
@@ -10,7 +10,7 @@
 	undo: Undo | undefined;
 };
 
-/** Entries in order; the oldest are dropped beyond the number kept. */
+/** Entries in order. Only applied entries are dropped, the oldest first, and at least `entriesKept` of them are kept. */
 export class ReplicatedLog {
 	private _entries: StoredEntry[] = [];
 	/** Offset of the last entry that is no longer kept. */
@@ -27,7 +27,7 @@
 		return {term: this._terms.at(-1)?.term ?? 0, offset: this._endOffset};
 	}
 
-	/** Where each term begins. */
+	/** Where each term begins, in order. */
 	get terms(): readonly TermStart[] {
 		return this._terms;
 	}
@@ -41,7 +41,7 @@
 		return this._droppedOffset + this._entries.length;
 	}
 
-	/** Adds the next entry. */
+	/** Appends the next entry; throws if its offset does not follow the end of the log. */
 	append(entry: LogEntry): void {
 		if (entry.offset !== this._endOffset + 1) {
 			throw new Error(`entry ${entry.term}/${entry.offset} does not follow offset ${this._endOffset}`);
@@ -54,7 +54,7 @@
 		this._entries.push({entry, undo: undefined});
 	}
 
-	/** Notes how to undo an applied entry, and drops entries that are too old to be needed. */
+	/** Records how to undo an applied entry, and drops the oldest entries once there are more than twice as many applied ones as must be kept. */
 	recordApplied(offset: number, undo: Undo): void {
 		this._entries[offset - this._droppedOffset - 1].undo = undo;
 		if (offset - this._droppedOffset > 2 * this._entriesKept) {
@@ -64,23 +64,23 @@
 		}
 	}
 
-	/** One entry that is kept. */
+	/** The entry at an offset, which must still be kept. */
 	entry(offset: number): LogEntry {
 		return this._entries[offset - this._droppedOffset - 1].entry;
 	}
 
-	/** At most `limit` entries after an offset that is kept. */
+	/** At most `limit` entries after an offset; the entries after it must still be kept. */
 	entriesAfter(offset: number, limit: number): LogEntry[] {
 		const from = offset - this._droppedOffset;
 		return this._entries.slice(from, from + limit).map(stored => stored.entry);
 	}
 
-	/** Term of the entry at an offset; zero before the first. */
+	/** Term of the entry at an offset; zero before the first entry. */
 	termAt(offset: number): number {
 		return this._terms.findLast(start => start.firstOffset <= offset)?.term ?? 0;
 	}
 
-	/** Drops everything after an offset and undoes what of it was applied. */
+	/** Drops all entries after an offset, and undoes those that were applied. */
 	truncate(keptOffset: number): void {
 		while (this._endOffset > keptOffset) {
 			this._entries.pop()?.undo?.();
@@ -89,7 +89,7 @@
 		this._terms = this._terms.filter(start => start.firstOffset <= keptOffset);
 	}
 
-	/** Starts again after the content of a snapshot. */
+	/** Replaces the log by an empty one that begins after the position of a snapshot. */
 	reset(offset: number, terms: readonly TermStart[]): void {
 		this._entries = [];
 		this._droppedOffset = offset;
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	 * Length of the part that a follower's log shares with this one. The same term and
-	 * offset mean the same entry, because a term has one primary.
+	 * Length of the prefix that the log of a follower shares with this one. Entries with the same term and
+	 * offset are the same, because a term has only one primary.
 	 */
 	sharedOffset(follower: Pick<StreamRequest, 'terms' | 'end'>): number {
 		let followerEnd = follower.end.offset;
--- a/standins/endpoint/store/table.ts
+++ b/standins/endpoint/store/table.ts
@@ -1,16 +1,16 @@
 /**
- * One table in memory. Rows are found by primary key in constant time.
+ * One table in memory. Rows are looked up by primary key in constant time.
  */
 import type {Row, SqlValue, TableDefinition} from '../types.js';
 
-/** Name under which a row without a primary key is kept, in front of its number. */
+/** Prefix of the key of a row without a primary key; the hidden number of the row follows. */
 const hiddenKeyPrefix = '#';
 
-/** Rows by key. Only the log changes it. */
+/** Rows by key. Only log entries change them. */
 export class Table {
 	readonly definition: TableDefinition;
 	readonly rows = new Map<string, Row>();
-	/** Next number of a serial column or of a hidden key; shared by all serials of the table. */
+	/** Next number for a serial column or a hidden key; all of them share one sequence. */
 	private _nextSequenceValue = 1;
 	private readonly _serialColumns: readonly number[];
 
@@ -19,40 +19,40 @@
 		this._serialColumns = definition.columns.flatMap((column, index) => column.default?.kind === 'serial' ? [index] : []);
 	}
 
-	/** Index of a column; -1 when there is none. */
+	/** Index of a column; -1 if there is none of that name. */
 	columnIndex(name: string): number {
 		return this.definition.columns.findIndex(column => column.name === name);
 	}
 
-	/** Takes the next number; numbers of rolled back transactions are lost, as in any sequence. */
+	/** Returns the next number. Numbers of transactions that are rolled back are not used again, as in any sequence. */
 	nextSequenceValue(): number {
 		const number = this._nextSequenceValue;
 		this._nextSequenceValue += 1;
 		return number;
 	}
 
-	/** Key of a row; a row without primary key gets a hidden number. */
+	/** Key of a row; if the table has no primary key, a new hidden number. */
 	keyOf(row: Row): string {
 		const {keyColumns} = this.definition;
 		return keyColumns.length === 0 ? hiddenKeyPrefix + this.nextSequenceValue() : encodeKey(keyColumns.map(index => row[index]));
 	}
 
-	/** Puts a row and returns the one that was there. */
+	/** Stores a row and returns the one that it replaces. */
 	put(key: string, row: Row): Row | undefined {
-		const before = this.rows.get(key);
+		const previous = this.rows.get(key);
 		this.rows.set(key, row);
 		this._advanceSequence(key, row);
-		return before;
+		return previous;
 	}
 
 	/** Removes a row and returns it. */
 	remove(key: string): Row | undefined {
-		const before = this.rows.get(key);
+		const previous = this.rows.get(key);
 		this.rows.delete(key);
-		return before;
+		return previous;
 	}
 
-	/** Keeps the counter ahead of every number in the table, so that a new primary goes on from there. */
+	/** Keeps the sequence ahead of every number in the table, so that a new primary continues after them. */
 	private _advanceSequence(key: string, row: Row): void {
 		if (this.definition.keyColumns.length === 0) {
 			this._nextSequenceValue = Math.max(this._nextSequenceValue, Number(key.slice(hiddenKeyPrefix.length)) + 1);
@@ -64,7 +64,7 @@
 	}
 }
 
-/** Text of a primary key's values. */
+/** Encodes the values of a primary key as text. */
 export function encodeKey(values: readonly SqlValue[]): string {
 	return values.length === 1 ? String(values[0]) : JSON.stringify(values);
 }
