--- a/standins/endpoint/testing/endpoint-harness.ts
+++ b/standins/endpoint/testing/endpoint-harness.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints on free ports of this host, and clients of them, for tests.
+ * Starts endpoints on free local ports, and clients of them, for tests.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import pg from 'pg';
@@ -9,10 +9,10 @@
 import {Endpoint} from '../endpoint.js';
 import {settingsSchema, type EndpointSettingsInput} from '../settings.js';
 
-/** Group, user and password of every endpoint here. */
+/** Group, user and password of every endpoint that the harness starts. */
 const access = {group: 'group', user: 'tester', password: 'secret'};
 
-/** Owns what a test starts. */
+/** Starts endpoints and clients, and ends them when disposed. */
 export class EndpointHarness {
 	private readonly _owned = new DisposableStore();
 	private readonly _clients: pg.Client[] = [];
@@ -24,7 +24,7 @@
 		return endpoint;
 	}
 
-	/** Starts a primary `a` and replicas with other names that follow it. */
+	/** Starts a primary `a` and replicas with the given names; resolves when they follow it. */
 	async group(names: readonly string[], settings: Partial<EndpointSettingsInput> = {}): Promise<Endpoint[]> {
 		const primary = await this.endpoint({...settings, name: 'a', initialPrimary: 'a'});
 		const replicas = await Promise.all(names.map(async name => this.endpoint({
@@ -34,12 +34,12 @@
 		return [primary, ...replicas];
 	}
 
-	/** Connects a client; its application name says what it is for. */
+	/** Connects a client; its application name determines its purpose. */
 	async client(endpoint: Endpoint, appName = 'test', password = access.password): Promise<pg.Client> {
 		const client = new pg.Client({
 			host: '127.0.0.1', port: endpoint.port, user: access.user, password, database: access.group, application_name: appName, // eslint-disable-line @typescript-eslint/naming-convention -- the driver's name.
 		});
-		// Connections are ended by the endpoints in many tests.
+		// In many tests the endpoint ends the connection, which the client reports as an error.
 		client.on('error', noop);
 		await client.connect();
 		this._clients.push(client);
@@ -52,7 +52,7 @@
 	}
 }
 
-/** SQLSTATE or code of a failure; `done` without one. */
+/** SQLSTATE or error code of a rejected promise; `done` if it resolves. */
 export async function errorCodeOf(promise: Promise<unknown>): Promise<string> {
 	try {
 		await promise;
@@ -62,20 +62,20 @@
 	}
 }
 
-/** Waits until a condition holds; the test's own timeout bounds it. */
+/** Polls until a condition holds; only the timeout of the test limits it. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
 	while (!condition()) {
 		await pause(2);
 	}
 }
 
-/** What a cancel request for a client brings. */
+/** Process id and secret that a cancel request for a client must contain. */
 export function cancelKeyOf(client: pg.Client): [number, number] {
 	const {processID: processId, secretKey} = client as unknown as {processID: number; secretKey: number}; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the driver's types leave them out.
 	return [processId, secretKey];
 }
 
-/** Collects the positions that a client is told of. */
+/** Collects the positions that are reported to a client. */
 export function positionsOf(client: pg.Client): string[] {
 	const positions: string[] = [];
 	const {connection} = client as unknown as {connection: NodeJS.EventEmitter}; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- the driver has no public way to parameters.
--- a/standins/endpoint/testing/in-process-group.ts
+++ b/standins/endpoint/testing/in-process-group.ts
@@ -1,5 +1,5 @@
 /**
- * A whole group in one process on a virtual clock, for tests.
+ * A whole group of instances in one process on a virtual clock, for tests.
  */
 import {makeRandom} from '../make-random.js';
 import {hasReached, type LogPosition} from '../../../src/common/positions/log-position.js';
@@ -10,22 +10,22 @@
 	Change, InstanceOptions, ReplicationConnector, TableDefinition,
 } from '../types.js';
 
-/** Time that a replication message takes. */
+/** Simulated latency of a replication message. */
 export const linkDelayMs = 2;
 
-/** A table of one key column, for tests that work below SQL. */
+/** A table with only a key column, for tests that append changes without SQL. */
 export const keysTable: TableDefinition = {
 	name: 'keys', columns: [{name: 'key', type: 'text', isRequired: true}], keyColumns: [0],
 };
 
-/** The change that puts one key into that table. */
+/** The change that stores one key in `keysTable`. */
 export function putKey(key: string): Change {
 	return {
 		kind: 'put', table: keysTable.name, key, row: [key],
 	};
 }
 
-/** Instances a, b, c, ... that reach each other by name; a is the primary of term 1. */
+/** Instances that reach each other by name; the first one is the primary of term 1. */
 export class InProcessGroup {
 	readonly clock = new VirtualClock();
 	readonly instances = new Map<string, Instance>();
@@ -52,18 +52,18 @@
 		return instance;
 	}
 
-	/** Ends an instance and starts it again with nothing but its promise. */
+	/** Disposes an instance and starts it again with only its term promise. */
 	restart(name: string): Instance {
-		const former = this.get(name);
-		const {promisedTerm, claimId} = former.state;
-		former.dispose();
+		const previous = this.get(name);
+		const {promisedTerm, claimId} = previous.state;
+		previous.dispose();
 		const instance = this._make(name, {start: 'restart', promise: {term: promisedTerm, claimId}});
 		this.instances.set(name, instance);
 		instance.start();
 		return instance;
 	}
 
-	/** Whether a majority holds a position in its own term. */
+	/** Whether a majority has received a position and ends in the term of that position. */
 	isConfirmed(position: LogPosition): boolean {
 		const holders = [...this.instances.values()].filter(({received}) => received.term === position.term && hasReached(received, position));
 		return holders.length * 2 > this.instances.size;
@@ -86,21 +86,21 @@
 		return {
 			connect: (primary, request, receiver) => {
 				let isOpen = true;
-				const later = (action: () => void) => this.clock.setTimer(linkDelayMs, () => {
+				const afterLinkDelay = (action: () => void) => this.clock.setTimer(linkDelayMs, () => {
 					if (isOpen) {
 						action();
 					}
 				});
 				let feed: {dispose(): void} | undefined;
-				later(() => {
+				afterLinkDelay(() => {
 					feed = this.get(primary.host).serve(request, {
 						push(message) {
-							later(() => {
+							afterLinkDelay(() => {
 								receiver.receive(message);
 							});
 						},
 						end(reason) {
-							later(() => {
+							afterLinkDelay(() => {
 								receiver.onEnd(reason);
 							});
 						},
