--- a/standins/endpoint/wire/backend-message-writer.ts
+++ b/standins/endpoint/wire/backend-message-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Builds backend messages one after the other in one buffer, so that an answer is one write.
+ * Encodes backend messages one after the other into one buffer, so that a response is sent in one write.
  */
 import {Buffer} from 'node:buffer';
 import type {Row} from '../types.js';
@@ -9,7 +9,7 @@
 
 const initialSizeBytes = 8192;
 
-/** Codes of the messages that a server sends. */
+/** Type bytes of the messages that a server sends. */
 const messageTypes = {
 	authentication: 0x52,
 	parameterStatus: 0x53,
@@ -28,21 +28,21 @@
 	portalSuspended: 0x73,
 } as const;
 
-/** Encodes messages; `take` hands them over. */
+/** Encodes messages; `take` returns the bytes. */
 export class BackendMessageWriter {
 	private _buffer = Buffer.allocUnsafe(initialSizeBytes);
 	private _length = 0;
 	private _start = 0;
 
-	/** Bytes waiting to be taken. */
+	/** Number of bytes that were written since the last `take`. */
 	get sizeBytes(): number {
 		return this._length;
 	}
 
-	/** Hands over everything written so far. */
+	/** Returns everything that was written since the last call. */
 	take(): Uint8Array {
 		const taken = this._buffer.subarray(0, this._length);
-		// The rest of a half-used buffer serves the next answers without another allocation.
+		// The unused rest of the buffer is reused for the next messages, to avoid an allocation.
 		this._buffer = this._buffer.length - this._length >= initialSizeBytes / 2 ? this._buffer.subarray(this._length) : Buffer.allocUnsafe(initialSizeBytes);
 		this._length = 0;
 		return taken;
@@ -199,7 +199,7 @@
 		this._buffer.writeInt32BE(sizeBytes, at);
 	}
 
-	/** Room for the longest encoding is made at once, which avoids measuring the text first. */
+	/** Reserves space for the longest possible encoding (3 bytes for each UTF-16 code unit), which avoids measuring the text first. */
 	private _text(text: string): number {
 		this._ensureCapacity(text.length * 3);
 		const sizeBytes = this._buffer.write(text, this._length, 'utf8');
--- a/standins/endpoint/wire/connection.ts
+++ b/standins/endpoint/wire/connection.ts
@@ -1,7 +1,7 @@
 /**
- * One authenticated connection: request messages in, answers out.
+ * One authenticated connection: receives frontend messages and sends the responses.
  *
- * Free of sockets, so that a whole endpoint can also run inside one process.
+ * It uses no sockets, so that an endpoint can also run without a network.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
@@ -29,7 +29,7 @@
 
 export type {ConnectionOptions, ConnectionOutput, ConnectionPurpose} from './types.js';
 
-/** Called with a message's content; a promise makes the next message wait. */
+/** Handles the body of a message; if it returns a promise, the next message is handled after it. */
 type MessageHandler = (connection: Connection, body: Uint8Array) => void | Promise<void>;
 
 const handlers: Readonly<Record<string, MessageHandler>> = {
@@ -100,7 +100,7 @@
 		};
 	}
 
-	/** Says that authentication is complete and what the endpoint is, then works until disposed. */
+	/** Completes the start-up phase with the parameters of the endpoint, then handles messages until disposed. */
 	start(): void {
 		this._writer.authenticationOk();
 		for (const name of startParameters) {
@@ -117,12 +117,12 @@
 		void this._pump.run();
 	}
 
-	/** Takes bytes in. */
+	/** Handles bytes from the client. */
 	receive(bytes: Uint8Array): void {
 		this._pump.receive(bytes);
 	}
 
-	/** Reports the state on a control connection, between whole messages. */
+	/** Sends a state report on a control connection, between two messages. Skipped while the output is full. */
 	reportState(): void {
 		if (this._output.isFull) {
 			return;
@@ -132,12 +132,12 @@
 		this._flush();
 	}
 
-	/** Does what a cancel request asks for. */
+	/** Cancels what the current statement waits for. */
 	cancel(): void {
 		this._session.cancelWait(new SqlError('57014', 'canceling statement due to user request'));
 	}
 
-	/** Ends the connection with a reason. */
+	/** Sends a fatal error to the client and ends the connection. */
 	shutDown(error: SqlError): void {
 		if (!this._isEnded) {
 			this._writer.error(error, 'FATAL');
@@ -159,7 +159,7 @@
 	async query(body: Uint8Array): Promise<void> {
 		try {
 			const text = new MessageReader(body).cString();
-			// Orders take constants, so their literals stay in place.
+			// The arguments of control commands must be constants, so their literals are not parameterised.
 			const query = this.purpose === 'control' ? this._engine.statements.parseVerbatim(text) : this._engine.statements.parseSimple(text);
 			const {statements} = query;
 			if (statements.length === 0) {
@@ -250,7 +250,7 @@
 
 		const handler = handlers[code] as MessageHandler | undefined;
 		if (!handler) {
-			throw new Error(`messages of kind ${code} are not supported`);
+			throw new Error(`messages of type ${code} are not supported`);
 		}
 
 		if (!this._isSkippingToSync || code === 'Q') {
@@ -258,7 +258,7 @@
 		}
 	}
 
-	/** Runs an extended message; its error makes the rest up to Sync be skipped. */
+	/** Runs a message of the extended protocol; after an error, all messages up to the next Sync are skipped. */
 	private _runExtendedMessage(handler: MessageHandler, body: Uint8Array): void | Promise<void> {
 		try {
 			const pending = handler(this, body);
@@ -316,7 +316,7 @@
 		this._rows.sendResult(result);
 	}
 
-	/** Hands over the answers of earlier requests before waiting. */
+	/** Sends the responses of earlier requests before waiting. */
 	private async _flushAndAwait(pending: Promise<StatementResult>): Promise<StatementResult> {
 		this._flush();
 		return pending;
--- a/standins/endpoint/wire/constants.ts
+++ b/standins/endpoint/wire/constants.ts
@@ -1,9 +1,9 @@
 /**
- * Fixed values of the wire server.
+ * Constants of the wire server.
  */
 
-/** Answers are handed over together beyond this size even if the input has not ended. */
+/** Buffered responses are sent beyond this size even if there is more input to handle. */
 export const flushSizeBytes = 65_536;
 
-/** Parameters that every connection is told of at its start. */
+/** Parameters that are reported to every client at the start of its connection. */
 export const startParameters = ['server_version', 'server_encoding', 'client_encoding', 'DateStyle', 'TimeZone', 'integer_datetimes', 'standard_conforming_strings'] as const;
--- a/standins/endpoint/wire/control-commands.ts
+++ b/standins/endpoint/wire/control-commands.ts
@@ -1,5 +1,5 @@
 /**
- * Orders on control connections: `SELECT quetzalstream_...(...)`.
+ * Control commands, which control connections send as `SELECT quetzalstream_...(...)`.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- keys are node kinds of the parse tree and names of the protocol. */
 import type {
@@ -14,7 +14,7 @@
 import {SqlError} from '../sql/sql-error.js';
 import {sqlTypes} from '../sql/sql-types.js';
 
-/** An order that can be described and run. */
+/** A control command that can be described and run. */
 export type ControlCommand = {
 	readonly columns: readonly ResultColumn[];
 	run(instance: Instance, controlConnection: unknown): StatementResult;
@@ -28,13 +28,13 @@
 	readonly run: (instance: Instance, values: readonly CommandArgument[], controlConnection: unknown) => readonly string[];
 };
 
-/** Text of a state, as it is reported. */
+/** Formats a state as it is reported on control connections. */
 export function formatState(state: InstanceState): string {
 	const claim = state.claimId === '' ? '-' : state.claimId;
 	return `${state.role} ${state.promisedTerm} ${claim} ${formatPosition(state.received)} ${formatPosition(state.applied)} ${state.isStreaming ? 't' : 'f'}`;
 }
 
-function claimAnswer({isAccepted, state}: TermClaim): string[] {
+function formatClaim({isAccepted, state}: TermClaim): string[] {
 	return [isAccepted ? 't' : 'f', formatState(state)];
 }
 
@@ -46,13 +46,13 @@
 		columns: ['state'], arguments: [], run: instance => [formatState(instance.state)],
 	},
 	quetzalstream_raise_term: {
-		columns: claimColumns, arguments: ['number', 'string'], run: (instance, [term, claimId]) => claimAnswer(instance.raiseTerm(Number(term), String(claimId))),
+		columns: claimColumns, arguments: ['number', 'string'], run: (instance, [term, claimId]) => formatClaim(instance.raiseTerm(Number(term), String(claimId))),
 	},
 	quetzalstream_promote: {
-		columns: claimColumns, arguments: ['number', 'string'], run: (instance, [term, claimId]) => claimAnswer(instance.promote(Number(term), String(claimId))),
+		columns: claimColumns, arguments: ['number', 'string'], run: (instance, [term, claimId]) => formatClaim(instance.promote(Number(term), String(claimId))),
 	},
 	quetzalstream_follow: {
-		columns: claimColumns, arguments: ['number', 'string', 'number'], run: (instance, [term, host, port]) => claimAnswer(instance.follow(Number(term), {host: String(host), port: Number(port)})),
+		columns: claimColumns, arguments: ['number', 'string', 'number'], run: (instance, [term, host, port]) => formatClaim(instance.follow(Number(term), {host: String(host), port: Number(port)})),
 	},
 	quetzalstream_attach: {
 		columns: attachColumns,
@@ -72,7 +72,7 @@
 	},
 };
 
-/** The order in a statement; undefined when it is none. */
+/** Finds the control command in a statement; undefined if it is another statement. */
 export function findControlCommand(statement: ParsedStatement): ControlCommand | undefined {
 	const call = 'SelectStmt' in statement.node ? singleCall(statement.node.SelectStmt) : undefined;
 	const definition = call && commands[namesOf(call.funcname).at(-1) ?? ''] as CommandDefinition | undefined;
@@ -82,7 +82,7 @@
 
 	const values = (call.args ?? []).map(node => constantOf(node));
 	if (values.length !== definition.arguments.length || values.some((value, index) => typeof value !== definition.arguments[index])) {
-		throw new SqlError('42883', 'the order has other arguments');
+		throw new SqlError('42883', 'the arguments of the control command do not match its signature');
 	}
 
 	return {
@@ -100,7 +100,7 @@
 function constantOf(node: Node): CommandArgument {
 	const constant: Constant = 'A_Const' in node ? node.A_Const : {isnull: true};
 	if (constant.isnull) {
-		throw new SqlError('42601', 'an order takes constants');
+		throw new SqlError('42601', 'the arguments of a control command must be constants');
 	}
 
 	if (constant.sval) {
--- a/standins/endpoint/wire/extended-protocol.ts
+++ b/standins/endpoint/wire/extended-protocol.ts
@@ -9,38 +9,38 @@
 import {MessageReader} from './message-reader.js';
 import {readParameter} from './parameters.js';
 
-/** A prepared statement; without a statement it is the empty query. */
+/** A prepared statement; `statement` is undefined for the empty query. */
 export type PreparedStatement = {
 	readonly statement: ParsedStatement | undefined;
 	readonly declaredTypes: ReadonlyArray<SqlType | undefined>;
 };
 
-/** A bound statement, and the rows of its answer that were not sent yet. */
+/** A bound statement, with its result and how many of the rows were sent; `rest` is undefined until it is executed. */
 export type Portal = {
 	readonly prepared: PreparedStatement;
 	readonly parameters: readonly SqlValue[];
 	rest: {readonly rows: readonly Row[]; readonly tag: string; sentCount: number} | undefined;
 };
 
-/** Kind and name in Describe and Close. */
+/** Content of Describe and Close: `S` for a statement or `P` for a portal, and its name. */
 export type DescribeTarget = {
 	readonly kind: string;
 	readonly name: string;
 };
 
-/** Reads Describe and Close. */
+/** Reads the body of a Describe or Close message. */
 export function readDescribeTarget(body: Uint8Array): DescribeTarget {
 	const reader = new MessageReader(body);
 	return {kind: reader.byte(), name: reader.cString()};
 }
 
-/** Reads Execute. */
+/** Reads the body of an Execute message; a row limit of zero means no limit. */
 export function readExecute(body: Uint8Array): {readonly name: string; readonly rowLimit: number} {
 	const reader = new MessageReader(body);
 	return {name: reader.cString(), rowLimit: reader.int32()};
 }
 
-/** Names to statements and portals. */
+/** Prepared statements and portals by name. */
 export class ExtendedProtocol {
 	private readonly _statements = new Map<string, PreparedStatement>();
 	private readonly _portals = new Map<string, Portal>();
@@ -50,7 +50,7 @@
 		this._cache = cache;
 	}
 
-	/** Takes a Parse message in. */
+	/** Handles the body of a Parse message. */
 	parse(body: Uint8Array): PreparedStatement {
 		const reader = new MessageReader(body);
 		const name = reader.cString();
@@ -69,7 +69,7 @@
 		return prepared;
 	}
 
-	/** Takes a Bind message in. */
+	/** Handles the body of a Bind message. */
 	bind(body: Uint8Array, describe: (prepared: PreparedStatement) => StatementDescription): void {
 		const reader = new MessageReader(body);
 		const name = reader.cString();
@@ -107,13 +107,13 @@
 		return portal;
 	}
 
-	/** Takes a Close message in. */
+	/** Handles the body of a Close message. */
 	close(body: Uint8Array): void {
 		const {kind, name} = readDescribeTarget(body);
 		(kind === 'S' ? this._statements : this._portals).delete(name);
 	}
 
-	/** Drops one prepared statement, or all. */
+	/** Drops one prepared statement, or all without a name. */
 	deallocate(name: string | undefined): void {
 		if (name === undefined) {
 			this._statements.clear();
@@ -122,7 +122,7 @@
 		}
 	}
 
-	/** Portals end with the transaction. */
+	/** Drops all portals, since they end with their transaction. */
 	dropPortals(): void {
 		this._portals.clear();
 	}
--- a/standins/endpoint/wire/frame-reader.ts
+++ b/standins/endpoint/wire/frame-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts a byte stream into frontend messages, without copying those that arrive whole.
+ * Splits a byte stream into frontend messages, without copying those that arrive in one chunk.
  */
 import {Buffer} from 'node:buffer';
 import {asReadable} from './bytes.js';
@@ -7,24 +7,24 @@
 /** One frontend message. */
 export type Frame = {
 	readonly code: number;
-	/** Content after the length. */
+	/** Content after the length field. */
 	readonly body: Uint8Array;
 };
 
 const headerSizeBytes = 5;
 
-/** Collects chunks. */
+/** Collects chunks and returns the messages in them. */
 export class FrameReader {
 	private _chunk = asReadable(Buffer.alloc(0));
 	private _offset = 0;
 	private readonly _pendingChunks: Uint8Array[] = [];
 
-	/** Adds bytes that have arrived. */
+	/** Adds received bytes. */
 	add(bytes: Uint8Array): void {
 		this._pendingChunks.push(bytes);
 	}
 
-	/** The next whole message; undefined when more bytes are needed. */
+	/** Returns the next complete message; undefined if more bytes are needed. Throws if its length field is invalid. */
 	next(): Frame | undefined {
 		if (!this._fill(headerSizeBytes)) {
 			return undefined;
@@ -32,7 +32,7 @@
 
 		const sizeBytes = this._chunk.readInt32BE(this._offset + 1) + 1;
 		if (sizeBytes < headerSizeBytes) {
-			throw new Error('a message with an impossible length has arrived');
+			throw new Error('invalid message length: expected at least 4');
 		}
 
 		if (!this._fill(sizeBytes)) {
--- a/standins/endpoint/wire/gated-socket.ts
+++ b/standins/endpoint/wire/gated-socket.ts
@@ -1,14 +1,14 @@
 /**
- * A socket that can be held: nothing comes in and nothing goes out until it is let go.
+ * A socket that faults can hold: while it is held, nothing is read and nothing is written.
  */
 import type {Socket} from 'node:net';
 import {noop} from '../noop.js';
 import type {Disposable} from '../../../src/common/lifecycle/disposable.js';
 
-/** Bytes to either side are kept while held, as a network does that drops and sends again. */
+/** While held, bytes in both directions are kept and delivered after the release, as with a network that loses packets and retransmits them. */
 export class GatedSocket implements Disposable {
 	readonly socket: Socket;
-	/** Who is on the other side, once that is known. */
+	/** Name of the peer, once it is known. */
 	peer: string | undefined;
 	private readonly _isHeldFor: (peer: string | undefined) => boolean;
 	private _heldWrites: Uint8Array[] = [];
@@ -20,17 +20,17 @@
 		this.socket = socket;
 		this._isHeldFor = isHeldFor;
 		socket.setNoDelay(true);
-		// An error is always followed by 'close', which is where owners react.
+		// An error is always followed by 'close', which owners listen for.
 		socket.on('error', noop);
 		this.refresh();
 	}
 
-	/** Whether the other side takes no more bytes for now. */
+	/** Whether the socket is held or its write buffer is full. */
 	get isFull(): boolean {
 		return this._isHeld || this.socket.writableNeedDrain;
 	}
 
-	/** Looks again whether it is held. */
+	/** Holds or releases the socket, according to the active faults. */
 	refresh(): void {
 		const isHeld = this._isHeldFor(this.peer);
 		if (isHeld === this._isHeld) {
@@ -45,13 +45,13 @@
 		}
 	}
 
-	/** Gives every chunk to a listener, from now on. */
+	/** Passes every received chunk to a listener from now on. */
 	listen(listener: (bytes: Uint8Array) => void): void {
 		this.socket.on('data', listener);
 		this.flow();
 	}
 
-	/** Lets bytes come in, unless held. Without a listener they would be lost. */
+	/** Resumes reading, unless held or without a listener: without one, received bytes would be lost. */
 	flow(): void {
 		if (this._isHeld) {
 			this.socket.pause();
@@ -68,7 +68,7 @@
 		}
 	}
 
-	/** Closes after what was written. */
+	/** Closes the connection after everything that was written is sent. */
 	end(): void {
 		this._isEnding = true;
 		if (!this._isHeld) {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Resolves once it is not held. */
+	/** Resolves once the socket is not held. */
 	async whenReleased(): Promise<void> {
 		if (this._isHeld) {
 			await new Promise<void>(resolve => {
@@ -85,7 +85,7 @@
 		}
 	}
 
-	/** Resolves once the other side takes bytes again, or never will. */
+	/** Resolves once bytes can be written again, or the connection is closed. */
 	async whenWritable(): Promise<void> {
 		await this.whenReleased();
 		if (this.socket.writableNeedDrain) {
--- a/standins/endpoint/wire/message-pump.ts
+++ b/standins/endpoint/wire/message-pump.ts
@@ -1,19 +1,19 @@
 /**
- * Takes bytes in and handles one message after the other: the task of a connection.
+ * The message loop of a connection: splits received bytes into messages and handles them one after the other.
  */
 import {FrameReader, type Frame} from './frame-reader.js';
 
-/** What the pump calls. */
+/** Callbacks of the pump. */
 export type PumpHandler = {
-	/** A promise makes the next message wait. */
+	/** Handles one message; if it returns a promise, the next message is handled after it. */
 	handle(frame: Frame): void | Promise<void>;
-	/** Everything that has arrived is handled. */
+	/** Called when all complete messages that were received are handled. */
 	onInputDrained(): void;
-	/** The bytes make no sense, or handling failed. */
+	/** Called when the bytes are no valid messages or a handler failed; the loop has ended. */
 	onError(error: unknown): void;
 };
 
-/** One task, which ends with `stop`. */
+/** One message loop, which runs until `stop`. */
 export class MessagePump {
 	private readonly _handler: PumpHandler;
 	private readonly _reader = new FrameReader();
@@ -24,20 +24,20 @@
 		this._handler = handler;
 	}
 
-	/** Takes bytes in. */
+	/** Adds received bytes. */
 	receive(bytes: Uint8Array): void {
 		this._reader.add(bytes);
 		this._wake?.();
 	}
 
-	/** Works until stopped. */
+	/** Handles messages until stopped. */
 	async run(): Promise<void> {
 		try {
 			while (!this._isStopped) {
 				const frame = this._reader.next();
 				if (frame) {
 					const pending = this._handler.handle(frame);
-					// Awaiting only what must be waited for saves a turn for most messages.
+					// Most messages are handled synchronously; awaiting only promises saves them a microtask turn.
 					if (pending) {
 						await pending;
 					}
--- a/standins/endpoint/wire/message-reader.ts
+++ b/standins/endpoint/wire/message-reader.ts
@@ -4,7 +4,7 @@
 import {SqlError} from '../sql/sql-error.js';
 import {asReadable, type ReadableBytes} from './bytes.js';
 
-/** Fields in order. */
+/** Reads fields in their order; throws a SqlError if the message is too short. */
 export class MessageReader {
 	private readonly _body: ReadableBytes;
 	private _offset = 0;
@@ -37,7 +37,7 @@
 	cString(): string {
 		const end = this._body.indexOf(0, this._offset);
 		if (end === -1) {
-			throw new SqlError('08P01', 'a text in the message does not end');
+			throw new SqlError('08P01', 'a string in the message is not terminated by a zero byte');
 		}
 
 		const text = this._body.toString('utf8', this._offset, end);
@@ -52,14 +52,14 @@
 		return value;
 	}
 
-	/** A list of 16-bit numbers with its length in front. */
+	/** A list of 16-bit integers, preceded by its length. */
 	int16List(): number[] {
 		return Array.from({length: this.int16()}, () => this.int16());
 	}
 
 	private _check(sizeBytes: number): void {
 		if (this._offset + sizeBytes > this._body.length) {
-			throw new SqlError('08P01', 'the message is too short');
+			throw new SqlError('08P01', 'the message is shorter than its fields');
 		}
 	}
 }
--- a/standins/endpoint/wire/parameters.ts
+++ b/standins/endpoint/wire/parameters.ts
@@ -1,5 +1,5 @@
 /**
- * Values of bound parameters, in text or binary form.
+ * Decodes the values of bound parameters, in text or binary format.
  */
 import type {SqlValue} from '../types.js';
 import {SqlError} from '../sql/sql-error.js';
@@ -19,7 +19,7 @@
 	json: bytes => bytes.toString('utf8'),
 };
 
-/** Reads one parameter. */
+/** Decodes one parameter that is not NULL. */
 export function readParameter(bytes: Uint8Array, type: SqlType, isBinary: boolean): SqlValue {
 	if (!isBinary) {
 		return type.read(asReadable(bytes).toString('utf8'));
--- a/standins/endpoint/wire/replication-client.ts
+++ b/standins/endpoint/wire/replication-client.ts
@@ -12,19 +12,19 @@
 import {GatedSocket} from './gated-socket.js';
 import {decodeMessage, startReplication} from './replication-codec.js';
 
-/** What the client needs of its endpoint. */
+/** What the client needs from its endpoint. */
 export type ReplicationClientOptions = {
 	readonly group: string;
 	readonly user: string;
 	readonly password: string | undefined;
-	/** Name of the instance at an address, as far as it is known. */
+	/** Name of the instance at an address; undefined if it is unknown. */
 	readonly nameOf: (address: PrimaryAddress) => string | undefined;
-	/** Whether a fault keeps it from connecting at all. */
+	/** Whether the endpoint is crashed or disposed, so that it must not connect. */
 	readonly isCrashed: () => boolean;
 	readonly isHeld: (peer: string | undefined) => boolean;
 };
 
-/** One connection for each stream. */
+/** Opens one connection for each stream. */
 export class ReplicationClient implements ReplicationConnector, Disposable {
 	private readonly _options: ReplicationClientOptions;
 	private readonly _gates = new Set<GatedSocket>();
@@ -52,14 +52,14 @@
 		return gate;
 	}
 
-	/** Looks again which connections are held. */
+	/** Holds or releases the connections according to the active faults. */
 	refreshHeldConnections(): void {
 		for (const gate of this._gates) {
 			gate.refresh();
 		}
 	}
 
-	/** Drops all streams; the instance opens new ones when it can. */
+	/** Closes all streams; the instance retries them. */
 	closeAll(): void {
 		for (const gate of this._gates) {
 			gate.dispose();
--- a/standins/endpoint/wire/replication-codec.ts
+++ b/standins/endpoint/wire/replication-codec.ts
@@ -1,14 +1,14 @@
 /**
- * Replication messages as JSON text. NULL is `null` there and undefined in memory.
+ * Encodes replication messages as JSON text. NULL is `null` in JSON and undefined in memory.
  */
 import type {
 	Change, LogEntry, Row, StreamMessage, StreamRequest,
 } from '../types.js';
 
-/** Statement that opens a stream; its request follows as JSON. */
+/** Start of the statement that opens a stream; the request follows as JSON. */
 export const startReplication = 'START_REPLICATION ';
 
-/** The same entry goes to every follower: it is encoded once. */
+/** Texts of entries. The same entry is sent to every follower, so it is encoded only once. */
 const entryTexts = new WeakMap<LogEntry, string>();
 
 function entryText(entry: LogEntry): string {
@@ -21,14 +21,14 @@
 	return text;
 }
 
-/** Text of one message. */
+/** Encodes one message. */
 export function encodeMessage(message: StreamMessage): string {
 	return message.kind === 'entries'
 		? `{"kind":"entries","term":${message.term},"entries":[${message.entries.map(entry => entryText(entry)).join(',')}]}`
 		: JSON.stringify(message);
 }
 
-/** Reads one message of an instance of the same group. */
+/** Decodes one message from an instance of the same group. */
 export function decodeMessage(text: string): StreamMessage {
 	const message = JSON.parse(text) as StreamMessage; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- written by an instance of the same program.
 	if (message.kind === 'entries') {
@@ -42,7 +42,7 @@
 	return message;
 }
 
-/** The request in a statement that opens a stream. */
+/** Decodes the request in a statement that opens a stream; undefined for another statement. */
 export function decodeRequest(statement: string): StreamRequest | undefined {
 	if (!statement.startsWith(startReplication)) {
 		return undefined;
--- a/standins/endpoint/wire/replication-sender.ts
+++ b/standins/endpoint/wire/replication-sender.ts
@@ -1,5 +1,5 @@
 /**
- * The primary's side of a replication connection.
+ * The primary's side of one replication connection: sends a stream over the wire.
  */
 import {toDisposable, type Disposable} from '../../../src/common/lifecycle/disposable.js';
 import {noop} from '../noop.js';
@@ -15,7 +15,7 @@
 
 const queryCode = 0x51;
 
-/** Waits for the request, then sends one row for each message. */
+/** Waits for the replication request, then sends each message of the stream as a row. */
 export class ReplicationSender implements StreamSink, Disposable {
 	private readonly _instance: Instance;
 	private readonly _gate: GatedSocket;
@@ -30,7 +30,7 @@
 		this._gate = gate;
 	}
 
-	/** Completes the start-up and listens. */
+	/** Completes the start-up phase and listens for the request. */
 	start(): void {
 		this._writer.authenticationOk();
 		this._writer.backendKeyData(0, 0);
@@ -43,7 +43,7 @@
 
 	push(message: StreamMessage): void | Promise<void> {
 		this._writer.dataRow([encodeMessage(message)]);
-		// Entries that are appended together leave in one write.
+		// Entries that are appended in the same turn are sent in one write.
 		if (!this._isFlushPlanned) {
 			this._isFlushPlanned = true;
 			queueMicrotask(() => {
@@ -76,7 +76,7 @@
 			this._feed = this._instance.serve(request, this);
 			this._gate.refresh();
 		} else if (frame) {
-			this.end('only a replication request is taken here');
+			this.end('expected START_REPLICATION on a replication connection');
 		}
 	}
 
--- a/standins/endpoint/wire/row-sender.ts
+++ b/standins/endpoint/wire/row-sender.ts
@@ -1,5 +1,5 @@
 /**
- * Sends rows of answers and the command's completion, whole or portal by portal.
+ * Sends the rows of results and CommandComplete: all rows at once, or up to the row limit of an Execute.
  */
 import type {Row} from '../types.js';
 import type {StatementResult} from '../sql/plan.js';
@@ -7,7 +7,7 @@
 import {flushSizeBytes} from './constants.js';
 import type {Portal} from './extended-protocol.js';
 
-/** Writes rows; large answers are handed over in parts. */
+/** Encodes rows; large results are flushed in parts. */
 export class RowSender {
 	private readonly _writer: BackendMessageWriter;
 	private readonly _flush: () => void;
@@ -17,13 +17,13 @@
 		this._flush = flush;
 	}
 
-	/** Sends a whole answer. */
+	/** Sends a whole result. */
 	sendResult({tag, rows = []}: StatementResult): void {
 		this._sendRows(rows);
 		this._complete(tag, rows.length);
 	}
 
-	/** Sends as many of a portal's rows as were asked for; zero for all. */
+	/** Sends the next rows of a portal, at most `rowLimit`; zero for all. */
 	sendPortalRows(portal: Portal, rowLimit: number): void {
 		const {rest} = portal;
 		if (!rest) {
--- a/standins/endpoint/wire/server.ts
+++ b/standins/endpoint/wire/server.ts
@@ -1,5 +1,5 @@
 /**
- * The listener of one endpoint: admits connections and gives each what it is for.
+ * The listener of one endpoint: admits connections and handles each according to its purpose.
  */
 import {createServer, type Server, type Socket} from 'node:net';
 import type {ClientParameters} from 'pg-gateway';
@@ -18,19 +18,19 @@
 import {beginStartUp, rejectConnection, type StartUpHandler} from './start-up.js';
 import type {ServiceTime} from './statement-runner.js';
 
-/** What connections are made for; a restart within the process replaces it. */
+/** The services that connections use; replaced when the instance is replaced after a crash. */
 export type InstanceServices = {
 	readonly engine: SqlEngine;
 	readonly slots: StatementSlots;
 };
 
-/** Time and chance of the server. */
+/** Time and randomness for the server. */
 export type ServerEnvironment = {
 	readonly clock: Clock;
 	readonly random: Random;
 };
 
-/** Figures for the status page. */
+/** Connection statistics of `GET /status`. */
 export type ConnectionStatistics = {
 	readonly limit: number;
 	readonly open: number;
@@ -41,7 +41,7 @@
 
 type AdmittedConnection = {
 	readonly purpose: ConnectionPurpose;
-	/** Home or observer that the connection belongs to. */
+	/** Name of the home or observer that opened the connection. */
 	readonly owner: string;
 	connection: Connection | undefined;
 };
@@ -70,12 +70,12 @@
 	private _isReportDue = false;
 	private _heartbeatTimer: Disposable | undefined;
 
-	constructor(settings: EndpointSettings, served: () => InstanceServices, faults: EndpointFaults, host: ServerEnvironment) {
+	constructor(settings: EndpointSettings, instanceServices: () => InstanceServices, faults: EndpointFaults, host: ServerEnvironment) {
 		this.user = settings.user;
 		this.password = settings.password;
 		this.authentication = settings.authentication;
 		this._settings = settings;
-		this._instanceServices = served;
+		this._instanceServices = instanceServices;
 		this._faults = faults;
 		this._clock = host.clock;
 		this._random = host.random;
@@ -98,7 +98,7 @@
 		};
 	}
 
-	/** Listens; again on the same port after `close`. */
+	/** Opens the port; after `close` the same one again. */
 	async listen(): Promise<void> {
 		const server = createServer(socket => {
 			this._accept(socket);
@@ -113,7 +113,7 @@
 		this._armHeartbeat();
 	}
 
-	/** Refuses connections from now on and drops those there are. */
+	/** Closes the port and all connections. */
 	close(): void {
 		this._server?.close();
 		this._server = undefined;
@@ -126,27 +126,27 @@
 		}
 	}
 
-	/** Looks again which connections are held. */
+	/** Holds or releases the connections according to the active faults. */
 	refreshHeldConnections(): void {
 		for (const gate of this._gates) {
 			gate.refresh();
 		}
 	}
 
-	/** The instance's state has changed: control connections hear of it at once, but not more often than they should. */
+	/** Schedules a report of a changed state to the control connections: at once, but at most one in each `coalesceMs`. */
 	scheduleStateReport(): void {
 		if (this._isReportDue) {
 			return;
 		}
 
 		this._isReportDue = true;
-		// Changes that come with the same bytes go into one report.
+		// Changes that are made in the same turn share one report.
 		queueMicrotask(() => {
 			this._reportChange();
 		});
 	}
 
-	/** Closes the work connections of a home that is not attached any more. */
+	/** Closes the work connections of a home that is no longer attached. */
 	closeWorkConnections(homeId: string): void {
 		for (const {purpose, owner, connection} of this._admitted.values()) {
 			if (purpose === 'work' && owner === homeId) {
@@ -237,7 +237,7 @@
 
 	private async _startUp(gate: GatedSocket): Promise<void> {
 		await gate.whenReleased();
-		// The start-up listens on the socket by itself and hands it over.
+		// The start-up phase reads from the socket itself and passes it to `onAuthenticated`.
 		beginStartUp(gate, this);
 	}
 
--- a/standins/endpoint/wire/slots.ts
+++ b/standins/endpoint/wire/slots.ts
@@ -1,19 +1,19 @@
 /**
- * Slots for statements: so many run at one time, the others wait in order.
+ * Limits how many statements run concurrently; the others wait in a FIFO queue.
  */
 import {Wait} from '../sql/wait.js';
 
-/** Figures for the status page. */
+/** Slot statistics of `GET /status`. */
 export type SlotStatistics = {
 	readonly limit: number;
 	readonly running: number;
 	readonly peak: number;
-	/** Statements that had to wait, since the start. */
+	/** Number of statements that had to wait since the start. */
 	readonly waitedCount: number;
 	readonly waiting: number;
 };
 
-/** Counts what runs. */
+/** Slots for statements, and the queue for them. */
 export class StatementSlots {
 	private readonly _limit: number;
 	private _running = 0;
@@ -31,7 +31,7 @@
 		};
 	}
 
-	/** Takes a slot at once, or gives what must be waited for; when that resolves the slot is taken. */
+	/** Acquires a slot: undefined if one is free, otherwise a wait whose resolution means that the slot is acquired. */
 	acquire(): Wait | undefined {
 		if (this._running < this._limit) {
 			this._running += 1;
@@ -51,7 +51,7 @@
 		return wait;
 	}
 
-	/** Gives a slot to the next in the queue. */
+	/** Passes the slot to the next statement in the queue, or frees it. */
 	release(): void {
 		const next = this._queue.shift();
 		if (next) {
--- a/standins/endpoint/wire/start-up.ts
+++ b/standins/endpoint/wire/start-up.ts
@@ -1,5 +1,5 @@
 /**
- * Start-up and authentication of one connection, up to the point where it can work.
+ * Start-up phase and authentication of one connection.
  */
 import {
 	PostgresConnection, hashMd5Password, type ClientParameters, type Credentials, type State,
@@ -9,14 +9,14 @@
 import {BackendMessageWriter} from './backend-message-writer.js';
 import type {GatedSocket} from './gated-socket.js';
 
-/** What start-up asks its server. */
+/** Settings and callbacks that the start-up phase needs from the server. */
 export type StartUpHandler = {
 	readonly user: string;
 	readonly password: string | undefined;
 	readonly authentication: 'md5' | 'cleartext';
-	/** Refuses a connection, or lets it go on after what connecting costs. */
+	/** Admits or refuses a connection: resolves with an error to refuse it, or with undefined after the simulated cost of connecting. */
 	admit(parameters: ClientParameters, gate: GatedSocket): Promise<SqlError | undefined>;
-	/** The connection is authenticated and now belongs to the server. */
+	/** Called when the connection is authenticated; from now on the server owns it. */
 	onAuthenticated(parameters: ClientParameters, gate: GatedSocket): void;
 	onCancel(processId: number, secret: number): void;
 };
@@ -24,7 +24,7 @@
 const cancelRequestCode = 80_877_102;
 const cancelRequestSizeBytes = 16;
 
-/** Speaks the start-up phase; afterwards the socket is handed over. */
+/** Runs the start-up phase; afterwards the server takes over the socket. */
 class StartUp extends PostgresConnection {
 	private readonly _gate: GatedSocket;
 	private readonly _handler: StartUpHandler;
@@ -48,7 +48,7 @@
 		this._gate.write(data);
 	}
 
-	/** Instead of the library's own answers: hands the connection over. */
+	/** Passes the connection to the server instead of sending the responses of the library. */
 	override async completeAuthentication(): Promise<void> {
 		this.isAuthenticated = true;
 		this.detach();
@@ -80,7 +80,7 @@
 	new StartUp(gate, host).begin();
 }
 
-/** Ends a connection with an error. */
+/** Sends a fatal error and ends the connection. */
 export function rejectConnection(gate: GatedSocket, error: SqlError): void {
 	const writer = new BackendMessageWriter();
 	writer.error(error, 'FATAL');
--- a/standins/endpoint/wire/statement-dispatcher.ts
+++ b/standins/endpoint/wire/statement-dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * The statements that one connection may send: SQL, and orders on control connections.
+ * Dispatches the statements of one connection: to SQL, or to control commands on control connections.
  */
 import type {Instance} from '../instance.js';
 import type {StatementResult} from '../sql/plan.js';
@@ -8,18 +8,18 @@
 import {findControlCommand, type ControlCommand} from './control-commands.js';
 import type {StatementRunner} from './statement-runner.js';
 
-/** What one connection's statements work with. */
+/** Options of a dispatcher. */
 export type StatementDispatcherOptions = {
 	readonly instance: Instance;
 	readonly session: SqlSession;
 	readonly runner: StatementRunner;
-	/** Whether orders are taken. */
+	/** Whether control commands are accepted. */
 	readonly isControl: boolean;
-	/** What an attached home is bound to. */
+	/** Control connection that an attached home is bound to. */
 	readonly controlConnection: unknown;
 };
 
-/** Describes and runs statements, whichever kind they are. */
+/** Describes and runs SQL statements and control commands. */
 export class StatementDispatcher {
 	private readonly _options: StatementDispatcherOptions;
 
@@ -36,7 +36,7 @@
 		return statement ? this._options.session.describe(statement, declaredTypes) : {parameterTypes: [], columns: undefined};
 	}
 
-	/** Gives the result at once where nothing must be waited for. */
+	/** Runs a statement; the result is a promise only if the statement has to wait. */
 	run(...[statement, declaredTypes, parameters]: Parameters<StatementRunner['run']>): StatementResult | Promise<StatementResult> {
 		const order = this._controlCommand(statement);
 		return order ? order.run(this._options.instance, this._options.controlConnection) : this._options.runner.run(statement, declaredTypes, parameters);
--- a/standins/endpoint/wire/statement-runner.ts
+++ b/standins/endpoint/wire/statement-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs statements of one connection within the instance's slots and with its service time.
+ * Runs the statements of one connection, each in a slot of the instance and with the simulated service time.
  */
 import type {Clock} from '../../../src/common/services/services.js';
 import type {SqlValue} from '../types.js';
@@ -10,16 +10,16 @@
 import {sleep} from '../sql/wait.js';
 import type {StatementSlots} from './slots.js';
 
-/** Time that each statement takes beside its own work. */
+/** Time that each statement on data holds its slot in addition to its execution. */
 export type ServiceTime = {
-	/** Milliseconds for the next statement. */
+	/** Service time of the next statement in milliseconds. */
 	nextMs(): number;
 };
 
-/** One statement at a time. */
+/** Runs one statement at a time. */
 export class StatementRunner {
 	private readonly _session: SqlSession;
-	/** Undefined on control connections. */
+	/** Undefined on control connections, whose statements need no slot. */
 	private readonly _slots: StatementSlots | undefined;
 	private readonly _serviceTime: ServiceTime;
 	private readonly _clock: Clock;
@@ -33,12 +33,12 @@
 			before() {
 				slots?.release();
 			},
-			// Must end with a slot in any case, since the statement's end gives one back.
+			// Must end with an acquired slot in any case, because the end of the statement releases one.
 			after: async () => slots?.acquire()?.promise,
 		};
 	}
 
-	/** Gives the result at once where nothing must be waited for. */
+	/** Runs a statement; the result is a promise only if the statement has to wait. */
 	run(statement: ParsedStatement, declaredTypes: ReadonlyArray<SqlType | undefined>, parameters: readonly SqlValue[]): StatementResult | Promise<StatementResult> {
 		const wait = this._slots?.acquire();
 		const serviceMs = isDataStatement(statement) ? this._serviceTime.nextMs() : 0;
--- a/standins/endpoint/wire/types.ts
+++ b/standins/endpoint/wire/types.ts
@@ -6,25 +6,25 @@
 import type {StatementSlots} from './slots.js';
 import type {ServiceTime} from './statement-runner.js';
 
-/** Where answers go. */
+/** Receives the encoded responses of a connection. */
 export type ConnectionOutput = {
-	/** Whether nothing can leave for now; left out where that does not happen. */
+	/** Whether no bytes can be sent at present; omitted if that cannot happen. */
 	readonly isFull?: boolean;
 	write(bytes: Uint8Array): void;
-	/** Ends the connection after what was written. */
+	/** Ends the connection after everything that was written is sent. */
 	end(): void;
 };
 
-/** What a connection is for. */
+/** Purpose of a connection: control commands, statements of an attached home, or statements of any other client. */
 export type ConnectionPurpose = 'control' | 'work' | 'direct';
 
-/** What one connection works with. */
+/** Options of one connection. */
 export type ConnectionOptions = {
 	readonly engine: SqlEngine;
 	readonly slots: StatementSlots;
 	readonly serviceTime: ServiceTime;
 	readonly purpose: ConnectionPurpose;
 	readonly identity: SessionIdentity;
-	/** Number that a cancel request must bring. */
+	/** Secret that a cancel request must contain. */
 	readonly secret: number;
 };
