--- a/standins/endpoint/apply-queue.ts
+++ b/standins/endpoint/apply-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Applies received entries after a delay, in order.
+ * Delays the application of received log entries and keeps their order.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {Clock} from '../../src/common/services/services.js';
@@ -9,7 +9,7 @@
 	readonly dueMs: number;
 };
 
-/** Holds offsets back until they are due. */
+/** Queue of log offsets, each with the time at which the log may be applied up to it. */
 export class ApplyQueue implements Disposable {
 	private _pending: Pending[] = [];
 	private _timer: Disposable | undefined;
@@ -21,7 +21,7 @@
 		this._applyUpTo = applyUpTo;
 	}
 
-	/** Lets the log up to an offset be applied after a delay, and never before what came earlier. */
+	/** Schedules the application of the log up to an offset after a delay, and never before the offsets that were added earlier. */
 	add(endOffset: number, delayMs: number): void {
 		const dueMs = Math.max(this._clock.nowMs() + delayMs, this._pending.at(-1)?.dueMs ?? 0);
 		if (this._pending.length === 0 && delayMs <= 0) {
@@ -33,7 +33,7 @@
 		this._arm();
 	}
 
-	/** Forgets what is not applied yet. */
+	/** Removes all offsets that are not due yet, without applying them. */
 	clear(): void {
 		this._pending = [];
 		this._timer?.dispose();
@@ -59,9 +59,9 @@
 
 	private _applyDue(): void {
 		const nowMs = this._clock.nowMs();
-		const firstLater = this._pending.findIndex(pending => pending.dueMs > nowMs);
-		const due = firstLater === -1 ? this._pending : this._pending.slice(0, firstLater);
-		this._pending = firstLater === -1 ? [] : this._pending.slice(firstLater);
+		const notDueIndex = this._pending.findIndex(pending => pending.dueMs > nowMs);
+		const due = notDueIndex === -1 ? this._pending : this._pending.slice(0, notDueIndex);
+		this._pending = notDueIndex === -1 ? [] : this._pending.slice(notDueIndex);
 		const last = due.at(-1);
 		if (last) {
 			this._applyUpTo(last.endOffset);
--- a/standins/endpoint/attachment.ts
+++ b/standins/endpoint/attachment.ts
@@ -1,18 +1,18 @@
 /**
- * Which home may open work connections. The endpoint is the arbiter, so no clock matters.
+ * Tracks which home may open work connections. The endpoint alone decides this, so no lease and no clock are needed.
  */
 import {Emitter, type Event} from '../../src/common/lifecycle/emitter.js';
 
-/** Answer to an attach or detach order. */
-export type AttachAnswer = {
+/** Result of an attach or detach command. */
+export type AttachResult = {
 	readonly isAccepted: boolean;
-	/** Home that is attached after the order; empty for none. */
+	/** Home that is attached after the command; empty for none. */
 	readonly holder: string;
 };
 
-/** At most one home is attached; the claim ends with the control connection it came on. */
+/** At most one home is attached at a time. Its attachment ends when the control connection that it is bound to ends. */
 export class Attachment {
-	/** A home is no longer attached: its work connections must be closed. */
+	/** Fires with the name of a home that is no longer attached; its work connections must be closed. */
 	readonly onRevoked: Event<string>;
 	private _holder = '';
 	private _controlConnection: unknown;
@@ -27,24 +27,24 @@
 		return this._holder;
 	}
 
-	/** Binds a home to a control connection. The same home may move to a new one. */
-	attach(homeId: string, isForced: boolean, controlConnection: unknown): AttachAnswer {
+	/** Attaches a home and binds it to a control connection. A home that is attached already may move to another control connection. */
+	attach(homeId: string, isForced: boolean, controlConnection: unknown): AttachResult {
 		if (homeId === '' || (this._holder !== '' && this._holder !== homeId && !isForced)) {
 			return {isAccepted: false, holder: this._holder};
 		}
 
-		const former = this._holder;
+		const previous = this._holder;
 		this._holder = homeId;
 		this._controlConnection = controlConnection;
-		if (former !== '' && former !== homeId) {
-			this._onRevoked.fire(former);
+		if (previous !== '' && previous !== homeId) {
+			this._onRevoked.fire(previous);
 		}
 
 		return {isAccepted: true, holder: homeId};
 	}
 
-	/** Gives a home's claim up. */
-	detach(homeId: string): AttachAnswer {
+	/** Detaches a home; refused if it is not the attached one. */
+	detach(homeId: string): AttachResult {
 		if (this._holder === '' || this._holder !== homeId) {
 			return {isAccepted: false, holder: this._holder};
 		}
@@ -53,7 +53,7 @@
 		return {isAccepted: true, holder: ''};
 	}
 
-	/** A control connection ended. */
+	/** Detaches the home that is bound to a control connection, which has ended. */
 	unbind(controlConnection: unknown): void {
 		if (this._holder !== '' && this._controlConnection === controlConnection) {
 			this._release();
@@ -61,9 +61,9 @@
 	}
 
 	private _release(): void {
-		const former = this._holder;
+		const previous = this._holder;
 		this._holder = '';
 		this._controlConnection = undefined;
-		this._onRevoked.fire(former);
+		this._onRevoked.fire(previous);
 	}
 }
--- a/standins/endpoint/constants.ts
+++ b/standins/endpoint/constants.ts
@@ -12,34 +12,34 @@
 	streamSilenceMs: 700,
 } as const satisfies Partial<InstanceOptions>;
 
-/** How long a drawn application delay stays in force. */
+/** Interval after which the application delay is drawn again from its distribution. */
 export const lagRedrawMs = 100;
 
-/** Entries in one replication message. */
+/** Maximum number of log entries in one replication message. */
 export const entriesPerMessage = 500;
 
-/** Application names of connections with a purpose. */
+/** Application names that tell the purpose of a connection; for `work` and `control` the name of its owner follows the prefix. */
 export const appNames = {
 	work: 'quetzalstream-work:',
 	control: 'quetzalstream-control:',
 	replication: 'quetzalstream-replication',
 } as const;
 
-/** Parameters that an endpoint reports. */
+/** Names of the parameters that an endpoint reports in ParameterStatus messages. */
 export const reportedParameters = {
 	state: 'quetzalstream.state',
 	position: 'quetzalstream.position',
 } as const;
 
-/** State reports on control connections. */
+/** Timing of the state reports on control connections. */
 export const stateReports = {
 	coalesceMs: 2,
 	heartbeatMs: 500,
-	/** Below the silence after which a primary is asked for its state: a report costs half of a question with its answer. */
+	/** Shorter than the silence after which nodes request the state of a primary: a report is one message, a status request with its response is two. */
 	primaryHeartbeatMs: 180,
 } as const;
 
-/** Limits of statements. */
+/** Default limits for statements. */
 export const statementDefaults = {
 	lockTimeoutMs: 5000,
 	plansCached: 5000,
--- a/standins/endpoint/control-port.ts
+++ b/standins/endpoint/control-port.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP port that gives faults and tells the status: `POST /faults`, `GET /status`.
+ * HTTP port that injects faults and reports the status: `POST /faults`, `GET /status`.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -7,10 +7,10 @@
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import {faultSchema, type FaultCommand} from './faults.js';
 
-/** Whom the port belongs to. */
+/** The endpoint that the port controls. */
 export type ControlledEndpoint = {
 	readonly status: unknown;
-	applyFaultCommand(order: FaultCommand): void;
+	applyFaultCommand(command: FaultCommand): void;
 };
 
 type ControlResponse = {
@@ -18,7 +18,7 @@
 	readonly body: unknown;
 };
 
-/** Listens beside the endpoint; no fault reaches it. */
+/** HTTP server on a port of its own, which injected faults do not affect. */
 export class ControlPort implements Disposable {
 	private readonly _endpoint: ControlledEndpoint;
 	private readonly _server: Server;
@@ -61,13 +61,13 @@
 			return {code: 200, body: this._endpoint.status};
 		}
 
-		return route === 'POST /faults' ? this._handleFaultCommand(request) : {code: 404, body: {error: 'there are GET /status and POST /faults'}};
+		return route === 'POST /faults' ? this._handleFaultCommand(request) : {code: 404, body: {error: 'unknown route; expected GET /status or POST /faults'}};
 	}
 
 	private async _handleFaultCommand(request: IncomingMessage): Promise<ControlResponse> {
 		try {
-			const order = faultSchema.parse(JSON.parse(await readText(request)));
-			this._endpoint.applyFaultCommand(order);
+			const command = faultSchema.parse(JSON.parse(await readText(request)));
+			this._endpoint.applyFaultCommand(command);
 			return {code: 200, body: this._endpoint.status};
 		} catch (error) {
 			return {code: 400, body: {error: String(error)}};
--- a/standins/endpoint/endpoint.test.ts
+++ b/standins/endpoint/endpoint.test.ts
@@ -15,26 +15,26 @@
 	EndpointHarness, cancelKeyOf, errorCodeOf, positionsOf, waitUntil,
 } from './testing/endpoint-harness.js';
 
-const limit = {timeout: 20_000};
+const testOptions = {timeout: 20_000};
 let harness: EndpointHarness;
 
-async function order(client: pg.Client, call: string): Promise<unknown> {
+async function sendControlCommand(client: pg.Client, call: string): Promise<unknown> {
 	const {rows} = await client.query<Record<string, unknown>>(`SELECT quetzalstream_${call}`);
 	return Object.values(rows[0]);
 }
 
-async function fault(endpoint: Endpoint, body: FaultCommand): Promise<void> {
+async function injectFault(endpoint: Endpoint, body: FaultCommand): Promise<void> {
 	const response = await fetch(`http://127.0.0.1:${endpoint.controlPort}/faults`, {method: 'POST', body: JSON.stringify(body)});
 	expect(response.status).toEqual(200);
 }
 
-describe('Endpoint', limit, () => {
+describe('Endpoint', testOptions, () => {
 	beforeEach(() => {
 		harness = new EndpointHarness();
 	});
 	afterEach(async () => harness.dispose());
 
-	it('reports positions, and gives a write to its replicas', async () => {
+	it('reports positions and replicates writes', async () => {
 		const [a, b] = await harness.group(['b']);
 		const client = await harness.client(a);
 		const positions = positionsOf(client);
@@ -54,7 +54,7 @@
 		expect(a.status.commitCount).toEqual(2);
 	});
 
-	it('speaks the extended protocol with row limits, and recovers after errors', async () => {
+	it('supports the extended protocol with row limits, and recovers after errors', async () => {
 		const [a] = await harness.group([]);
 		const client = await harness.client(a);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY); INSERT INTO items SELECT g FROM generate_series(1, 5) g');
@@ -72,7 +72,7 @@
 		}
 	});
 
-	it('runs no more statements than it has slots, and ends one that is cancelled', async () => {
+	it('limits concurrent statements to its slots, and cancels a statement on request', async () => {
 		const [a] = await harness.group([], {slots: 2});
 		const clients = await Promise.all([1, 2, 3, 4, 5].map(async () => harness.client(a)));
 		await Promise.all(clients.map(async client => client.query('SELECT pg_sleep(0.02)')));
@@ -91,15 +91,15 @@
 		expect(await errorCodeOf(first.query('SELECT 1'))).toEqual('done');
 	});
 
-	it('refuses connections beyond its limit, of other homes and with a wrong password', async () => {
+	it('refuses connections beyond the limit, from homes that are not attached and with a wrong password', async () => {
 		const [a] = await harness.group([], {connections: 4});
 		const control = await harness.client(a, 'quetzalstream-control:n1');
 		expect(await errorCodeOf(harness.client(a, 'quetzalstream-work:one'))).toEqual('55006');
-		expect(await order(control, 'attach(\'one\', false)')).toEqual(['t', 'one']);
+		expect(await sendControlCommand(control, 'attach(\'one\', false)')).toEqual(['t', 'one']);
 		const work = await harness.client(a, 'quetzalstream-work:one');
 		const other = await harness.client(a, 'quetzalstream-control:n2');
-		expect(await order(other, 'attach(\'two\', false)')).toEqual(['f', 'one']);
-		expect(await order(other, 'attach(\'two\', true)')).toEqual(['t', 'two']);
+		expect(await sendControlCommand(other, 'attach(\'two\', false)')).toEqual(['f', 'one']);
+		expect(await sendControlCommand(other, 'attach(\'two\', true)')).toEqual(['t', 'two']);
 		expect(await errorCodeOf(work.query('SELECT 1'))).not.toEqual('done');
 		await harness.client(a, 'quetzalstream-work:two');
 		expect(await errorCodeOf(harness.client(a, 'test', 'wrong'))).toEqual('28P01');
@@ -111,10 +111,10 @@
 		await waitUntil(() => a.status.connections.byPurpose.work === 0);
 	});
 
-	it('answers nothing while frozen, and everything afterwards', async () => {
+	it('does not respond while frozen, and handles everything afterwards', async () => {
 		const [a] = await harness.group([]);
 		const client = await harness.client(a);
-		await fault(a, {fault: 'freeze'});
+		await injectFault(a, {fault: 'freeze'});
 		let answered = 0;
 		const count = async (promise: Promise<unknown>): Promise<void> => {
 			await promise;
@@ -124,38 +124,38 @@
 		const waiting = [count(client.query('SELECT 1')), count(harness.client(a))];
 		await fetch(`http://127.0.0.1:${a.controlPort}/status`);
 		expect(answered).toEqual(0);
-		await fault(a, {fault: 'heal'});
+		await injectFault(a, {fault: 'heal'});
 		await Promise.all(waiting);
 		expect(answered).toEqual(2);
 	});
 
-	it('cuts single peers off and lets them catch up', async () => {
+	it('isolates single peers, which catch up afterwards', async () => {
 		const [a, b, c] = await harness.group(['b', 'c'], {streamSilenceMs: 100_000});
 		const client = await harness.client(a);
-		await fault(a, {fault: 'cut', peers: ['b']});
+		await injectFault(a, {fault: 'cut', peers: ['b']});
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
 		await waitUntil(() => c.instance.applied.offset === 2);
 		expect(b.instance.received.offset).toEqual(1);
-		await fault(a, {fault: 'heal'});
+		await injectFault(a, {fault: 'heal'});
 		await waitUntil(() => b.instance.applied.offset === 2);
 	});
 
-	it('is rebuilt after a crash that lost its memory', async () => {
+	it('is rebuilt after a crash that loses the memory', async () => {
 		const [a, b] = await harness.group(['b']);
 		const client = await harness.client(a);
 		await client.query('CREATE TABLE items (id int PRIMARY KEY)');
-		await fault(b, {fault: 'crash', isForgetting: true});
+		await injectFault(b, {fault: 'crash', isForgetting: true});
 		expect(await errorCodeOf(harness.client(b))).toEqual('ECONNREFUSED');
-		await fault(b, {fault: 'heal'});
+		await injectFault(b, {fault: 'heal'});
 		await waitUntil(() => !b.status.faults.isCrashed);
 		const control = await harness.client(b, 'quetzalstream-control:n1');
-		expect(await order(control, 'state()')).toEqual(['rebuilding 1 - 0/0 0/0 f']);
+		expect(await sendControlCommand(control, 'state()')).toEqual(['rebuilding 1 - 0/0 0/0 f']);
 		expect(await errorCodeOf(control.query('SELECT 1'))).toEqual('57P03');
-		await order(control, `follow(1, '127.0.0.1', ${a.port})`);
+		await sendControlCommand(control, `follow(1, '127.0.0.1', ${a.port})`);
 		await waitUntil(() => b.instance.role === 'replica' && b.instance.database.tables.has('items'));
 	});
 
-	it('remembers over a restart of its process that it had a promise', async () => {
+	it('keeps its term promise across a restart of the process', async () => {
 		const folder = mkdtempSync(path.join(tmpdir(), 'endpoint-'));
 		const file = path.join(folder, 'settings.json');
 		writeFileSync(file, '{"name": "a", "group": "group", /* a comment */ "initialPrimary": "a"}');
--- a/standins/endpoint/endpoint.ts
+++ b/standins/endpoint/endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * Puts one endpoint together: instance, SQL, listener, replication, faults and control port.
+ * Composes one endpoint from its instance, SQL engine, listener, replication, faults and control port.
  */
 import {DisposableStore, type Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {Clock, InstanceState, Random} from '../../src/common/services/services.js';
@@ -17,7 +17,7 @@
 import {EndpointServer, type ConnectionStatistics} from './wire/server.js';
 import {StatementSlots, type SlotStatistics} from './wire/slots.js';
 
-/** What `GET /status` answers. */
+/** Response body of `GET /status`. */
 export type EndpointStatus = InstanceState & {
 	readonly name: string;
 	readonly group: string;
@@ -28,13 +28,13 @@
 	readonly holder: string;
 	readonly slots: SlotStatistics;
 	readonly connections: ConnectionStatistics;
-	/** Transactions with changes that were committed and answered here. */
+	/** Number of transactions with changes that were committed on this endpoint. */
 	readonly commitCount: number;
 	readonly faults: ActiveFaults;
 	readonly lag: LagDistribution;
 };
 
-/** One instance with everything around it. */
+/** One instance with its listener, control port, faults and replication. */
 export class Endpoint implements Disposable {
 	readonly name: string;
 	private readonly _settings: EndpointSettings;
@@ -51,7 +51,7 @@
 	private _engine: SqlEngine;
 	private _slots: StatementSlots;
 	private _isDown = false;
-	private _earlierCommitCount = 0;
+	private _commitCountBeforeCrash = 0;
 
 	constructor(settings: EndpointSettings) {
 		this.name = settings.name;
@@ -84,12 +84,12 @@
 		return this._controlPort.port;
 	}
 
-	/** The current instance; another one after a crash that lost its memory. */
+	/** The current instance; a crash that loses the memory replaces it. */
 	get instance(): Instance {
 		return this._instance;
 	}
 
-	/** Everything that a test or a person may want to know. */
+	/** A snapshot of the state, the load and the active faults. */
 	get status(): EndpointStatus {
 		return {
 			name: this.name,
@@ -100,13 +100,13 @@
 			holder: this._instance.attachment.holder,
 			slots: this._slots.statistics,
 			connections: this._server.statistics,
-			commitCount: this._earlierCommitCount + this._engine.commitCount,
+			commitCount: this._commitCountBeforeCrash + this._engine.commitCount,
 			faults: this._faults.active,
 			lag: this._lag,
 		};
 	}
 
-	/** Listens and begins to work. */
+	/** Opens the ports and starts the instance. */
 	async start(): Promise<void> {
 		await loadParser();
 		await this._server.listen();
@@ -114,7 +114,7 @@
 		this._instance.start();
 	}
 
-	/** Does what the control port was told. */
+	/** Applies a fault command from the control port. */
 	applyFaultCommand(order: FaultCommand): void {
 		if (order.fault === 'lag') {
 			this._lag = {p50Ms: order.p50Ms, p99Ms: order.p99Ms};
@@ -162,10 +162,10 @@
 		return {instance, engine: new SqlEngine(instance, this._clock, this._random, lockTimeoutMs), slots: new StatementSlots(slots)};
 	}
 
-	/** Loses its memory, but not its promise. */
+	/** Replaces the instance by one without log and tables, which keeps only the term promise. */
 	private _loseMemory(): void {
 		const {promisedTerm, claimId} = this._instance.state;
-		this._earlierCommitCount += this._engine.commitCount;
+		this._commitCountBeforeCrash += this._engine.commitCount;
 		this._server.close();
 		this._instance.dispose();
 		this._engine.dispose();
--- a/standins/endpoint/faults.ts
+++ b/standins/endpoint/faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults that an endpoint can be told to have.
+ * Faults that can be injected into an endpoint.
  */
 import {z} from 'zod';
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
@@ -8,18 +8,18 @@
 
 const forMs = z.number().min(0).optional();
 
-/** Orders to the control port. */
+/** Schema of the fault commands to the control port. */
 export const faultSchema = z.discriminatedUnion('fault', [
 	z.strictObject({
 		fault: z.literal('crash'),
-		/** Whether its memory is lost; then it comes back rebuilding. */
+		/** Whether the endpoint loses its memory; after the crash it is then in the role `rebuilding`. */
 		isForgetting: z.boolean().default(false),
 		forMs,
 	}),
 	z.strictObject({fault: z.literal('freeze'), forMs}),
 	z.strictObject({
 		fault: z.literal('cut'),
-		/** Names of instances, homes or observers; all without it. */
+		/** Names of the instances, homes or observers to isolate the endpoint from; without it, all of them. */
 		peers: z.array(z.string()).optional(),
 		forMs,
 	}),
@@ -28,14 +28,14 @@
 	z.strictObject({fault: z.literal('heal')}),
 ]);
 
-/** One order. */
+/** One fault command. */
 export type FaultCommand = z.infer<typeof faultSchema>;
 
-/** Faults in force. */
+/** The active faults. */
 export type ActiveFaults = {
 	readonly isCrashed: boolean;
 	readonly isFrozen: boolean;
-	/** `all`, or names. */
+	/** `all`, or the names of the instances, homes or observers that the endpoint is isolated from. */
 	readonly cut: 'all' | readonly string[];
 	readonly addedMs: number;
 };
@@ -44,9 +44,9 @@
 	isCrashed: false, isFrozen: false, cut: [], addedMs: 0,
 };
 
-/** Keeps which faults are in force, and ends those that have a time. */
+/** Tracks the active faults, and ends those that have a duration. */
 export class EndpointFaults implements Disposable {
-	/** What is in force has changed. */
+	/** Fires with the active faults when they change. */
 	readonly onChange: Event<ActiveFaults>;
 	private readonly _clock: Clock;
 	private readonly _timers = new Map<keyof ActiveFaults, Disposable>();
@@ -62,13 +62,13 @@
 		return this._active;
 	}
 
-	/** Whether nothing passes between this endpoint and someone; an unknown name is only stopped with all. */
+	/** Whether no bytes pass between this endpoint and a peer. A peer whose name is unknown is held only if all peers are. */
 	isHeld(peer: string | undefined): boolean {
 		const {isFrozen, cut} = this._active;
 		return isFrozen || cut === 'all' || (peer !== undefined && cut.some(name => peer === name || peer.startsWith(`${name}/`)));
 	}
 
-	/** Puts a fault in force; `lag` has no place here. */
+	/** Activates a fault, or ends all of them; `lag` has no effect here, the endpoint applies it itself. */
 	apply(order: FaultCommand): void {
 		switch (order.fault) {
 			case 'crash': {
--- a/standins/endpoint/instance-content.ts
+++ b/standins/endpoint/instance-content.ts
@@ -1,5 +1,5 @@
 /**
- * What one instance holds: its log, and its tables with as much of the log as is applied.
+ * The content of one instance: its log, and its tables with the part of the log that is applied.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {LogPosition} from '../../src/common/positions/log-position.js';
@@ -9,9 +9,9 @@
 import {ReplicatedLog} from './store/replicated-log.js';
 import type {Change, LogEntry, StreamMessage} from './types.js';
 
-/** Log and tables. */
+/** Log and tables of one instance. */
 export class InstanceContent implements Disposable {
-	/** What reads see: the tables with every applied entry. */
+	/** The tables with every applied entry, which is what reads see. */
 	readonly database = new Database();
 	readonly log: ReplicatedLog;
 	private readonly _queue: ApplyQueue;
@@ -32,7 +32,7 @@
 		return {term: this.log.termAt(this._appliedOffset), offset: this._appliedOffset};
 	}
 
-	/** Adds an entry of this instance's own and applies it at once. */
+	/** Appends an entry that this instance creates as primary, and applies it at once. */
 	appendOwn(term: number, changes: readonly Change[]): LogPosition {
 		const offset = this.log.end.offset + 1;
 		this.log.append({term, offset, changes});
@@ -40,7 +40,7 @@
 		return {term, offset};
 	}
 
-	/** Adds entries of the primary, and applies them after a delay. */
+	/** Appends entries that the primary sent, and applies them after a delay in milliseconds. */
 	receive(entries: readonly LogEntry[], delayMs: number): void {
 		for (const entry of entries) {
 			this.log.append(entry);
@@ -49,7 +49,7 @@
 		this._queue.add(this.log.end.offset, delayMs);
 	}
 
-	/** Drops what the primary does not have, or takes its whole content over. */
+	/** Truncates what the primary does not have, or replaces the whole content by the snapshot of the primary. */
 	join(start: Extract<StreamMessage, {kind: 'start'}>): void {
 		if (start.snapshot) {
 			const {position, terms, changes} = start.snapshot;
@@ -65,7 +65,7 @@
 		}
 	}
 
-	/** Applies everything that was received. */
+	/** Applies all received entries without further delay. */
 	applyAll(): void {
 		this._applyNow(this.log.end.offset);
 	}
@@ -74,7 +74,7 @@
 		this._queue.dispose();
 	}
 
-	/** Applies a part of the log without its delay, and forgets the delays of the rest. */
+	/** Applies the log up to an offset without its delay, and removes all scheduled applications. */
 	private _applyNow(offset: number): void {
 		this._queue.clear();
 		this._applyUpTo(offset);
--- a/standins/endpoint/instance.test.ts
+++ b/standins/endpoint/instance.test.ts
@@ -22,7 +22,7 @@
 	return {host: name, port: 0};
 }
 
-/** Promotes an instance with the votes of others. */
+/** Raises the term on the voters, then promotes an instance. */
 function promote(group: InProcessGroup, term: number, name: string, voters: readonly string[]): void {
 	for (const voter of voters) {
 		expect(group.get(voter).raiseTerm(term, 'claim').isAccepted).toEqual(true);
@@ -32,7 +32,7 @@
 }
 
 describe('Instance', () => {
-	it('gives what it receives on at once, and applies it after the lag, in order', async () => {
+	it('receives entries at once, and applies them in order after the lag', async () => {
 		const group = await makeGroup({lag: {p50Ms: 50, p99Ms: 50}});
 		await group.clock.advance(100);
 		group.get('a').append([putKey('x')]);
@@ -46,7 +46,7 @@
 		expect(group.clock.pendingTimers).toEqual(0);
 	});
 
-	it('lags as its distribution says, also when it is busy', async () => {
+	it('lags according to its distribution, also under load', async () => {
 		const group = await makeGroup({lag: {p50Ms: 10, p99Ms: 100}});
 		const lags: number[] = [];
 		for (let step = 0; step < 10_000; step++) {
@@ -63,23 +63,23 @@
 		group.dispose();
 	});
 
-	it('takes term orders by the rules', async () => {
+	it('accepts and refuses raiseTerm, promote and follow according to the promised term and claim', async () => {
 		const group = await makeGroup();
 		const b = group.get('b');
 		const cases: ReadonlyArray<readonly [string, () => {isAccepted: boolean}, boolean]> = [
 			['a term that is not higher', () => b.raiseTerm(1, 'x'), false],
 			['promotion without a claim', () => b.promote(1, ''), false],
 			['a higher term', () => b.raiseTerm(3, 'x'), true],
-			['the same with the same claim', () => b.raiseTerm(3, 'x'), true],
-			['the same with another claim', () => b.raiseTerm(3, 'y'), false],
+			['the same term with the same claim', () => b.raiseTerm(3, 'x'), true],
+			['the same term with another claim', () => b.raiseTerm(3, 'y'), false],
 			['following a lower term', () => b.follow(2, addressOf('a')), false],
 			['promotion with another claim', () => b.promote(3, 'y'), false],
 			['promotion in another term', () => b.promote(4, 'x'), false],
-			['following that term', () => b.follow(3, addressOf('c')), true],
+			['following in that term', () => b.follow(3, addressOf('c')), true],
 			['promotion in a term that it follows', () => b.promote(3, 'x'), false],
 			['a higher term again', () => b.raiseTerm(4, 'z'), true],
 			['promotion', () => b.promote(4, 'z'), true],
-			['promotion once more', () => b.promote(4, 'z'), true],
+			['repeated promotion', () => b.promote(4, 'z'), true],
 			['following in its own term', () => b.follow(4, addressOf('c')), false],
 			['following a higher term', () => b.follow(5, addressOf('c')), true],
 		];
@@ -91,22 +91,22 @@
 		group.dispose();
 	});
 
-	it('fences a primary of a lower term, and its followers hear no more of it', async () => {
+	it('ends a stream from the primary once the follower promises a higher term, and fences the primary once it does', async () => {
 		const group = await makeGroup();
-		let steps = 0;
+		let stepDownCount = 0;
 		group.get('a').onStepDown(() => {
-			steps += 1;
+			stepDownCount += 1;
 		});
 		group.get('b').raiseTerm(2, 'x');
 		expect(group.get('a').append([putKey('kept')])?.term).toEqual(1);
 		await group.clock.advance(20);
 		expect([keysOf(group.get('b')), keysOf(group.get('c'))]).toEqual([[], ['kept']]);
 		group.get('a').raiseTerm(2, 'x');
-		expect([steps, group.get('a').append([putKey('refused')]), group.get('a').role]).toEqual([1, undefined, 'replica']);
+		expect([stepDownCount, group.get('a').append([putKey('refused')]), group.get('a').role]).toEqual([1, undefined, 'replica']);
 		group.dispose();
 	});
 
-	it('drops the part of a former primary that the new one does not have', async () => {
+	it('truncates the entries of a previous primary that the new one does not have', async () => {
 		const group = await makeGroup();
 		group.get('a').append([putKey('shared')]);
 		await group.clock.advance(20);
@@ -126,7 +126,7 @@
 		group.dispose();
 	});
 
-	it('comes up rebuilding after a restart and keeps its promise', async () => {
+	it('is rebuilding after a restart and keeps its term promise', async () => {
 		const group = await makeGroup({lag: {p50Ms: 5, p99Ms: 5}});
 		group.get('c').raiseTerm(2, 'x');
 		const restarted = group.restart('c');
@@ -142,7 +142,7 @@
 		group.dispose();
 	});
 
-	it('brings a follower that is too far behind up by a snapshot', async () => {
+	it('sends a snapshot to a follower that is too far behind', async () => {
 		const group = await makeGroup({logEntriesKept: 4});
 		group.get('c').raiseTerm(2, 'x');
 		for (let number = 0; number < 40; number++) {
@@ -157,22 +157,22 @@
 		group.dispose();
 	});
 
-	it('notices a primary that has fallen silent, and follows it again later', async () => {
+	it('detects a silent primary, and opens the stream again', async () => {
 		const group = await makeGroup({streamAliveMs: 100_000});
 		await group.clock.advance(800);
-		const seen: boolean[] = [];
+		const streamingStates: boolean[] = [];
 		group.get('b').onState(({isStreaming}) => {
-			if (seen.at(-1) !== isStreaming) {
-				seen.push(isStreaming);
+			if (streamingStates.at(-1) !== isStreaming) {
+				streamingStates.push(isStreaming);
 			}
 		});
 		await group.clock.advance(2000);
-		expect(new Set(seen)).toEqual(new Set([true, false]));
+		expect(new Set(streamingStates)).toEqual(new Set([true, false]));
 		group.dispose();
 	});
 });
 
-/** Random writes, cuts, restarts and promotions by the rules; fails when a confirmed write is lost. */
+/** Runs random writes, follow commands, restarts and rule-conforming promotions; fails if a confirmed write is lost. Returns the number of confirmed writes. */
 async function runRandomly(seed: number): Promise<number> {
 	const random = makeRandom(seed);
 	const group = await makeGroup({lag: {p50Ms: 3, p99Ms: 30}});
@@ -184,8 +184,8 @@
 
 	let election: {readonly term: number; readonly votes: Map<string, LogPosition>} | undefined;
 
-	/** One vote at a time, so that other things happen in between; the most advanced voter is promoted. */
-	const elect = (): void => {
+	/** Requests one vote, so that other actions happen between the votes. With a majority, the voter with the most advanced position is promoted. */
+	const requestVote = (): void => {
 		if (!election || random.next() < 0.1) {
 			term += 1;
 			election = {term, votes: new Map()};
@@ -204,7 +204,7 @@
 		}
 	};
 
-	const acts: ReadonlyArray<() => void> = [
+	const actions: ReadonlyArray<() => void> = [
 		() => {
 			const key = `k${written.length}`;
 			const position = pick([...[...group.instances.values()].filter(({isPrimary}) => isPrimary), group.get('a')]).append([putKey(key)]);
@@ -220,18 +220,18 @@
 		},
 		() => {
 			if (random.next() < 0.3) {
-				elect();
+				requestVote();
 			}
 		},
 		() => {
-			// One lost memory at a time is what a majority of three can stand.
+			// With three instances, a majority tolerates only one at a time that has lost its memory.
 			if (random.next() < 0.05 && [...group.instances.values()].every(({role}) => role !== 'rebuilding')) {
 				group.restart(pick(names));
 			}
 		},
 	];
 	for (let step = 0; step < 600; step++) {
-		pick(acts)();
+		pick(actions)();
 		await group.clock.advance(random.next() * 8);
 		for (const {key, position} of written) {
 			if (!confirmed.has(key) && group.isConfirmed(position)) {
@@ -239,8 +239,8 @@
 			}
 		}
 
-		const holders = [...group.instances.values()].filter(({isPrimary}) => isPrimary);
-		const newest = holders.toSorted((a, b) => b.received.term - a.received.term).at(0);
+		const primaries = [...group.instances.values()].filter(({isPrimary}) => isPrimary);
+		const newest = primaries.toSorted((a, b) => b.received.term - a.received.term).at(0);
 		const lost = newest ? [...confirmed].filter(([key, position]) => hasReached(newest.received, position) && !keysOf(newest).includes(key)) : [];
 		expect([seed, step, lost]).toEqual([seed, step, []]);
 	}
@@ -250,7 +250,7 @@
 }
 
 describe('A group of instances', () => {
-	it('never loses a confirmed write, whatever order things happen in', async () => {
+	it('never loses a confirmed write, in any order of events', async () => {
 		let confirmedCount = 0;
 		for (let seed = 1; seed <= 20; seed++) {
 			confirmedCount += await runRandomly(seed);
--- a/standins/endpoint/instance.ts
+++ b/standins/endpoint/instance.ts
@@ -1,7 +1,7 @@
 /**
  * One instance of a database group: log, term promise, role and replication.
  *
- * Free of the host: all time comes from the clock and all chance from the random source,
+ * It uses no API of the platform: time comes only from the clock and randomness only from the random source,
  * so that a whole group can run in one process on a virtual clock.
  */
 import {toDisposable, type Disposable} from '../../src/common/lifecycle/disposable.js';
@@ -21,15 +21,15 @@
 	Change, InstanceOptions, LagDistribution, PrimaryAddress, ReplicationConnector, StreamMessage, StreamRequest, StreamSink, TermPromise,
 } from './types.js';
 
-/** The core of one instance. */
+/** One instance, without listeners and SQL. */
 export class Instance implements Disposable {
 	readonly name: string;
 	readonly attachment = new Attachment();
-	/** Any part of the state has changed. */
+	/** Fires with the new state when any part of it has changed. */
 	readonly onState: Event<InstanceState>;
-	/** The promise has changed; a host stores it before any answer leaves. */
+	/** Fires with a new term promise; listeners must store it synchronously, before any response is sent. */
 	readonly onTermPromised: Event<TermPromise>;
-	/** It has stopped being primary: open write transactions must end. */
+	/** Fires when the instance stops being primary; open write transactions must end. */
 	readonly onStepDown: Event<void>;
 	private readonly _options: InstanceOptions;
 	private readonly _clock: Clock;
@@ -38,20 +38,20 @@
 	private readonly _content: InstanceContent;
 	private readonly _feeds = new Set<ReplicationFeed>();
 	private readonly _onState = new Emitter<InstanceState>();
-	private readonly _onPromise = new Emitter<TermPromise>();
+	private readonly _onTermPromised = new Emitter<TermPromise>();
 	private readonly _onStepDown = new Emitter<void>();
 	private _role: InstanceRole;
 	private _termPromise: TermPromise;
-	/** Term in which it was last told to follow: it can no longer be promoted in that one. */
+	/** Last term in which the instance followed a primary; it can no longer be promoted in that term. */
 	private _followedTerm = 0;
-	/** Offset at which a rebuilding instance has the whole log. */
+	/** Offset up to which a rebuilding instance must receive the log before it becomes a replica. */
 	private _rebuiltOffset: number | undefined;
 	private _link: ReplicationLink | undefined;
 
 	constructor(options: InstanceOptions, clock: Clock, random: Random, connector: ReplicationConnector) {
 		this.name = options.name;
 		this.onState = this._onState.event;
-		this.onTermPromised = this._onPromise.event;
+		this.onTermPromised = this._onTermPromised.event;
 		this.onStepDown = this._onStepDown.event;
 		this._lag = new LagSampler(options.lag, clock, random);
 		this._options = options;
@@ -64,7 +64,7 @@
 		this._termPromise = options.promise ?? {term: options.start === 'restart' ? 0 : 1, claimId: ''};
 	}
 
-	/** Distribution of the delay between receiving and applying. */
+	/** Distribution of the delay between receiving and applying entries. */
 	get lag(): LagDistribution {
 		return this._lag.distribution;
 	}
@@ -81,17 +81,17 @@
 		return this._role === 'primary';
 	}
 
-	/** What reads see: the tables with every applied entry. */
+	/** The tables with every applied entry, which is what reads see. */
 	get database(): Database {
 		return this._content.database;
 	}
 
-	/** Position of what reads see. */
+	/** Position up to which entries are applied. */
 	get applied(): LogPosition {
 		return this._content.applied;
 	}
 
-	/** End of the log. */
+	/** Position of the last entry in the log. */
 	get received(): LogPosition {
 		return this._content.log.end;
 	}
@@ -112,9 +112,9 @@
 		return [...this._feeds].map(feed => feed.follower);
 	}
 
-	/** Begins its work; kept apart from the constructor so that listeners are there first. */
+	/** Starts the instance. This is not part of the constructor so that listeners can be added first. */
 	start(): void {
-		this._onPromise.fire(this._termPromise);
+		this._onTermPromised.fire(this._termPromise);
 		if (this.isPrimary) {
 			this._appendTermStart();
 		} else if (this._options.start === 'replica' && this._options.initialPrimary) {
@@ -124,12 +124,12 @@
 		this._fireState();
 	}
 
-	/** Promises not to take part in any lower term; accepted if higher, or the same with the same claim. */
+	/** Promises not to take part in any lower term. Accepted if the term is higher than the promised one, or the same with the same claim. */
 	raiseTerm(term: number, claimId: string): TermClaim {
 		const isHigher = term > this._termPromise.term;
 		const isSame = term === this._termPromise.term && claimId === this._termPromise.claimId;
 		if (this._role === 'rebuilding' || claimId === '' || !(isHigher || isSame)) {
-			return this._answer(false);
+			return this._termClaim(false);
 		}
 
 		if (isHigher) {
@@ -139,14 +139,14 @@
 			this._fireState();
 		}
 
-		return this._answer(true);
+		return this._termClaim(true);
 	}
 
-	/** Becomes primary of the term that was promised to this claim. */
+	/** Becomes primary of a term; accepted only if that term was promised to this claim. */
 	promote(term: number, claimId: string): TermClaim {
 		const isPromised = claimId !== '' && term === this._termPromise.term && claimId === this._termPromise.claimId;
 		if (this._role === 'rebuilding' || !isPromised || this._followedTerm === term) {
-			return this._answer(false);
+			return this._termClaim(false);
 		}
 
 		if (!this.isPrimary) {
@@ -157,31 +157,31 @@
 			this._fireState();
 		}
 
-		return this._answer(true);
+		return this._termClaim(true);
 	}
 
-	/** Follows the primary of a term. */
+	/** Follows the primary of a term; refused if a higher term was promised, or if this instance is the primary of that term. */
 	follow(term: number, primary: PrimaryAddress): TermClaim {
 		const isOwnTerm = this.isPrimary && term === this._termPromise.term;
 		if (term < this._termPromise.term || isOwnTerm) {
-			return this._answer(false);
+			return this._termClaim(false);
 		}
 
 		if (term > this._termPromise.term) {
 			this._setTermPromise({term, claimId: ''});
 		}
 
-		this._stepDown('it follows another primary');
+		this._stepDown('the instance now follows another primary');
 		const isFollowing = this._link?.term === term && this._link.primary.host === primary.host && this._link.primary.port === primary.port;
 		if (!isFollowing) {
 			this._connect(term, primary);
 		}
 
 		this._fireState();
-		return this._answer(true);
+		return this._termClaim(true);
 	}
 
-	/** Adds one transaction to the log, if this is the primary; undefined if it is not. */
+	/** Appends one transaction to the log and returns its position; undefined if this instance is not the primary. */
 	append(changes: readonly Change[]): LogPosition | undefined {
 		if (!this.isPrimary) {
 			return undefined;
@@ -196,7 +196,7 @@
 		return position;
 	}
 
-	/** Sends the log to a follower until either side ends it. Ends at once if this is not the primary of that term. */
+	/** Streams the log to a follower until either side ends the stream. The stream ends at once if this instance is not the primary of the requested term. */
 	serve(request: StreamRequest, sink: StreamSink): Disposable {
 		if (!this.isPrimary || request.term !== this._termPromise.term) {
 			sink.end(`not the primary of term ${request.term}`);
@@ -215,20 +215,20 @@
 
 	dispose(): void {
 		this._disconnect();
-		this._endFeeds('the instance ended');
+		this._endFeeds('the instance was disposed');
 		this._content.dispose();
 		this._onState.dispose();
-		this._onPromise.dispose();
+		this._onTermPromised.dispose();
 		this._onStepDown.dispose();
 	}
 
-	private _answer(isAccepted: boolean): TermClaim {
+	private _termClaim(isAccepted: boolean): TermClaim {
 		return {isAccepted, state: this.state};
 	}
 
 	private _setTermPromise(promise: TermPromise): void {
 		this._termPromise = promise;
-		this._onPromise.fire(promise);
+		this._onTermPromised.fire(promise);
 	}
 
 	private _appendTermStart(): void {
--- a/standins/endpoint/lag-sampler.ts
+++ b/standins/endpoint/lag-sampler.ts
@@ -8,30 +8,30 @@
 /** The 99th percentile of the standard normal distribution. */
 const normalP99 = 2.326_347_874;
 
-/** One delay in milliseconds. */
+/** Draws one delay in milliseconds. */
 function drawLagMs(lag: LagDistribution, random: Random): number {
 	if (lag.p50Ms <= 0) {
 		return 0;
 	}
 
-	const spread = Math.log(Math.max(lag.p99Ms, lag.p50Ms) / lag.p50Ms) / normalP99;
-	if (spread === 0) {
+	const sigma = Math.log(Math.max(lag.p99Ms, lag.p50Ms) / lag.p50Ms) / normalP99;
+	if (sigma === 0) {
 		return lag.p50Ms;
 	}
 
-	return lag.p50Ms * Math.exp(spread * drawNormal(random));
+	return lag.p50Ms * Math.exp(sigma * drawNormal(random));
 }
 
-/** A standard normal value by the Box-Muller transform. */
+/** Draws a standard normal value with the Box-Muller transform. */
 function drawNormal(random: Random): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
 	return radius * Math.cos(2 * Math.PI * random.next());
 }
 
 /**
- * Delays that stay the same for a while. Entries are applied in order, so that a delay
- * drawn for each entry would make every entry wait for the longest one before it, and a
- * busy instance would lag far more than the distribution says.
+ * Samples application delays and keeps each sample for `lagRedrawMs`. Entries are applied in order, so with a
+ * new delay for each entry, every entry would wait for the longest delay before it, and an instance under load
+ * would lag far more than the distribution specifies.
  */
 export class LagSampler {
 	private readonly _clock: Clock;
@@ -50,13 +50,13 @@
 		return this._distribution;
 	}
 
-	/** Uses another distribution from now on. */
+	/** Replaces the distribution; the next delay is drawn from the new one. */
 	set distribution(distribution: LagDistribution) {
 		this._distribution = distribution;
 		this._drawnAtMs = Number.NEGATIVE_INFINITY;
 	}
 
-	/** Delay of what has been received now. */
+	/** Delay in milliseconds for entries that are received now. */
 	currentMs(): number {
 		const nowMs = this._clock.nowMs();
 		if (nowMs - this._drawnAtMs >= lagRedrawMs) {
--- a/standins/endpoint/make-random.ts
+++ b/standins/endpoint/make-random.ts
@@ -1,13 +1,13 @@
 /**
- * Randomness of one instance, from its seed.
+ * Seeded random numbers of one instance.
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import type {Random} from '../../src/common/services/services.js';
 
-/** The first values of the generator are alike for all small seeds; these are passed over. */
+/** The first values of the generator are similar for all small seeds, so they are discarded. */
 const discardedDraws = 20;
 
-/** The same seed gives the same sequence. */
+/** Creates a random source; the same seed gives the same sequence. */
 export function makeRandom(seed: number): Random {
 	const random = new SeededRandom(seed);
 	for (let index = 0; index < discardedDraws; index++) {
--- a/standins/endpoint/noop.ts
+++ b/standins/endpoint/noop.ts
@@ -1,8 +1,8 @@
 /**
- * A function for places where there is nothing to do.
+ * A function without effect, for callbacks that have nothing to do.
  */
 
 /** Does nothing. */
 export function noop(): void {
-	// That is its job.
+	// Intentionally empty.
 }
--- a/standins/endpoint/replication-feed.ts
+++ b/standins/endpoint/replication-feed.ts
@@ -1,5 +1,5 @@
 /**
- * The primary's side of one replication stream.
+ * The primary's side of one replication stream: chooses what to send to the follower.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {Clock} from '../../src/common/services/services.js';
@@ -10,20 +10,20 @@
 	Snapshot, StreamMessage, StreamRequest, StreamSink,
 } from './types.js';
 
-/** What one stream is for. */
+/** Options of one stream. */
 export type FeedOptions = {
 	readonly term: number;
 	readonly heartbeatMs: number;
 	readonly request: StreamRequest;
 };
 
-/** What is sent. */
+/** The content that is replicated. */
 export type FeedContent = {
 	readonly log: ReplicatedLog;
 	readonly database: Database;
 };
 
-/** Sends the log to one follower as fast as its sink takes it. */
+/** Sends the log to one follower as fast as its sink accepts messages. */
 export class ReplicationFeed implements Disposable {
 	readonly follower: string;
 	private readonly _term: number;
@@ -51,11 +51,11 @@
 		this.sendPending();
 	}
 
-	/** Sends what is new, unless the sink asked to wait. */
+	/** Sends the entries that were not sent yet, unless the sink applies backpressure. */
 	sendPending(): void {
 		while (!this._isBlocked && !this._isEnded && this._sentOffset < this._log.end.offset) {
 			if (this._sentOffset < this._log.droppedOffset) {
-				this.end('the follower fell behind the log that is kept');
+				this.end('the follower needs entries that the log no longer keeps');
 				return;
 			}
 
--- a/standins/endpoint/replication-link.ts
+++ b/standins/endpoint/replication-link.ts
@@ -1,5 +1,5 @@
 /**
- * The follower's side: keeps one stream to a primary open, and opens it again when it breaks.
+ * The follower's side of replication: keeps a stream from a primary open, and opens a new one when it ends.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {Clock} from '../../src/common/services/services.js';
@@ -7,23 +7,23 @@
 	InstanceOptions, PrimaryAddress, ReplicationConnector, StreamMessage, StreamRequest,
 } from './types.js';
 
-/** What a link tells its instance. */
+/** What a link needs of its instance, and reports to it. */
 export type ReplicationLinkListener = {
-	/** The request with the log's current end. */
+	/** Creates the request for a stream from the current end of the log. */
 	request(): StreamRequest;
 	receive(message: StreamMessage): void;
-	/** Whether the stream is alive has changed. */
+	/** Called when the stream becomes live or stops being so. */
 	onStreamingChange(isStreaming: boolean): void;
 };
 
-/** Whom a link follows, and how patiently. */
+/** The primary and the term that a link follows, with its timeouts. */
 export type ReplicationLinkOptions = {
 	readonly term: number;
 	readonly primary: PrimaryAddress;
 	readonly timing: Pick<InstanceOptions, 'streamRetryMs' | 'streamSilenceMs'>;
 };
 
-/** A link lasts until it is disposed; streams within it come and go. */
+/** A link lasts until it is disposed, and has at most one stream at a time. */
 export class ReplicationLink implements Disposable {
 	readonly term: number;
 	readonly primary: PrimaryAddress;
@@ -47,12 +47,12 @@
 		this._timing = target.timing;
 	}
 
-	/** Whether the primary was heard of lately on the current stream. */
+	/** Whether the current stream has started and has not been silent for too long. */
 	get isStreaming(): boolean {
 		return this._isStreaming;
 	}
 
-	/** Opens the first stream. */
+	/** Opens a stream. */
 	open(): void {
 		this._streamNumber += 1;
 		const number = this._streamNumber;
@@ -107,7 +107,7 @@
 		});
 	}
 
-	/** Looks at the silence from time to time, rather than setting a timer for each message. */
+	/** Checks for silence at intervals, which is cheaper than setting a timer for each message. */
 	private _watchForSilence(): void {
 		const number = this._streamNumber;
 		this._timer = this._clock.setTimer(this._timing.streamSilenceMs / 4, () => {
--- a/standins/endpoint/run-endpoints.ts
+++ b/standins/endpoint/run-endpoints.ts
@@ -8,17 +8,17 @@
 import {readSettings} from './settings.js';
 
 /**
- * Starts the endpoints that the arguments name, and says when each listens in one JSON line:
- * `{"ready":true,"name":..,"port":..,"controlPort":..}`.
+ * Starts the endpoints of the settings files in the arguments. Prints one JSON line to standard output when
+ * each of them listens: `{"ready":true,"name":..,"port":..,"controlPort":..}`.
  */
 export async function runEndpoints(argumentList: readonly string[], maximum = Number.POSITIVE_INFINITY): Promise<void> {
 	const command = new Command()
 		.requiredOption('--settings <file...>', 'settings file of an endpoint')
-		.option('--fresh', 'forget what was kept of an earlier run: this is a first start', false);
+		.option('--fresh', 'delete the stored term promise of an earlier run and start as for the first time', false);
 	command.parse([...argumentList], {from: 'user'});
 	const {settings, fresh} = command.opts<{settings: string[]; fresh: boolean}>();
 	if (settings.length > maximum) {
-		command.error('this program runs one endpoint; use host.js for several');
+		command.error('main.js runs a single endpoint; use host.js to run several');
 	}
 
 	const endpoints: Endpoint[] = [];
--- a/standins/endpoint/settings.ts
+++ b/standins/endpoint/settings.ts
@@ -18,7 +18,7 @@
 	port: z.int().min(1).max(65_535),
 });
 
-/** What the file may say. */
+/** Schema of a settings file; unknown keys are rejected. */
 export const settingsSchema = z.strictObject({
 	name: z.string().min(1),
 	group: z.string().min(1),
@@ -27,25 +27,25 @@
 	/** 0 for any free port. */
 	port: z.int().min(0).max(65_535).default(0),
 	controlPort: z.int().min(0).max(65_535).default(0),
-	/** Statements that run at one time. */
+	/** Maximum number of statements that run concurrently. */
 	slots: z.int().min(1).default(8),
-	/** Connections that are accepted, control connections included. */
+	/** Maximum number of accepted connections, control connections included and replication connections excluded. */
 	connections: z.int().min(1).default(100),
 	connectCostMs: z.number().min(0).default(10),
-	/** Time that each statement on data takes beside its own work. */
+	/** Time that each statement on data holds its slot in addition to its execution. */
 	serviceTimeMs: z.number().min(0).default(0),
 	/** Delay between receiving and applying log entries. */
 	lag: lagSchema.default(instanceDefaults.lag),
 	seed: z.int().default(1),
 	user: z.string().default('postgres'),
-	/** Without a password everyone is let in. */
+	/** Without a password, clients are not authenticated. */
 	password: z.string().optional(),
 	authentication: z.enum(['md5', 'cleartext']).default('md5'),
 	/** Name of the instance that is primary of term 1 at the first start; its own or a peer's. */
 	initialPrimary: z.string().default(''),
 	/** The other instances of the group. */
 	peers: z.array(peerSchema).default([]),
-	/** Where the promise is kept over a restart; relative to the settings file. Default: the settings file's name with `.promise`. */
+	/** File that keeps the term promise across restarts, relative to the settings file. Default: the name of the settings file with `.promise` appended. */
 	promiseFile: z.string().optional(),
 	lockTimeoutMs: z.number().min(1).default(statementDefaults.lockTimeoutMs),
 	logEntriesKept: z.int().min(1).default(instanceDefaults.logEntriesKept),
@@ -57,15 +57,15 @@
 /** Settings with defaults filled in. */
 export type EndpointSettings = z.infer<typeof settingsSchema>;
 
-/** Settings as a file or a test writes them. */
+/** Settings as a file or a test gives them, before defaults are filled in. */
 export type EndpointSettingsInput = z.input<typeof settingsSchema>;
 
-/** Reads and checks a settings file; throws with a text for people. */
+/** Reads and validates a settings file; throws an error with a readable message if it is invalid. */
 export function readSettings(file: string): EndpointSettings {
 	const errors: ParseError[] = [];
 	const content: unknown = parse(readFileSync(file, 'utf8'), errors, {allowTrailingComma: true});
 	if (errors.length > 0) {
-		throw new Error(`${file} is not JSON near byte ${errors[0].offset}`);
+		throw new Error(`${file}: invalid JSON at offset ${errors[0].offset}`);
 	}
 
 	const checked = settingsSchema.safeParse(content);
--- a/standins/endpoint/term-promise-file.ts
+++ b/standins/endpoint/term-promise-file.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps an instance's promise over a restart of its process, as a database keeps it on disk.
+ * Keeps the term promise of an instance across restarts of its process, as a database keeps it on disk.
  */
 import {
 	existsSync, readFileSync, renameSync, writeFileSync,
@@ -9,7 +9,7 @@
 
 const promiseSchema = z.object({term: z.int().min(0), claimId: z.string()});
 
-/** One small file, replaced as a whole before the promise is answered. */
+/** A file with one term promise. It is replaced atomically, before the response that carries the promise is sent. */
 export class TermPromiseFile {
 	private readonly _path: string;
 
@@ -17,7 +17,7 @@
 		this._path = path;
 	}
 
-	/** The stored promise; undefined at a first start. */
+	/** Reads the stored term promise; undefined if the file does not exist, which means a first start. */
 	read(): TermPromise | undefined {
 		return existsSync(this._path) ? promiseSchema.parse(JSON.parse(readFileSync(this._path, 'utf8'))) : undefined;
 	}
--- a/standins/endpoint/types.ts
+++ b/standins/endpoint/types.ts
@@ -4,7 +4,7 @@
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {LogPosition} from '../../src/common/positions/log-position.js';
 
-/** A value of SQL; undefined stands for NULL. Times and dates are canonical text. */
+/** A value in SQL; undefined stands for NULL. Times and dates are text in canonical form. */
 export type SqlValue = string | number | boolean | undefined;
 
 /** Values of one row, in the order of the table's columns. */
@@ -25,53 +25,53 @@
 	readonly default?: ColumnDefault;
 };
 
-/** What CREATE TABLE says. */
+/** Definition of a table, from CREATE TABLE. */
 export type TableDefinition = {
 	readonly name: string;
 	readonly columns: readonly ColumnDefinition[];
-	/** Indices of the primary key's columns; empty when rows have hidden numbers. */
+	/** Indices of the columns of the primary key; empty if the table has none and its rows are keyed by hidden numbers. */
 	readonly keyColumns: readonly number[];
 };
 
-/** A physical change: replaying changes in order gives the same tables everywhere. */
+/** A physical change: replaying the same changes in order gives the same tables on every instance. */
 export type Change
 	= | {readonly kind: 'put'; readonly table: string; readonly key: string; readonly row: Row}
 		| {readonly kind: 'remove'; readonly table: string; readonly key: string}
 		| {readonly kind: 'createTable'; readonly definition: TableDefinition}
 		| {readonly kind: 'dropTable'; readonly table: string};
 
-/** One committed transaction; an entry without changes opens a term. */
+/** One committed transaction; the first entry of a term has no changes. */
 export type LogEntry = {
 	readonly term: number;
 	readonly offset: number;
 	readonly changes: readonly Change[];
 };
 
-/** Where a term's entries begin in a log. */
+/** Offset at which the entries of a term begin in a log. */
 export type TermStart = {
 	readonly term: number;
 	readonly firstOffset: number;
 };
 
-/** Where a primary is reached. In-process networks may put the instance's name in `host`. */
+/** Address of a primary. In-process networks may put the name of the instance in `host`. */
 export type PrimaryAddress = {
 	readonly host: string;
 	readonly port: number;
 };
 
-/** What a follower tells the primary that it wants to follow. */
+/** Request of a follower to open a replication stream from a primary. */
 export type StreamRequest = {
 	readonly follower: string;
-	/** Term that the follower was told the primary has. */
+	/** Term of the primary, as given in the `follow` command. */
 	readonly term: number;
 	/** The follower's log: where each term begins, and its end. */
 	readonly terms: readonly TermStart[];
 	readonly end: LogPosition;
-	/** The follower cannot take back entries up to this offset. */
+	/** The follower no longer keeps entries up to this offset, and so cannot undo them. */
 	readonly droppedOffset: number;
 };
 
-/** The whole content of an instance, for a follower whose place is no longer in the log. */
+/** The whole content of an instance, for a follower that needs entries which the log no longer keeps. */
 export type Snapshot = {
 	readonly position: LogPosition;
 	readonly terms: readonly TermStart[];
@@ -83,19 +83,19 @@
 	= | {
 		readonly kind: 'start';
 		readonly term: number;
-		/** Length of the part that both logs share; the follower drops what comes after it. */
+		/** Last offset that the follower keeps: the end of the part that both logs share, or of the snapshot. The follower truncates its log after it. */
 		readonly keptOffset: number;
-		/** End of the primary's log at the start. */
+		/** End of the primary's log when the stream starts. */
 		readonly end: LogPosition;
 		readonly snapshot?: Snapshot;
 	}
 	| {readonly kind: 'entries'; readonly term: number; readonly entries: readonly LogEntry[]}
 	| {readonly kind: 'alive'; readonly term: number};
 
-/** The sending side of a stream; a promise asks the primary to wait before the next push. */
+/** The sending side of a stream. If `push` returns a promise, the primary waits for it before the next push. */
 export type StreamSink = {
 	push(message: StreamMessage): void | Promise<void>;
-	/** The primary ends the stream. */
+	/** Ends the stream from the side of the primary. */
 	end(reason: string): void;
 };
 
@@ -105,42 +105,42 @@
 	onEnd(reason: string): void;
 };
 
-/** Opens replication streams: over the wire, or straight to `Instance.serve` in one process. */
+/** Opens replication streams: over the wire, or by calling `Instance.serve` in the same process. */
 export type ReplicationConnector = {
 	connect(primary: PrimaryAddress, request: StreamRequest, receiver: StreamReceiver): Disposable;
 };
 
-/** Distribution of the time between receiving an entry and applying it (lognormal). */
+/** Lognormal distribution of the delay between receiving an entry and applying it. */
 export type LagDistribution = {
 	readonly p50Ms: number;
 	readonly p99Ms: number;
 };
 
-/** The promise of an instance; a host keeps it over a restart. */
+/** The term promise of an instance: it takes no part in lower terms. The process that runs the instance must keep it across restarts. */
 export type TermPromise = {
 	readonly term: number;
 	readonly claimId: string;
 };
 
-/** What one instance is made with. */
+/** Options of one instance. */
 export type InstanceOptions = {
 	readonly name: string;
 	/**
-	 * `primary` and `replica` are first starts in term 1. `restart` comes up rebuilding:
-	 * its memory is lost, but not its promise.
+	 * `primary` and `replica` are first starts in term 1. With `restart` the instance starts in the role
+	 * `rebuilding`: it has lost its log and tables, but not its term promise.
 	 */
 	readonly start: 'primary' | 'replica' | 'restart';
-	/** Promise kept over a restart. */
+	/** Term promise that was kept across the restart. */
 	readonly promise?: TermPromise;
-	/** Whom a first-start replica follows in term 1. */
+	/** Primary that a replica follows in term 1 after its first start. */
 	readonly initialPrimary?: PrimaryAddress;
 	readonly lag: LagDistribution;
-	/** Entries kept for followers; those further behind get a snapshot. */
+	/** Minimum number of applied entries that the log keeps for followers; a follower that is further behind may get a snapshot. */
 	readonly logEntriesKept: number;
-	/** Pause before a broken stream is opened again. */
+	/** Delay before a stream that ended is opened again. */
 	readonly streamRetryMs: number;
-	/** How often a primary that has nothing to send says that it lives. */
+	/** Interval of the heartbeats that a primary sends while it has nothing else to send. */
 	readonly streamAliveMs: number;
-	/** Silence after which a follower gives a stream up. */
+	/** Silence after which a follower closes a stream and opens a new one. */
 	readonly streamSilenceMs: number;
 };
