--- a/soak/processes/access-watch.test.ts
+++ b/soak/processes/access-watch.test.ts
@@ -4,7 +4,7 @@
 import type {Finding} from '../findings.js';
 import {AccessWatch} from './access-watch.js';
 
-/** More operations than any limit of the tight organisation allows in one window. */
+/** More operations than any limit of the first organisation allows in one window. */
 const tooMany = 500;
 
 describe('AccessWatch', () => {
@@ -13,7 +13,7 @@
 		const watch = new AccessWatch(system);
 		const findings: Finding[] = [];
 		for (const {id, caller, user} of runs) {
-			watch.noteSent(id, watch.callerOf(caller).organisation, id);
+			watch.recordSent(id, watch.callerOf(caller).organisation, id);
 			system.group.instances[0].recordRun(id, user);
 		}
 
@@ -23,12 +23,12 @@
 		return findings;
 	}
 
-	it('finds a statement that ran on the connection of another organisation, or of the node', () => {
+	it('finds a statement that ran on a connection of another organisation or of the node itself', () => {
 		const found = watchOf([{id: 'a', caller: 0, user: 'org-0'}, {id: 'b', caller: 1, user: 'org-0'}, {id: 'c', caller: 2, user: 'n1'}]);
 		expect(found.map(({promise}) => promise)).toEqual(['foreignConnection', 'foreignConnection']);
 	});
 
-	it('finds more operations than a limit allows, and none where there is no such limit', () => {
+	it('finds more operations than a low limit allows, and nothing for an organisation with a high limit', () => {
 		const ofCaller = (caller: number): Finding[] => watchOf(Array.from({length: tooMany}, (_, index) => ({id: `q${index}`, caller, user: `org-${caller}`})));
 		expect(ofCaller(0).map(({promise}) => promise)).toEqual(['usageExceeded']);
 		expect(ofCaller(1)).toEqual([]);
--- a/soak/processes/failed-seeds.ts
+++ b/soak/processes/failed-seeds.ts
@@ -1,17 +1,17 @@
 /**
- * Seeds that once showed a broken promise, and why. `--failed` plays them again.
+ * Seeds that have found a broken promise, and why. `--failed` runs them again.
  */
 
-/** A seed of the default plan that failed. */
+/** A seed of the default plan that has failed. */
 export type FailedSeed = {
 	readonly seed: number;
-	/** What was broken, and what mended it. */
+	/** What failed, and how it was fixed. */
 	readonly cause: string;
 };
 
-/** Every seed that ever failed, with two to three times as many busy processes on the machine as cores. */
+/** Every seed that has failed, on a machine with two to three times as many busy processes as cores. */
 export const failedSeeds: readonly FailedSeed[] = [
-	{seed: 501, cause: 'a promoting node acknowledged writes after it had fenced the replicas; it now voids its own leases first'},
+	{seed: 501, cause: 'a promoting node acknowledged writes after it had fenced the replicas; it now invalidates its own leases first'},
 	{seed: 502, cause: 'the same'},
-	{seed: 900, cause: 'a node that left served on and was not told of a fence; who promotes now tells those that leave'},
+	{seed: 900, cause: 'a leaving node went on serving and was not notified of a fence; the promoting node now notifies leaving nodes too'},
 ];
--- a/soak/processes/main.ts
+++ b/soak/processes/main.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded runs of real node processes: `npm run soak:processes -- --seed N --runs M`. Exit code 1
- * on a broken promise; the logs of such a run are kept.
+ * Seeded runs of real node processes: `npm run soak:processes -- --seed N --runs M`. The exit code
+ * is 1 if a promise was broken; the logs of such a run are kept.
  */
 import process from 'node:process';
 import {Command} from 'commander';
@@ -21,36 +21,36 @@
 	readonly restores: boolean;
 };
 
-/** Findings of one kind that are printed of one run: one fault breaks the same promise to many callers. */
-const shownFindings = 5;
+/** Maximum number of findings printed per promise and run: one fault often breaks the same promise to many callers. */
+const maximumPrintedFindings = 5;
 
 const {
-	seed, runs, failed: playsFailed, restores, only, ...plan
+	seed, runs, failed: runsFailedSeeds, restores, only, ...plan
 } = new Command('soak:processes')
-	.description('Randomised runs of node processes under faults from outside, judged from the callers\' view')
+	.description('Randomised runs of node processes under faults from outside, checked from the callers\' point of view')
 	.option('--seed <number>', 'first seed', Number, 1)
 	.option('--runs <number>', 'number of seeds', Number, 1)
-	.option('--failed', 'play the seeds that once failed in place of others', false)
+	.option('--failed', 'run the seeds that have failed instead of others', false)
 	.option('--nodes <number>', 'node processes', Number, 5)
-	.option('--callers <number>', 'callers at one time', Number, 8)
-	.option('--faults <number>', 'faults of one chain', Number, 6)
+	.option('--callers <number>', 'concurrent callers', Number, 8)
+	.option('--faults <number>', 'faults in each chain', Number, 6)
 	.option('--only <names...>', 'faults to choose from', Object.keys(processFaults))
-	.option('--restores', 'among them, have the store come back from older copies', false)
-	.option('--chains <number>', 'chains of faults at one time', Number, 2)
+	.option('--restores', 'also choose from the faults that restore the store from older snapshots', false)
+	.option('--chains <number>', 'concurrent chains of faults', Number, 2)
 	.option('--access-changes <number>', 'changes of organisations\' keys and limits; without any, callers need no key', Number, 0)
 	.parse()
 	.opts<Options>();
 
-const seeds = playsFailed ? failedSeeds.map(entry => entry.seed) : Array.from({length: runs}, (_, run) => seed + run);
+const seeds = runsFailedSeeds ? failedSeeds.map(entry => entry.seed) : Array.from({length: runs}, (_, run) => seed + run);
 let failed = 0;
-for (const played of seeds) {
-	const {findings, answers, faults, promotions, folder} = await runProcesses({...plan, seed: played, only: [...only, ...(restores ? Object.keys(restoreFaults) : [])]});
+for (const runSeed of seeds) {
+	const {findings, answers, faults, promotions, folder} = await runProcesses({...plan, seed: runSeed, only: [...only, ...(restores ? Object.keys(restoreFaults) : [])]});
 	const counts = [...faults, ...answers].map(([what, count]) => `${what} ${count}`).join(', ');
-	console.log(`seed ${played}: ${findings.length} findings, ${promotions} promotions; ${counts}`);
+	console.log(`seed ${runSeed}: ${findings.length} findings, ${promotions} promotions; ${counts}`);
 	for (const promise of new Set(findings.map(finding => finding.promise))) {
 		const ofPromise = findings.filter(finding => finding.promise === promise);
 		console.log(`  ${promise}: ${ofPromise.length} (logs: ${folder})`);
-		for (const {detail} of ofPromise.slice(0, shownFindings)) {
+		for (const {detail} of ofPromise.slice(0, maximumPrintedFindings)) {
 			console.log(`    ${detail}`);
 		}
 	}
--- a/soak/processes/owned-item.test.ts
+++ b/soak/processes/owned-item.test.ts
@@ -29,13 +29,13 @@
 	for (const {outcomes, shown, found} of cases) {
 		it(`finds ${found.join(', ') || 'nothing'} where ${shown} is read after ${outcomes.join(', ') || 'no write'}`, () => {
 			const {item, findings} = itemWith(...outcomes);
-			item.check(shown, item.least(0), 'a reader');
+			item.check(shown, item.minimumValue(0), 'a reader');
 			expect(findings.map(({promise}) => promise)).toEqual([...found]);
 		});
 	}
 
-	it('asks of aged reads only what was acknowledged that long ago', () => {
+	it('requires of a read with a maximum age only what was acknowledged at least that long ago', () => {
 		const {item} = itemWith('acknowledged');
-		expect(item.least(60_000)).toEqual(0);
+		expect(item.minimumValue(60_000)).toEqual(0);
 	});
 });
--- a/soak/processes/process-faults.ts
+++ b/soak/processes/process-faults.ts
@@ -1,5 +1,5 @@
 /**
- * What is done to a running system from outside, each undone before it resolves.
+ * Faults that are injected into a running system from outside. Each one is undone before its promise resolves.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import type {Random} from '../../src/common/services/services.js';
@@ -9,27 +9,27 @@
 import {defaultPromotionBehaviour} from '../../standins/line/processes/line-system.js';
 import type {NodeProcess} from '../../standins/line/processes/node-process.js';
 
-/** A fault: begins, lasts, and is undone. */
-type Fault = (system: LineSystem, dice: Dice) => Promise<void>;
+/** Injects a fault, waits for its duration and undoes it. */
+type Fault = (system: LineSystem, random: RandomChoices) => Promise<void>;
 
-/** Longest time of one fault, in milliseconds: beyond the time in which a silent primary is replaced. */
-const longestMs = 4000;
+/** Maximum duration of one fault, in milliseconds: longer than it takes to replace a silent primary. */
+const maximumFaultMs = 4000;
 
-/** Answers of writes that the store loses at one time. */
-const lostAnswers = 2;
+/** Number of writes whose answers the store loses in one fault; the writes take effect. */
+const lostWriteAnswers = 2;
 
-/** Longest delay of an answer to an order, or of its effect: beyond the time for which a node waits. */
-const longestOrderMs = 3000;
+/** Maximum delay of the answer to a promotion command, or of its effect, in milliseconds: longer than a node waits for it. */
+const maximumCommandDelayMs = 3000;
 
-/** Oldest copy from which the store comes back, and how long it is away before, in milliseconds. */
-const oldestCopyMs = 8000;
-const storeAwayMs = 1500;
+/** Maximum age of the snapshot from which the store is restored, and maximum time for which it is unavailable before, in milliseconds. */
+const maximumSnapshotAgeMs = 8000;
+const maximumStoreOutageMs = 1500;
 
-/** Longest time until operators and instances have written again what the store lost. */
-const writtenAgainMs = 2000;
+/** Maximum time until operators and instances rewrite what the store lost, in milliseconds. */
+const maximumRewriteDelayMs = 2000;
 
-/** Random choices of one run. */
-export class Dice {
+/** Seeded random choices of one chain of faults. */
+export class RandomChoices {
 	private readonly _random: Random;
 
 	constructor(random: Random) {
@@ -40,48 +40,51 @@
 		return choices[Math.floor(this._random.next() * choices.length)];
 	}
 
-	/** A part between none and all of a time. */
+	/** A random share, between none and all, of a time in milliseconds. */
 	partOf(timeMs: number): number {
 		return timeMs * this._random.next();
 	}
 
-	/** A time that covers most promotions: between half of the longest and the longest. */
-	longMs(): number {
-		return longestMs * (0.5 + (0.5 * this._random.next()));
+	/** A duration that outlasts most promotions: between half of the maximum and the maximum, in milliseconds. */
+	longDurationMs(): number {
+		return maximumFaultMs * (0.5 + (0.5 * this._random.next()));
 	}
 
-	/** A time between a tenth of the longest and the longest. */
+	/** A duration between a tenth of the maximum and the maximum, in milliseconds. */
 	durationMs(): number {
-		return longestMs * (0.1 + (0.9 * this._random.next()));
+		return maximumFaultMs * (0.1 + (0.9 * this._random.next()));
 	}
 }
 
-const answers: ReadonlyArray<PromotionBehaviour['answer']> = ['given', 'given', 'lost', 'denied'];
+const promotionAnswers: ReadonlyArray<PromotionBehaviour['answer']> = ['given', 'given', 'lost', 'denied'];
 
-/** What a zone's cut looks like to those who connect across it. */
-const cutModes: readonly ProxyMode[] = ['silent', 'refuse'];
+/** How connections across the border of a partitioned zone behave. */
+const zoneCutModes: readonly ProxyMode[] = ['silent', 'refuse'];
 
-/** Faults that have the primary replaced. */
-const replacing = ['cutZone', 'cutZone', 'crashInstance'] as const;
+/** Faults through which the primary may have to be replaced. */
+const primaryLossFaults = ['cutZone', 'cutZone', 'crashInstance'] as const;
 
-const instanceModes: readonly ProxyMode[] = ['slow', 'silent', 'cutToServer', 'cutToCaller', 'refuse'];
+const linkFaultModes: readonly ProxyMode[] = ['slow', 'silent', 'cutToServer', 'cutToCaller', 'refuse'];
 
-/** Faults by name. Those that take an instance or a node away hold it, so that two never take the last one. */
+/**
+ * Faults by name. `crashInstance` and `restartReplica` do nothing unless every instance is up, so
+ * that overlapping chains don't stop the last one.
+ */
 export const processFaults: Readonly<Record<string, Fault>> = {
-	async killNode(system, dice) {
-		const node = dice.pick(system.nodes);
+	async killNode(system, random) {
+		const node = random.pick(system.nodes);
 		await node.end('SIGKILL');
 		await restart(node);
 	},
-	async stopNode(system, dice) {
-		const node = dice.pick(system.nodes);
+	async stopNode(system, random) {
+		const node = random.pick(system.nodes);
 		await node.end('SIGTERM');
 		await restart(node);
 	},
-	async pauseNode(system, dice) {
-		const node = dice.pick(system.nodes);
+	async pauseNode(system, random) {
+		const node = random.pick(system.nodes);
 		node.signal('SIGSTOP');
-		await pause(dice.durationMs());
+		await pause(random.durationMs());
 		node.signal('SIGCONT');
 	},
 	async rollNodes(system) {
@@ -91,151 +94,153 @@
 			await node.waitUntilReady();
 		}
 	},
-	async crashInstance(system, dice) {
-		const standing = system.group.instances.filter(({isUp}) => isUp);
-		if (standing.length < system.group.instances.length) {
+	async crashInstance(system, random) {
+		const running = system.group.instances.filter(({isUp}) => isUp);
+		if (running.length < system.group.instances.length) {
 			return;
 		}
 
-		// Primaries are lost more often than chance would have it: more depends on them.
-		const {id} = dice.pick([...standing, ...standing.filter(({isPrimary}) => isPrimary)]);
+		// Each primary is listed twice, so that it crashes more often than a replica: more depends on it.
+		const {id} = random.pick([...running, ...running.filter(({isPrimary}) => isPrimary)]);
 		system.crash(id);
-		await pause(dice.durationMs());
+		await pause(random.durationMs());
 		system.restartWithLog(id);
 	},
-	/** Replicas only: writes that none had confirmed are lost with a primary's memory, as docs/PROOFS.md says. */
-	async restartReplica(system, dice) {
-		const whole = system.group.instances.filter(({isUp, isIsolated, isReplicationBlocked}) => isUp && !isIsolated && !isReplicationBlocked);
-		if (whole.length === system.group.instances.length) {
-			system.restartEmpty(dice.pick(whole.filter(({isPrimary}) => !isPrimary)).id);
+	/** Restarts replicas only: a primary that loses its memory loses the writes that no replica had confirmed, as docs/PROOFS.md says. */
+	async restartReplica(system, random) {
+		const healthy = system.group.instances.filter(({isUp, isIsolated, isReplicationBlocked}) => isUp && !isIsolated && !isReplicationBlocked);
+		if (healthy.length === system.group.instances.length) {
+			system.restartEmpty(random.pick(healthy.filter(({isPrimary}) => !isPrimary)).id);
 		}
 	},
-	async disturbInstance(system, dice) {
-		const {id} = dice.pick(system.group.instances);
-		await disturb(system.links.filter(({to}) => to === id), dice.pick(instanceModes), dice.durationMs());
+	async disturbInstance(system, random) {
+		const {id} = random.pick(system.group.instances);
+		await injectLinkFault(system.links.filter(({to}) => to === id), random.pick(linkFaultModes), random.durationMs());
 	},
-	async disturbLink(system, dice) {
-		await disturb([dice.pick(system.links)], dice.pick(instanceModes), dice.durationMs());
+	async disturbLink(system, random) {
+		await injectLinkFault([random.pick(system.links)], random.pick(linkFaultModes), random.durationMs());
 	},
-	async resetConnections(system, dice) {
-		const {to} = dice.pick(system.links);
+	async resetConnections(system, random) {
+		const {to} = random.pick(system.links);
 		for (const {proxy} of system.links.filter(link => link.to === to)) {
 			proxy.reset();
 		}
 	},
-	async cutPlatform(system, dice) {
-		const link = dice.pick(system.links.filter(({kind}) => kind === 'platform'));
-		await disturb([link], dice.pick(['silent', 'cutToCaller', 'refuse'] as const), dice.durationMs());
+	async cutPlatform(system, random) {
+		const link = random.pick(system.links.filter(({kind}) => kind === 'platform'));
+		await injectLinkFault([link], random.pick(['silent', 'cutToCaller', 'refuse'] as const), random.durationMs());
 	},
-	/** Everything of one zone is alone with itself; its callers still reach it. */
-	async cutZone(system, dice) {
+	/** Cuts one zone off from the others and from the platform; callers still reach its nodes. */
+	async cutZone(system, random) {
 		const {instances} = system.group;
-		const instance = dice.pick([...instances, ...instances.filter(({isPrimary}) => isPrimary)]);
+		const instance = random.pick([...instances, ...instances.filter(({isPrimary}) => isPrimary)]);
 		if (instance.isIsolated) {
 			return;
 		}
 
 		instance.isIsolated = true;
-		await disturb(system.linksAcross(system.zoneOf(instance.id)), dice.pick(cutModes), dice.longMs());
+		await injectLinkFault(system.linksAcross(system.zoneOf(instance.id)), random.pick(zoneCutModes), random.longDurationMs());
 		instance.isIsolated = false;
 	},
-	async deafenReplica(system, dice) {
-		const replica = dice.pick(system.group.instances.filter(({isPrimary}) => !isPrimary));
+	async deafenReplica(system, random) {
+		const replica = random.pick(system.group.instances.filter(({isPrimary}) => !isPrimary));
 		if (replica.isReplicationBlocked) {
 			return;
 		}
 
 		replica.isReplicationBlocked = true;
 		replica.missesPromotions = true;
-		// Longer than a zone's cut: it may be the last to hear of a new term.
-		await pause(2 * dice.longMs());
+		// At least as long as any cut of a zone, so that this replica may be the last to learn of a new term.
+		await pause(2 * random.longDurationMs());
 		replica.isReplicationBlocked = false;
 		replica.missesPromotions = false;
 	},
-	async cutZoneBesideDeafReplica(system, dice) {
-		await Promise.all([processFaults.deafenReplica(system, dice), processFaults.cutZone(system, dice)]);
+	async cutZoneBesideDeafReplica(system, random) {
+		await Promise.all([processFaults.deafenReplica(system, random), processFaults.cutZone(system, random)]);
 	},
-	async disturbPromotions(system, dice) {
-		const conduct = {answer: dice.pick(answers), answerMs: dice.partOf(longestOrderMs), effectMs: dice.partOf(longestOrderMs)};
-		system.promotionBehaviour = conduct;
-		await processFaults[dice.pick(replacing)](system, dice);
+	async disturbPromotions(system, random) {
+		const behaviour = {answer: random.pick(promotionAnswers), answerMs: random.partOf(maximumCommandDelayMs), effectMs: random.partOf(maximumCommandDelayMs)};
+		system.promotionBehaviour = behaviour;
+		await processFaults[random.pick(primaryLossFaults)](system, random);
 		system.promotionBehaviour = defaultPromotionBehaviour;
-		// What was ordered has taken effect before this fault counts as undone.
-		await pause(conduct.effectMs);
+		// A promotion that was commanded takes effect before this fault counts as undone.
+		await pause(behaviour.effectMs);
 	},
-	/** The node that promotes is gone or stands still right after it took the duty or ordered. */
-	async loseActingNode(system, dice) {
-		const acting = system.nextPromotionStep(dice.pick(['duty', 'order'] as const));
-		const isKilled = dice.pick([true, false]);
-		const stoppedMs = dice.durationMs();
-		const replaced = processFaults[dice.pick(replacing)](system, dice);
-		const node = await Promise.race([acting, replaced.then(() => undefined)]);
+	/** Kills or pauses the promoting node right after it acquired the promotion lease or sent the promotion command. */
+	async loseActingNode(system, random) {
+		const nextStep = system.nextPromotionStep(random.pick(['duty', 'order'] as const));
+		const isKilled = random.pick([true, false]);
+		const pausedMs = random.durationMs();
+		const failover = processFaults[random.pick(primaryLossFaults)](system, random);
+		const node = await Promise.race([nextStep, failover.then(() => undefined)]);
 		if (node && isKilled) {
 			await node.end('SIGKILL');
 			await restart(node);
 		} else if (node) {
 			node.signal('SIGSTOP');
-			await pause(stoppedMs);
+			await pause(pausedMs);
 			node.signal('SIGCONT');
 		}
 
-		await replaced;
+		await failover;
 	},
-	async storeAway(system, dice) {
+	async storeAway(system, random) {
 		system.store.isUnavailable = true;
-		await pause(dice.durationMs());
+		await pause(random.durationMs());
 		system.store.isUnavailable = false;
 	},
 	async storeForgets(system) {
-		system.store.writeAnswersToLose = lostAnswers;
+		system.store.writeAnswersToLose = lostWriteAnswers;
 		system.store.dropHistory();
 		system.configure();
 	},
 };
 
-/** The store comes back from an older copy. Kept apart, so that seeds of the others stay what they are. */
+/** Faults that restore the store from an older snapshot, in a table of their own so that a seed still selects the same faults from the other table. */
 export const restoreFaults: Readonly<Record<string, Fault>> = {
-	/** A copy is up to some seconds old; at times the store comes back from it twice, or while a node acts. */
-	async restoreStore(system, dice) {
-		const copy = system.store.takeSnapshot();
-		await pause(dice.partOf(oldestCopyMs));
-		await restoreFrom(copy, system, dice);
-		if (dice.pick([true, false, false])) {
-			await restoreFrom(copy, system, dice);
+	/** Restores the store from a snapshot that is up to `maximumSnapshotAgeMs` old, at times twice from the same one. */
+	async restoreStore(system, random) {
+		const snapshot = system.store.takeSnapshot();
+		await pause(random.partOf(maximumSnapshotAgeMs));
+		await restoreSnapshot(snapshot, system, random);
+		if (random.pick([true, false, false])) {
+			await restoreSnapshot(snapshot, system, random);
 		}
 	},
-	async restoreStoreInPromotion(system, dice) {
-		const copy = system.store.takeSnapshot();
-		const acting = system.nextPromotionStep(dice.pick(['duty', 'order'] as const));
-		const replaced = processFaults[dice.pick(replacing)](system, dice);
-		const node = await Promise.race([acting, replaced.then(() => undefined)]);
-		const restored = restoreFrom(copy, system, dice);
-		if (node && dice.pick([true, false, false])) {
+	/** Restores the store while a node promotes, and at times kills that node. */
+	async restoreStoreInPromotion(system, random) {
+		const snapshot = system.store.takeSnapshot();
+		const nextStep = system.nextPromotionStep(random.pick(['duty', 'order'] as const));
+		const failover = processFaults[random.pick(primaryLossFaults)](system, random);
+		const node = await Promise.race([nextStep, failover.then(() => undefined)]);
+		const restored = restoreSnapshot(snapshot, system, random);
+		if (node && random.pick([true, false, false])) {
 			await node.end('SIGKILL');
 			await restart(node);
 		}
 
-		await Promise.all([replaced, restored]);
+		await Promise.all([failover, restored]);
 	},
-	async startNodeInRestore(system, dice) {
-		const copy = system.store.takeSnapshot();
-		await pause(dice.partOf(oldestCopyMs));
-		const node = dice.pick(system.nodes);
+	/** Restores the store while a node is killed and started again. */
+	async startNodeInRestore(system, random) {
+		const snapshot = system.store.takeSnapshot();
+		await pause(random.partOf(maximumSnapshotAgeMs));
+		const node = random.pick(system.nodes);
 		await Promise.all([
-			restoreFrom(copy, system, dice),
+			restoreSnapshot(snapshot, system, random),
 			node.end('SIGKILL').then(async () => restart(node)),
 		]);
 	},
 };
 
-/** Every fault. */
+/** All faults by name. */
 export const allFaults: Readonly<Record<string, Fault>> = {...processFaults, ...restoreFaults};
 
-async function restoreFrom(copy: StoreSnapshot, system: LineSystem, dice: Dice): Promise<void> {
-	await system.restoreStore(copy, {awayMs: dice.partOf(storeAwayMs), againMs: dice.partOf(writtenAgainMs)});
+async function restoreSnapshot(snapshot: StoreSnapshot, system: LineSystem, random: RandomChoices): Promise<void> {
+	await system.restoreStore(snapshot, {awayMs: random.partOf(maximumStoreOutageMs), againMs: random.partOf(maximumRewriteDelayMs)});
 }
 
-async function disturb(links: readonly ProxiedLink[], mode: ProxyMode, forMs: number): Promise<void> {
+async function injectLinkFault(links: readonly ProxiedLink[], mode: ProxyMode, durationMs: number): Promise<void> {
 	const undo = links.map(({proxy}) => proxy.injectFault(mode));
 	if (mode === 'refuse') {
 		for (const {proxy} of links) {
@@ -243,13 +248,13 @@
 		}
 	}
 
-	await pause(forMs);
-	for (const end of undo) {
-		end();
+	await pause(durationMs);
+	for (const undoFault of undo) {
+		undoFault();
 	}
 }
 
-/** Starts a node again a moment after it ended, as a platform does. */
+/** Starts a node again 100 ms after it ended, as a platform does. */
 async function restart(node: NodeProcess): Promise<void> {
 	await pause(100);
 	await node.start();
--- a/soak/processes/process-run.test.ts
+++ b/soak/processes/process-run.test.ts
@@ -4,18 +4,18 @@
 import type {ProcessPlan} from './process-run.js';
 import {runProcesses} from './process-run.js';
 
-/** Seeds that are always run. Those that ever failed stay, with a line on what it was. */
+/** Seeds that are always run. A seed that has failed stays in the list, with a comment on the cause. */
 const seeds = [1];
 
-/** Faults that leave a primary behind while its term is replaced, and a seed in which they showed an acknowledgement at it. */
+/** Faults in which an old primary misses the change of term, and a seed with which a replaced primary could acknowledge a write. */
 const replacement = {seed: 122, only: ['cutZoneBesideDeafReplica', 'disturbPromotions', 'loseActingNode']} as const;
 
-/** Keys that are taken away and given back, and a limit that changes, beside faults. */
+/** Keys that are revoked and restored, and a limit that changes, while faults are injected. */
 const organisations: ProcessPlan = {
 	seed: 3, nodes: 5, callers: 6, faults: 4, chains: 1, only: Object.keys(processFaults), accessChanges: 3,
 };
 
-/** The store comes back from older copies, also while a promotion is on its way and while a node starts. */
+/** Restores of the store from older snapshots, also while a promotion is in progress and while a node starts. */
 const restores: ProcessPlan = {
 	seed: 5, nodes: 5, callers: 6, faults: 4, chains: 2, only: [...Object.keys(restoreFaults), 'cutZoneBesideDeafReplica', 'killNode'], accessChanges: 0,
 };
@@ -31,7 +31,7 @@
 		});
 	}
 
-	it(`acknowledges nothing at a primary that was replaced with seed ${replacement.seed}`, async () => {
+	it(`acknowledges nothing at a replaced primary with seed ${replacement.seed}`, async () => {
 		const {findings} = await runProcesses({
 			...replacement, nodes: 5, callers: 8, faults: 4, chains: 2, accessChanges: 0,
 		});
@@ -44,7 +44,7 @@
 		expect((answers.get('written') ?? 0) > 0).toEqual(true);
 	});
 
-	it(`keeps every promise before a store that comes back from older copies with seed ${restores.seed}`, async () => {
+	it(`keeps every promise while the store is restored from older snapshots with seed ${restores.seed}`, async () => {
 		const {findings, answers} = await runProcesses(restores);
 		expect(findings).toEqual([]);
 		expect((answers.get('written') ?? 0) > 0).toEqual(true);
--- a/soak/processes/process-run.ts
+++ b/soak/processes/process-run.ts
@@ -1,6 +1,6 @@
 /**
- * One seeded run of real node processes under faults from outside, judged by what callers
- * and instances saw. The seed decides what happens; when exactly, the machine does.
+ * One seeded run of real node processes under faults from outside, checked against what callers
+ * and instances observed. The seed decides what happens; its exact timing depends on the machine.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
@@ -10,49 +10,49 @@
 import {databases, LineSystem} from '../../standins/line/processes/line-system.js';
 import type {NodeProcess} from '../../standins/line/processes/node-process.js';
 import {AccessWatch} from './access-watch.js';
-import {allFaults, Dice} from './process-faults.js';
+import {allFaults, RandomChoices} from './process-faults.js';
 import {SoakCaller} from './soak-caller.js';
 
-/** What one run does. */
+/** Size, load and faults of one run. */
 export type ProcessPlan = {
 	readonly seed: number;
 	readonly nodes: number;
 	readonly callers: number;
-	/** Number of faults in each chain; chains overlap. */
+	/** Number of faults in each chain; chains run concurrently. */
 	readonly faults: number;
 	readonly chains: number;
 	/** Names of the faults to choose from. */
 	readonly only: readonly string[];
-	/** Changes of organisations' keys and limits meanwhile; with none, callers need no key. */
+	/** Number of changes to organisations' keys and limits during the faults; with 0, callers need no key. */
 	readonly accessChanges: number;
 };
 
-/** What one run showed. */
+/** Findings and counts of one run. */
 export type ProcessResult = {
 	readonly findings: readonly Finding[];
 	readonly answers: ReadonlyMap<string, number>;
 	readonly faults: ReadonlyMap<string, number>;
 	readonly promotions: number;
-	/** Where the logs are, if something was found. */
+	/** Folder with the logs if there are findings, else empty. */
 	readonly folder: string;
 };
 
-/** Time with load and no fault, at the end, and pauses between faults, in milliseconds. */
+/** Time with load but without faults at the end, and pause after each fault, in milliseconds. */
 const timesMs = {calm: 1500, pause: 300} as const;
 
-/** Time between two tries of a last read, in milliseconds. */
-const retryMs = 250;
+/** Time between two attempts of a final read, in milliseconds. */
+const retryIntervalMs = 250;
 
-/** How often a last read or write is tried, that far apart, before the system counts as not recovered. */
-const recoveryTries = 120;
+/** Maximum attempts of a final read before the system counts as not recovered. */
+const maximumRecoveryAttempts = 120;
 
-/** The same for a database that is added after the last fault. */
-const configurationTries = 40;
+/** Maximum attempts to read, over one node, a database that was added after the last fault. */
+const maximumConfigurationAttempts = 40;
 
-/** Name of that database. */
+/** Name of the database that is added after the last fault. */
 const lastDatabase = 'db-last';
 
-/** Runs a plan to its end. */
+/** Runs a plan to its end and checks every promise to callers. */
 export async function runProcesses(plan: ProcessPlan): Promise<ProcessResult> {
 	const findings: Finding[] = [];
 	const report = (finding: Finding): void => {
@@ -67,21 +67,21 @@
 		const callers = startCallers(system, {
 			plan, report, writes, access,
 		});
-		const ending = new AbortController();
-		const working = callers.map(async caller => caller.run(ending.signal));
-		const [faults] = await Promise.all([injectFaults(system, plan), access?.disturb(accessDice(plan), plan.accessChanges)]);
+		const stopping = new AbortController();
+		const callerRuns = callers.map(async caller => caller.run(stopping.signal));
+		const [faults] = await Promise.all([injectFaults(system, plan), access?.changeAccess(accessChoices(plan), plan.accessChanges)]);
 		system.addDatabase(lastDatabase);
 		await pause(timesMs.calm);
-		ending.abort();
-		await Promise.all(working);
+		stopping.abort();
+		await Promise.all(callerRuns);
 		await checkConfiguration(system, report, access?.callerOf(1).key);
 		await checkItems(system, callers, report, access?.callerOf(1).key);
-		checkRuns(system, writes, report);
+		checkWriteEffects(system, writes, report);
 		checkPromotions(system, report);
-		checkAcknowledged(system, writes, report);
+		checkAcknowledgements(system, writes, report);
 		access?.check(report);
 		return {
-			findings, faults, answers: sumOf(callers), promotions: system.ordered.length, folder: findings.length > 0 ? system.folder : '',
+			findings, faults, answers: sumCounts(callers), promotions: system.ordered.length, folder: findings.length > 0 ? system.folder : '',
 		};
 	} finally {
 		await system.stop(findings.length > 0);
@@ -95,11 +95,11 @@
 	readonly access: AccessWatch | undefined;
 };
 
-/** Chains of faults have smaller numbers, so that a seed's faults are the same with organisations and without. */
-const accessChain = 99;
+/** Chain number of the access changes; chains of faults have smaller ones, so that a seed's faults are the same with organisations and without. */
+const accessChainNumber = 99;
 
-function accessDice({seed}: ProcessPlan): Dice {
-	return new Dice(new SeededRandom((seed * 100) + accessChain));
+function accessChoices({seed}: ProcessPlan): RandomChoices {
+	return new RandomChoices(new SeededRandom((seed * 100) + accessChainNumber));
 }
 
 function startCallers(system: LineSystem, {plan, report, writes, access}: CallerParts): SoakCaller[] {
@@ -111,7 +111,7 @@
 		report,
 		key: access?.callerOf(index).key,
 		onSent(id, operation) {
-			access?.noteSent(id, access.callerOf(index).organisation, operation);
+			access?.recordSent(id, access.callerOf(index).organisation, operation);
 		},
 		onWrite(id, isAcknowledged) {
 			writes.set(id, isAcknowledged);
@@ -123,17 +123,17 @@
 async function injectFaults(system: LineSystem, {seed, faults, chains, only}: ProcessPlan): Promise<Map<string, number>> {
 	const counts = new Map<string, number>();
 	const chain = async (number: number): Promise<void> => {
-		const dice = new Dice(new SeededRandom((seed * 100) + number));
+		const random = new RandomChoices(new SeededRandom((seed * 100) + number));
 		for (let count = 0; count < faults; count++) {
-			const name = dice.pick(only);
+			const name = random.pick(only);
 			counts.set(name, (counts.get(name) ?? 0) + 1);
-			await allFaults[name](system, dice);
+			await allFaults[name](system, random);
 			await pause(timesMs.pause);
 		}
 	};
 
 	await Promise.all(Array.from({length: chains}, async (_, number) => chain(number)));
-	// A node that two chains ended at one time is started once more.
+	// A node that two chains ended at the same time may not be running; it is started here.
 	await Promise.all(system.nodes.map(async node => {
 		if (!node.isRunning) {
 			await node.start();
@@ -142,38 +142,38 @@
 	return counts;
 }
 
-/** After the last fault every item shows what was acknowledged, read at the primary. */
+/** Checks that after the last fault, read at the primary, every item includes its acknowledged writes. */
 async function checkItems(system: LineSystem, callers: readonly SoakCaller[], report: (finding: Finding) => void, key: string | undefined): Promise<void> {
 	for (const item of callers.flatMap(({items}) => items)) {
-		const least = item.least(0);
-		const shown = await readAtLast(system, item.name, key);
-		if (shown === undefined) {
+		const minimum = item.minimumValue(0);
+		const observed = await readWithRetries(system, item.name, key);
+		if (observed === undefined) {
 			report({promise: 'notRecovered', detail: `${item.name} could not be read after the last fault`});
 			return;
 		}
 
-		if (shown < least) {
-			report({promise: 'lost', detail: `${item.name}=${shown} at the end, ${least} had been acknowledged`});
+		if (observed < minimum) {
+			report({promise: 'lost', detail: `${item.name}=${observed} at the end, ${minimum} had been acknowledged`});
 		} else {
-			item.check(shown, least, 'the last reader');
+			item.check(observed, minimum, 'the last reader');
 		}
 	}
 }
 
-async function readAtLast(system: LineSystem, item: string, key: string | undefined): Promise<number | undefined> {
-	for (let tries = 0; tries < recoveryTries; tries++) {
+async function readWithRetries(system: LineSystem, item: string, key: string | undefined): Promise<number | undefined> {
+	for (let tries = 0; tries < maximumRecoveryAttempts; tries++) {
 		const answer = await readOnce(system.nodes[tries % system.nodes.length], databases.primary, {id: `z-${item}`, item, key});
 		if (answer) {
 			return Number(answer.rows.at(0) ?? 0);
 		}
 
-		await pause(retryMs);
+		await pause(retryIntervalMs);
 	}
 
 	return undefined;
 }
 
-/** One read over a node in a session of its own; undefined where it is being started, refuses, or does not know the database. */
+/** Reads once over a node in a session of its own; undefined if the node is not running yet, refuses, or does not know the database. */
 async function readOnce(
 	{plan: {host, callersPort}}: NodeProcess,
 	database: string,
@@ -189,13 +189,13 @@
 	}
 }
 
-/** A database that was added after the last fault is known to every node. */
+/** Checks that every node serves a database that was added after the last fault. */
 async function checkConfiguration(system: LineSystem, report: (finding: Finding) => void, key: string | undefined): Promise<void> {
 	for (const node of system.nodes) {
 		const {name} = node.plan;
 		let answer: ClientAnswer | undefined;
-		for (let tries = 0; tries < configurationTries && !answer; tries++) {
-			await pause(tries === 0 ? 0 : retryMs);
+		for (let tries = 0; tries < maximumConfigurationAttempts && !answer; tries++) {
+			await pause(tries === 0 ? 0 : retryIntervalMs);
 			answer = await readOnce(node, lastDatabase, {id: `k-${name}-${tries}`, item: 'k', key});
 		}
 
@@ -205,8 +205,8 @@
 	}
 }
 
-/** No write runs twice, and nothing runs that no caller sent. */
-function checkRuns(system: LineSystem, writes: ReadonlyMap<string, boolean>, report: (finding: Finding) => void): void {
+/** Checks that no write takes effect twice, and that none takes effect which no caller sent. */
+function checkWriteEffects(system: LineSystem, writes: ReadonlyMap<string, boolean>, report: (finding: Finding) => void): void {
 	const runs = new Map<string, number>();
 	for (const id of system.group.instances.flatMap(({committed}) => committed)) {
 		runs.set(id, (runs.get(id) ?? 0) + 1);
@@ -223,28 +223,28 @@
 	}
 }
 
-/** No epoch is used by two nodes, and none is lower than one that was used before. */
+/** Checks that no two nodes send promotion commands with the same epoch, and that epochs never decrease. */
 function checkPromotions({ordered}: LineSystem, report: (finding: Finding) => void): void {
 	for (const [index, {epoch, holder}] of ordered.entries()) {
 		const before = ordered[index - 1];
 		if (before && (epoch < before.epoch || (epoch === before.epoch && holder !== before.holder))) {
-			report({promise: 'falsePromotion', detail: `${holder} ordered with epoch ${epoch} after ${before.holder} with ${before.epoch}`});
+			report({promise: 'falsePromotion', detail: `${holder} sent a promotion command with epoch ${epoch} after ${before.holder} had sent one with epoch ${before.epoch}`});
 		}
 	}
 }
 
-/** No write is acknowledged that took effect at an old primary once a later term had begun. */
-function checkAcknowledged({group}: LineSystem, writes: ReadonlyMap<string, boolean>, report: (finding: Finding) => void): void {
+/** Checks that no write is acknowledged that took effect at an old primary after a later term had begun. */
+function checkAcknowledgements({group}: LineSystem, writes: ReadonlyMap<string, boolean>, report: (finding: Finding) => void): void {
 	for (const {id, instance, term, atMs} of group.commits) {
 		const later = group.promotionEffects.find(start => start.term > term && start.atMs < atMs);
 		if (later && writes.get(id) === true) {
-			const lateMs = Math.round(atMs - later.atMs);
-			report({promise: 'ackedAtOldPrimary', detail: `${id} took effect at ${instance} in term ${term}, ${lateMs} ms after ${later.instance} led term ${later.term}`});
+			const delayMs = Math.round(atMs - later.atMs);
+			report({promise: 'ackedAtOldPrimary', detail: `${id} took effect at ${instance} in term ${term}, ${delayMs} ms after ${later.instance} led term ${later.term}`});
 		}
 	}
 }
 
-function sumOf(callers: readonly SoakCaller[]): Map<string, number> {
+function sumCounts(callers: readonly SoakCaller[]): Map<string, number> {
 	const sums = new Map<string, number>();
 	for (const [what, count] of callers.flatMap(({counts}) => [...counts])) {
 		sums.set(what, (sums.get(what) ?? 0) + count);
