--- a/soak/faults/fault-actions.ts
+++ b/soak/faults/fault-actions.ts
@@ -1,12 +1,12 @@
 /**
- * The faults of a run. Each breaks something, waits, and mends it again.
+ * The faults of a simulated run. Each action injects a fault, waits for a random time, and undoes it.
  */
 import type {FaultInjector} from './fault-injector.js';
 import {operatorActions} from './operator-actions.js';
 
 type Fault = (faults: FaultInjector) => Promise<void>;
 
-/** A pause up to this long must not cost a primary its place. */
+/** A primary that is paused for at most this time must not be replaced, in milliseconds. */
 const harmlessPauseMs = 1990;
 
 const endpointActions = {
@@ -80,7 +80,7 @@
 		await faults.pauseBetween(500, 6000);
 		faults.world.network.extraDelayMs = 0;
 	},
-	/** Everything of a zone goes at once, and comes back with new nodes. */
+	/** Crashes every endpoint and kills every node of a zone at once; later the endpoints restart, and new nodes start. */
 	async loseZone(faults) {
 		const {world} = faults;
 		const zone = faults.pick(world.plan.zones);
@@ -133,7 +133,7 @@
 			await faults.replaceNode(node);
 		}
 	},
-	/** Every node is replaced, one after the other. */
+	/** Replaces every running node, one after the other. */
 	async rollNodes(faults) {
 		const nodes = [...faults.world.nodes.values()];
 		for (const node of nodes) {
@@ -162,7 +162,7 @@
 		await faults.pauseBetween(1000, 10_000);
 		faults.world.platform.faults.lostAnswerShare = 0;
 	},
-	/** The platform is down from before a primary crashes until after it is back. */
+	/** The platform is unavailable from before a primary crashes until after it has restarted. */
 	async failoverWithoutPlatform(faults) {
 		const {world} = faults;
 		world.platform.faults.outage = 'silent';
@@ -176,7 +176,7 @@
 	},
 } satisfies Record<string, Fault>;
 
-/** What each fault does. */
+/** The action of each fault, by name. */
 export const faultActions = {
 	...endpointActions,
 	...networkActions,
@@ -185,8 +185,8 @@
 	...operatorActions,
 } satisfies Record<string, Fault>;
 
-/** Names of the faults. */
+/** Name of a fault. */
 export type FaultName = keyof typeof faultActions;
 
-/** Every fault there is. */
+/** Names of all faults. */
 export const faultNames: readonly FaultName[] = Object.keys(faultActions).filter((name): name is FaultName => name in faultActions);
--- a/soak/faults/fault-injector.ts
+++ b/soak/faults/fault-injector.ts
@@ -1,6 +1,6 @@
 /**
- * Causes faults in a world while it runs, drawn from a seed: what breaks, when and for how
- * long. Several chains make faults overlap.
+ * Injects faults into a running world. A seed decides which fault, when and for how long; several
+ * concurrent chains make faults overlap.
  */
 import type {Random} from '../../src/common/services/services.js';
 import type {Finding} from '../findings.js';
@@ -10,13 +10,13 @@
 import type {World} from '../world/world.js';
 import {faultActions, faultNames, type FaultName} from './fault-actions.js';
 
-/** What an injector may be told. */
+/** Options of a fault injector. */
 export type FaultOptions = {
 	readonly names?: readonly FaultName[];
 	readonly drain?: DrainTimes;
 };
 
-/** Causes faults, and notes what their handling broke. */
+/** Injects faults, counts them, and records requests and transactions that a drain cut off. */
 export class FaultInjector {
 	readonly world: World;
 	readonly random: Random;
@@ -34,7 +34,7 @@
 		this._drain = drain;
 	}
 
-	/** One chain of faults. Ends when stopped, with everything mended. */
+	/** Runs one chain of faults; resolves after `stop()`, once the last fault is undone. */
 	async run(pauseMs: number): Promise<void> {
 		while (!this._isStopped) {
 			await this.pauseBetween(pauseMs * 0.3, pauseMs * 1.7);
@@ -50,33 +50,33 @@
 		this._isStopped = true;
 	}
 
-	/** A random item. */
+	/** A random item; undefined if there is none. */
 	pick<T>(items: readonly T[]): T | undefined {
 		return items[Math.floor(this.random.next() * items.length)];
 	}
 
-	/** An endpoint that runs. */
+	/** A random running endpoint. */
 	pickEndpoint(): SimulatedEndpoint | undefined {
 		return this.pick(this.world.endpoints.filter(({isDown, process}) => !isDown && !process.isFrozen));
 	}
 
-	/** A primary that runs. */
+	/** A random running primary. */
 	pickPrimary(): SimulatedEndpoint | undefined {
 		return this.pick(this.world.endpoints.filter(({isDown, process, instance}) => instance.isPrimary && !isDown && !process.isFrozen));
 	}
 
-	/** A node that runs and is not being drained. */
+	/** A random node that runs and is not draining. */
 	pickNode(): SimulatedNode | undefined {
 		return this.pick([...this.world.nodes.values()].filter(({isDraining, process}) => !isDraining && !process.isFrozen));
 	}
 
-	/** A new name for a rule: two acts may overlap. */
+	/** A new name for a rule, since the actions of two chains may overlap. */
 	nextRuleName(): string {
 		this._ruleCount += 1;
 		return `rule-${this._ruleCount}`;
 	}
 
-	/** Cuts a zone off for a while. */
+	/** Cuts a zone off from the others, and from the platform if asked, for a random time. */
 	async isolateZone(zone: string | undefined, isPlatformCut: boolean): Promise<void> {
 		if (zone !== undefined) {
 			this.world.isolate(zone, isPlatformCut);
@@ -85,7 +85,7 @@
 		}
 	}
 
-	/** Replaces a node as the platform does: it is given time, and what it cuts all the same is noted. */
+	/** Replaces a node as the platform does: drains it within the bound, and reports what was cut off nevertheless. */
 	async replaceNode(node: SimulatedNode): Promise<void> {
 		const {name, availabilityZone} = node.process;
 		const {cutCount} = await this.world.drainNode(name, this._drain);
@@ -97,7 +97,7 @@
 		this.world.ensureNode(name, availabilityZone);
 	}
 
-	/** Waits for a random time. */
+	/** Waits for a random time between two bounds, in virtual milliseconds. */
 	async pauseBetween(fromMs: number, toMs: number): Promise<void> {
 		await this.world.pause(fromMs + (this.random.next() * (toMs - fromMs)));
 	}
--- a/soak/faults/operator-actions.ts
+++ b/soak/faults/operator-actions.ts
@@ -1,5 +1,5 @@
 /**
- * What operators do during a run, in part at the same time.
+ * Changes that operators make during a run, some of them concurrently.
  */
 import type {ConfigurationModel} from '../../src/common/configuration/model.js';
 import type {Operation, RuleEffect} from '../../src/common/configuration/schema.js';
@@ -8,14 +8,14 @@
 
 type PutOperation = Extract<Operation, {op: 'put'}>;
 
-/** Time after which an operator tries again. */
-const retryMs = 500;
+/** Time after which an operator retries a change, in milliseconds. */
+const retryIntervalMs = 500;
 
-/** Acts of operators. */
+/** Actions of operators, by the name of the fault. */
 export const operatorActions = {
-	orderPrimary: async (faults: FaultInjector) => ruleFor(faults, {kind: 'orderPrimary'}),
-	drainEndpoint: async (faults: FaultInjector) => ruleFor(faults, {kind: 'drain', isDraining: true}),
-	/** An endpoint has fewer slots for a while. */
+	orderPrimary: async (faults: FaultInjector) => applyTemporaryRule(faults, {kind: 'orderPrimary'}),
+	drainEndpoint: async (faults: FaultInjector) => applyTemporaryRule(faults, {kind: 'drain', isDraining: true}),
+	/** Reduces the slots of an endpoint to one, and restores them after a random time. */
 	async fewerSlots(faults: FaultInjector) {
 		const address = faults.pick(faults.world.addresses);
 		const node = faults.pickNode();
@@ -23,17 +23,17 @@
 			const {slots} = faults.world.plan;
 			await faults.world.operators.propose(node, [endpointOperation(faults, address, 1)], 'operator');
 			await faults.pauseBetween(1000, 5000);
-			await insist(faults, endpointOperation(faults, address, slots), ({endpoint}) => endpoint.get(address.name)?.slots === slots);
+			await proposeUntilInForce(faults, endpointOperation(faults, address, slots), ({endpoint}) => endpoint.get(address.name)?.slots === slots);
 		}
 	},
-	/** Two operators write the same rule at the same time, each from another node. */
+	/** Two operators propose the same rule concurrently, each with another deadline and on a node of its own choice. */
 	async operatorRace(faults: FaultInjector) {
 		const nodes = [faults.pickNode(), faults.pickNode()].filter(node => node !== undefined);
 		await Promise.all(nodes.map(async (node, index) => faults.world.operators.propose(node, [
 			deadlineRule('race', 5000 + index),
 		], `operator-${index}`)));
 	},
-	/** One operator undoes a change while another makes the next one. */
+	/** One operator undoes a change while another proposes the next one. */
 	async undoRace(faults: FaultInjector) {
 		const first = faults.pickNode();
 		const second = faults.pickNode();
@@ -47,8 +47,8 @@
 	},
 } as const;
 
-/** Puts a rule about one endpoint in force, and takes it back after a while. */
-async function ruleFor(faults: FaultInjector, effect: RuleEffect): Promise<void> {
+/** Puts a rule for one endpoint in force, and removes it after a random time. */
+async function applyTemporaryRule(faults: FaultInjector, effect: RuleEffect): Promise<void> {
 	const endpoint = faults.pick(faults.world.endpoints);
 	const node = faults.pickNode();
 	if (!endpoint || !node) {
@@ -61,18 +61,18 @@
 	});
 	await faults.world.operators.propose(node, [operation], 'operator');
 	await faults.pauseBetween(3000, 8000);
-	await insist(faults, {op: 'remove', kind: 'rule', name}, ({rule}) => !rule.has(name));
+	await proposeUntilInForce(faults, {op: 'remove', kind: 'rule', name}, ({rule}) => !rule.has(name));
 }
 
-/** Proposes until a change is in force: an answer may have been lost, and the change be in force already. */
-async function insist(faults: FaultInjector, operation: Operation, isDone: (model: ConfigurationModel) => boolean): Promise<void> {
+/** Proposes a change until it is in force; it checks first, since the change may be in force although the answer was lost. */
+async function proposeUntilInForce(faults: FaultInjector, operation: Operation, isDone: (model: ConfigurationModel) => boolean): Promise<void> {
 	for (;;) {
 		const node = faults.pickNode();
 		if (node?.core.sync.isLoaded && (isDone(node.core.history.model) || await faults.world.operators.propose(node, [operation], 'operator'))) {
 			return;
 		}
 
-		await faults.world.pause(retryMs);
+		await faults.world.pause(retryIntervalMs);
 	}
 }
 
--- a/soak/watch/endpoint-watch.ts
+++ b/soak/watch/endpoint-watch.ts
@@ -1,5 +1,6 @@
 /**
- * Watches endpoints from their own side: slots, connections, and work on those that leave.
+ * Checks at the endpoints what nodes send to them: request cycles against slots, connections
+ * against the maximum, and no new work on drained endpoints.
  */
 import type {Change, Operation} from '../../src/common/configuration/schema.js';
 import type {Finding} from '../findings.js';
@@ -9,20 +10,20 @@
 import type {ConfigurationObserver} from '../world/world-plan.js';
 import type {ConfigurationWatch} from './configuration-watch.js';
 
-/** Allowance for the time between two looks at the nodes. */
-const slackMs = 100;
+/** Allowance for the time between two polls of the nodes, in milliseconds. */
+const pollAllowanceMs = 100;
 
-/** An endpoint that is leaving by an accepted rule. */
-type Leaving = {readonly endpoint: string; readonly rule: string; readonly changeNumber: number};
+/** An accepted rule that drains an endpoint. */
+type DrainRule = {readonly endpoint: string; readonly rule: string; readonly changeNumber: number};
 
-/** Judges what nodes send to endpoints. */
+/** Checks what nodes send to endpoints. */
 export class EndpointWatch implements EndpointObserver, ConfigurationObserver {
 	readonly findings: Finding[] = [];
-	/** Most request cycles that were in progress at one endpoint at one time. */
+	/** Maximum number of request cycles in progress at one endpoint at the same time. */
 	peakInProgress = 0;
 	private readonly _slots: number;
 	private readonly _configuration: ConfigurationWatch;
-	private _leaving: Leaving[] = [];
+	private _drainRules: DrainRule[] = [];
 
 	constructor(slots: number, configuration: ConfigurationWatch) {
 		this._slots = slots;
@@ -36,7 +37,7 @@
 	onProposed(operations: readonly Operation[]): void {
 		for (const operation of operations) {
 			if (operation.op === 'remove' && operation.kind === 'rule') {
-				this._leaving = this._leaving.filter(({rule}) => rule !== operation.name);
+				this._drainRules = this._drainRules.filter(({rule}) => rule !== operation.name);
 			}
 		}
 	}
@@ -46,7 +47,7 @@
 		for (const operation of change.operations) {
 			const drain = drainOf(operation);
 			if (drain) {
-				this._leaving.push({...drain, changeNumber: change.number});
+				this._drainRules.push({...drain, changeNumber: change.number});
 			}
 		}
 	}
@@ -59,29 +60,32 @@
 		}
 
 		if (!cycle.isInTransaction) {
-			this._checkLeaving(cycle);
+			this._checkDrained(cycle);
 		}
 	}
 
-	/** Control connections of every node arrive at one time when a cut ends, those given up included, and are tried again. */
+	/**
+	 * Counts work connections only: when a cut ends, the control connections of every node arrive at the
+	 * same time, including abandoned ones, and the nodes retry those that are refused.
+	 */
 	onFull(endpoint: string, {purpose, appName}: StartUpMessage): void {
 		if (purpose === 'work') {
-			this.findings.push({promise: 'connectionsExceeded', detail: `${endpoint} had none left for ${appName}`});
+			this.findings.push({promise: 'connectionsExceeded', detail: `${endpoint} had no connection left for ${appName}`});
 		}
 	}
 
-	private _checkLeaving({endpoint, sender, sentMs}: ArrivedCycle): void {
-		for (const leaving of this._leaving) {
-			const isServed = leaving.endpoint === endpoint && sentMs > this._configuration.dueMs(sender, leaving.changeNumber) + slackMs;
+	private _checkDrained({endpoint, sender, sentMs}: ArrivedCycle): void {
+		for (const drainRule of this._drainRules) {
+			const isServed = drainRule.endpoint === endpoint && sentMs > this._configuration.dueMs(sender, drainRule.changeNumber) + pollAllowanceMs;
 			if (isServed) {
-				this.findings.push({promise: 'leavingServed', detail: `${sender.name} sent new work to ${endpoint} at ${sentMs} despite change ${leaving.changeNumber}`});
+				this.findings.push({promise: 'leavingServed', detail: `${sender.name} sent new work to ${endpoint} at ${sentMs} despite change ${drainRule.changeNumber}`});
 			}
 		}
 	}
 }
 
-/** The rule and the one endpoint that an operation drains. */
-function drainOf(operation: Operation): Pick<Leaving, 'rule' | 'endpoint'> | undefined {
+/** The rule and the endpoint that an operation drains; undefined if it drains none. */
+function drainOf(operation: Operation): Pick<DrainRule, 'rule' | 'endpoint'> | undefined {
 	if (operation.op !== 'put' || operation.kind !== 'rule') {
 		return undefined;
 	}
