--- a/soak/caller/checker.ts
+++ b/soak/caller/checker.ts
@@ -1,5 +1,5 @@
 /**
- * Judges a history. It knows what callers were promised and nothing of how it is kept.
+ * Checks a history. It knows what callers were promised, and nothing of how the nodes keep the promises.
  */
 import {groupBy} from '../../src/common/configuration/group-by.js';
 import type {Finding} from '../findings.js';
@@ -13,7 +13,7 @@
 	return `${group}/${session}`;
 }
 
-/** Everything that a history and the final tables show to be broken. */
+/** Findings for every promise that a history and the final tables show to be broken. */
 export function judge(history: History, tables: FinalTables): readonly Finding[] {
 	return [
 		...judgeWrites(history, tables),
@@ -58,7 +58,7 @@
 	}
 
 	if (new Set(counts.map(Boolean)).size > 1) {
-		violations.push({promise: 'mixed', detail: `${name}: only part of the transaction is there`});
+		violations.push({promise: 'mixed', detail: `${name}: only part of the transaction is visible`});
 	}
 
 	return violations;
@@ -88,7 +88,7 @@
 	return violations;
 }
 
-/** What one read says about one write of the table that it read. */
+/** Findings from one read about one write to the table that it read. */
 function judgeSeen(read: ReadRecord, write: WriteRecord, seen: ReadonlySet<number>): Finding[] {
 	const presence = write.marks.map(mark => seen.has(mark));
 	const detail = `write ${write.marks.join('+')} acknowledged at ${write.endMs}`;
@@ -113,7 +113,7 @@
 	return violations;
 }
 
-/** A session that carries its token never sees less than it saw before. */
+/** Checks that a session that carries its token never sees less than it saw before. */
 function judgeOrder(history: History): Finding[] {
 	const violations: Finding[] = [];
 	const lastSeen = new Map<string, ReadRecord>();
--- a/soak/caller/conclusions.ts
+++ b/soak/caller/conclusions.ts
@@ -4,12 +4,12 @@
 import type {CallerAnswer} from './exchange.js';
 import type {WriteOutcome} from './history.js';
 
-/** Whether everything that was asked for ran. */
+/** Whether the statement ran without an error. */
 export function isDone(answer: CallerAnswer): boolean {
 	return answer.kind === 'rows' && answer.sqlState === undefined;
 }
 
-/** What the caller may conclude about a write, by the product's own words. */
+/** The outcome of a write that the caller may conclude from the answer, by the promises of its refusals. */
 export function outcomeOf(answer: CallerAnswer): WriteOutcome {
 	if (answer.kind === 'lost') {
 		return 'unknown';
@@ -22,7 +22,7 @@
 	return answer.refusal.answer.outcome === 'notRun' ? 'notRun' : 'unknown';
 }
 
-/** Name of the answer's kind, for counting. */
+/** Name under which an answer is counted. */
 export function nameOf(answer: CallerAnswer): string {
 	if (answer.kind === 'rows') {
 		return answer.sqlState === undefined ? 'answered' : `error ${answer.sqlState}`;
--- a/soak/caller/exchange.ts
+++ b/soak/caller/exchange.ts
@@ -11,11 +11,11 @@
 import type {SimulatedNode} from '../world/simulated-node.js';
 import type {SimulatedProcess} from '../world/simulated-process.js';
 
-/** What a caller got for one statement. */
+/** The answer that a caller received for one statement. */
 export type CallerAnswer
 	= | {readonly kind: 'rows'; readonly rows: ReadonlyArray<readonly string[]>; readonly sqlState: string | undefined; readonly endpoint: string}
 		| {readonly kind: 'refused'; readonly refusal: Refusal}
-	/** The connection was lost, or the caller gave up waiting. */
+	/** The connection was lost, or the answer timed out. */
 		| {readonly kind: 'lost'; readonly detail: string};
 
 /** A statement to be sent. */
@@ -23,35 +23,35 @@
 	readonly sql: string;
 	readonly access: 'read' | 'write';
 	readonly step: TransactionStep;
-	/** When the caller asks to cancel it; undefined for never. */
+	/** Time after which the caller cancels it, in milliseconds; undefined for never. */
 	readonly cancelAfterMs?: number;
 };
 
-/** Longest time a caller waits; beyond every deadline, freeze and cut together. */
-const patienceMs = 40_000;
+/** Time after which a caller stops waiting, in milliseconds: longer than every deadline, freeze and cut together. */
+const answerTimeoutMs = 40_000;
 
-/** Why an answer was lost that should have come. */
+/** Detail of a lost answer for which the caller timed out. */
 export const unansweredDetail = 'gave up waiting';
 
-/** Sends a statement on a session that a node holds for the caller. */
+/** Sends a statement on a session that a node holds for the caller, and resolves with the answer or with how it was lost. */
 export async function exchange(
-	way: {readonly caller: SimulatedProcess; readonly node: SimulatedNode; readonly network: SimulatedNetwork},
+	path: {readonly caller: SimulatedProcess; readonly node: SimulatedNode; readonly network: SimulatedNetwork},
 	session: CallerSession,
 	statement: CallerStatement,
 ): Promise<CallerAnswer> {
-	const {caller, node, network} = way;
+	const {caller, node, network} = path;
 	return new Promise(resolve => {
 		let isSettled = false;
 		const settle = (answer: CallerAnswer) => {
 			if (!isSettled) {
 				isSettled = true;
-				patience.dispose();
+				timeout.dispose();
 				ended.dispose();
 				resolve(answer);
 			}
 		};
 
-		const patience = caller.setTimer(patienceMs, () => {
+		const timeout = caller.setTimer(answerTimeoutMs, () => {
 			settle({kind: 'lost', detail: unansweredDetail});
 		});
 		const ended = node.process.onEnd(() => {
@@ -83,7 +83,7 @@
 	});
 }
 
-/** What the node's caller front does with one statement. */
+/** Executes one statement on the node, as its caller listener does. */
 async function serve(node: SimulatedNode, session: CallerSession, statement: CallerStatement, signal: AbortSignal): Promise<CallerAnswer> {
 	const rows: string[][] = [];
 	const cycle: RequestCycle = {frames: serialize.query(statement.sql), access: statement.access, step: statement.step};
--- a/soak/caller/simulated-caller.ts
+++ b/soak/caller/simulated-caller.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's session: it writes marks into its own table, alone or in transactions,
- * reads its own and others' tables, and moves between nodes with its token.
+ * One caller's session: it writes marks to its own table, singly or in transactions, reads its own
+ * and other sessions' tables, and moves between nodes with its token.
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {CallerSession} from '../../src/common/sessions/caller-session.js';
@@ -14,7 +14,7 @@
 import {
 	exchange, unansweredDetail, type CallerAnswer, type CallerStatement,
 } from './exchange.js';
-import {ForgetfulSession} from './forgetful-session.js';
+import {TokenIgnoringMarks} from './token-ignoring-marks.js';
 import type {History, WriteOutcome, WriteRecord} from './history.js';
 
 /** How a caller behaves. */
@@ -22,45 +22,45 @@
 	readonly number: number;
 	readonly callerCount: number;
 	readonly seed: number;
-	/** Time between two requests. */
+	/** Mean time between two requests, in milliseconds. */
 	readonly pauseMs: number;
-	/** Shares of the kinds of request; the rest are reads of its own table. */
+	/** Shares of the kinds of requests; the remaining requests are reads of its own table. */
 	readonly writeShare: number;
 	readonly transactionShare: number;
 	readonly agedReadShare: number;
 	readonly tokenlessReadShare: number;
 	readonly maximumAgeMs: number;
-	/** Share of statements that are cancelled, of sessions with a short deadline, and of transactions that are given up. */
+	/** Share of statements that are cancelled, of sessions with a short deadline, and of transactions that are abandoned. */
 	readonly interruptionShare: number;
-	/** Deliberate breakages, for proving that the checker sees them. */
+	/** Deliberate breakages, to show that the checker finds them. */
 	readonly sabotage: CallerSabotage;
 };
 
-/** Breakages at the callers' side of a node. */
+/** Deliberate breakages on the callers' side of a node. */
 export type CallerSabotage = {
-	/** The marks that a token brings are not looked at. */
+	/** The positions in a token are ignored. */
 	readonly isTokenIgnored?: boolean;
-	/** Writes are taken for repeatable. */
+	/** Every statement counts as idempotent. */
 	readonly isEverythingIdempotent?: boolean;
-	/** The stated age is not looked at. */
+	/** The maximum age that the caller states is ignored. */
 	readonly isAgeIgnored?: boolean;
-	/** Every other transaction's statements are sent outside of it. */
+	/** About half of the transactions are sent without BEGIN, so that their statements run outside of a transaction. */
 	readonly isTransactionSplit?: boolean;
-	/** Answers carry another request's number. */
+	/** Answers carry the number of another request. */
 	readonly isAnswerSwapped?: boolean;
 };
 
-/** Longest time after which a cancelled statement is cancelled. */
-const longestCancelMs = 12;
+/** Maximum time after which a statement is cancelled, in milliseconds. */
+const maximumCancelDelayMs = 12;
 
-/** Longest deadline of a session in a hurry. */
-const longestHastyDeadlineMs = 40;
+/** Maximum deadline of a session with a short deadline, in milliseconds. */
+const maximumShortDeadlineMs = 40;
 
 const codec = new SessionTokenCodec(new HmacTokenSigner('the key of every node in this world'));
 
 type Kind = 'write' | 'transaction' | 'agedRead' | 'tokenlessRead' | 'read';
 
-/** One session; one request at a time. */
+/** Runs one session, with one request at a time. */
 export class SimulatedCaller {
 	private readonly _world: World;
 	private readonly _history: History;
@@ -89,14 +89,14 @@
 		this._process = new SimulatedProcess(`caller ${plan.number}`, zone, world.clock);
 	}
 
-	/** Creates the session's tables; repeated until every group has one. */
+	/** Creates the session's table in every group, retrying until each one exists. */
 	async prepare(): Promise<void> {
 		for (const group of this._world.plan.groups) {
 			await this._createTable(group);
 		}
 	}
 
-	/** Works until stopped. */
+	/** Sends requests until `stop()` is called. */
 	async run(): Promise<void> {
 		while (!this._isStopped) {
 			await this._pause(this._plan.pauseMs * (0.5 + this._random.next()));
@@ -118,9 +118,9 @@
 			const node = this._pickNode();
 			const session = node && this._session(node, group);
 			const name = tableName(this._plan.number);
-			// The mark 0 makes every answer carry at least one row.
+			// With the mark 0 every answer has at least one row.
 			const sql = `CREATE TABLE IF NOT EXISTS ${name} (mark int); INSERT INTO ${name} VALUES (0)`;
-			const answer = session && await this._ask(node, session, {sql, access: 'write', step: 'none'});
+			const answer = session && await this._send(node, session, {sql, access: 'write', step: 'none'});
 			if (answer && isDone(answer)) {
 				this._keepToken(session, 'acknowledged');
 				return;
@@ -134,12 +134,12 @@
 		const [mark] = this._nextMarks(1);
 		const record = this._begin(group, [mark]);
 		const session = this._session(node, group);
-		const answer = await this._ask(node, session, insertOf(this._plan.number, mark));
+		const answer = await this._send(node, session, insertOf(this._plan.number, mark));
 		this._end(record, outcomeOf(answer), answer);
 		this._keepToken(session, record.outcome);
 	}
 
-	/** Two marks that must stand or fall together. */
+	/** Writes two marks in one transaction: both or none must take effect. */
 	private async _transact(node: SimulatedNode, group: string): Promise<void> {
 		const marks = this._nextMarks(2);
 		const record = this._begin(group, marks);
@@ -150,9 +150,9 @@
 			...marks.map(mark => insertOf(this._plan.number, mark)),
 		];
 		for (const step of steps) {
-			const answer = await this._ask(node, session, step);
+			const answer = await this._send(node, session, step);
 			if (!isDone(answer)) {
-				// Without a COMMIT nothing of it may ever be seen.
+				// Without a COMMIT none of its writes may ever become visible.
 				this._end(record, 'notRun', answer);
 				node.core.router.close(session);
 				return;
@@ -169,10 +169,10 @@
 			return;
 		}
 
-		const answer = await this._ask(node, session, {sql: 'COMMIT', access: 'write', step: 'commit'});
+		const answer = await this._send(node, session, {sql: 'COMMIT', access: 'write', step: 'commit'});
 		this._end(record, outcomeOf(answer), answer);
 		this._keepToken(session, record.outcome);
-		// The connection ends here, and with it what a refused COMMIT left open.
+		// Closes the connection, and with it a transaction that a refused COMMIT left open.
 		node.core.router.close(session);
 	}
 
@@ -184,7 +184,7 @@
 		const requestNumber = (this._plan.number * 1_000_000) + this._requestCount;
 		const sentNumber = this._plan.sabotage.isAnswerSwapped ? requestNumber - 1 : requestNumber;
 		const startMs = this._world.clock.nowMs();
-		const answer = await this._ask(node, session, {
+		const answer = await this._send(node, session, {
 			sql: `SELECT mark, ${sentNumber} FROM ${tableName(target)}`, access: 'read', step: 'none',
 		});
 		this._history.count(`${hasToken ? '' : 'tokenless '}${maximumAgeMs === undefined ? 'read' : 'aged read'}: ${nameOf(answer)}`);
@@ -208,10 +208,10 @@
 		}
 	}
 
-	private async _ask(node: SimulatedNode, session: CallerSession, statement: CallerStatement): Promise<CallerAnswer> {
+	private async _send(node: SimulatedNode, session: CallerSession, statement: CallerStatement): Promise<CallerAnswer> {
 		const answer = await exchange({caller: this._process, node, network: this._world.network}, session, {
 			...statement,
-			cancelAfterMs: this._isInterrupted() ? this._random.next() * longestCancelMs : undefined,
+			cancelAfterMs: this._isInterrupted() ? this._random.next() * maximumCancelDelayMs : undefined,
 		});
 		if (answer.kind === 'lost' && answer.detail === unansweredDetail) {
 			this._history.unanswered.push({session: this._plan.number, atMs: this._world.clock.nowMs()});
@@ -220,7 +220,7 @@
 		return answer;
 	}
 
-	/** Each request is a connection of its own, to whichever node, with the session's token. */
+	/** Opens a connection for one request to the given node, with the session's token if it is to be sent. */
 	private _session(node: SimulatedNode, group: string, hasToken = true): CallerSession {
 		const {sabotage, number} = this._plan;
 		const marks = new TokenSessionMarks(codec, group, 'primary');
@@ -230,8 +230,8 @@
 
 		const session = new CallerSession(node.nextSessionId(), {
 			user: `caller-${number}`, applicationName: 'soak', availabilityZone: node.process.availabilityZone, labels: {},
-		}, group, sabotage.isTokenIgnored && hasToken ? new ForgetfulSession(codec, '', 'sessionOnly') : marks);
-		session.deadlineMs = this._isInterrupted() ? 1 + (this._random.next() * longestHastyDeadlineMs) : undefined;
+		}, group, sabotage.isTokenIgnored && hasToken ? new TokenIgnoringMarks(codec, '', 'sessionOnly') : marks);
+		session.deadlineMs = this._isInterrupted() ? 1 + (this._random.next() * maximumShortDeadlineMs) : undefined;
 		session.isIdempotent = sabotage.isEverythingIdempotent ?? false;
 		return session;
 	}
@@ -263,7 +263,7 @@
 		this._history.count(`${record.marks.length > 1 ? 'transaction' : 'write'}: ${nameOf(answer)}`);
 	}
 
-	/** What the platform's balancer does: any node that is ready and not draining. */
+	/** Picks any node that is ready and not draining, as the platform's load balancer does. */
 	private _pickNode(): SimulatedNode | undefined {
 		const nodes = [...this._world.nodes.values()].filter(({isDraining, core}) => !isDraining && core.sync.isLoaded);
 		return nodes[Math.floor(this._random.next() * nodes.length)];
--- a/soak/caller/forgetful-session.ts
+++ b/soak/caller/token-ignoring-marks.ts
@@ -1,10 +1,10 @@
 /**
- * A session whose marks are never looked at: a deliberate breakage.
+ * Session marks that ignore the token: a deliberate breakage.
  */
 import {TokenSessionMarks} from '../../src/common/sessions/token-session-marks.js';
 
-/** Has no position to insist on, whatever it was given. */
-export class ForgetfulSession extends TokenSessionMarks {
+/** Requires no minimum position, whatever token it was given. */
+export class TokenIgnoringMarks extends TokenSessionMarks {
 	override get isComplete(): boolean {
 		return true;
 	}
