--- a/soak/world/operators.ts
+++ b/soak/world/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators of a world: they propose changes on nodes and undo them.
+ * The operators of a world, who propose changes on nodes and undo them.
  */
 import type {Either} from 'purify-ts';
 import type {Change, Operation} from '../../src/common/configuration/schema.js';
@@ -11,7 +11,7 @@
 
 type Propose = (acknowledged: readonly string[]) => Promise<Either<ProposalRefusal, Change>>;
 
-/** Proposes changes, each with an identity of its own. */
+/** Proposes changes, each with a unique change id. */
 export class Operators {
 	private readonly _observer: ConfigurationObserver | undefined;
 	private _changeCount = 0;
@@ -20,7 +20,7 @@
 		this._observer = observer;
 	}
 
-	/** Proposes a change on a node; false when it was not accepted. */
+	/** Proposes a change on a node; resolves with false if it was not accepted. */
 	async propose(node: SimulatedNode, operations: readonly Operation[], author: string, basedOn = node.core.history.version): Promise<boolean> {
 		this._changeCount += 1;
 		const changeId = `change-${this._changeCount}-00000000`;
@@ -31,7 +31,7 @@
 		return this._decide(node, async acknowledged => node.core.changeLog.propose({...proposal, acknowledged}));
 	}
 
-	/** Undoes a change on a node; false when that was not accepted. */
+	/** Proposes the inverse of a change on a node; resolves with false if that was not accepted. */
 	async undo(node: SimulatedNode, changeNumber: number, author: string): Promise<boolean> {
 		this._changeCount += 1;
 		const {changeLog, history} = node.core;
@@ -42,7 +42,7 @@
 		return this._decide(node, async acknowledged => undo.propose(changeNumber, {...proposal, acknowledged}));
 	}
 
-	/** Proposes, and once more with the warnings acknowledged, as an operator does who has read them. */
+	/** Proposes a change, and if warnings must be acknowledged, proposes it again with all of them acknowledged. */
 	private async _decide(node: SimulatedNode, propose: Propose): Promise<boolean> {
 		const first = await untilEnd(node.process, propose([]));
 		const refusal = first?.swap().toMaybe().extract();
--- a/soak/world/process-platform.ts
+++ b/soak/world/process-platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform as one process of the world reaches it: an answer that comes while the
- * process is frozen waits, and one that comes after its end is never seen.
+ * The platform as one process of the world reaches it: an answer that arrives while the process is
+ * frozen is deferred until it is thawed, and one that arrives after its end is dropped.
  */
 import type {HostList, Objects, Table} from '../../src/common/services/services.js';
 import type {SimulatedProcess} from './simulated-process.js';
@@ -12,9 +12,9 @@
 	readonly hostList: HostList;
 };
 
-/** Delivers every answer of the platform within a process. */
-export function platformFor(process: SimulatedProcess, {table, objects, hostList}: PlatformServices): PlatformServices {
-	const within = async <T>(answer: Promise<T>): Promise<T> => new Promise((resolve, reject) => {
+/** The services of the platform with every answer delivered in a process. */
+export function platformWithin(process: SimulatedProcess, {table, objects, hostList}: PlatformServices): PlatformServices {
+	const deliver = async <T>(answer: Promise<T>): Promise<T> => new Promise((resolve, reject) => {
 		answer.then(value => {
 			process.run(() => {
 				resolve(value);
@@ -23,18 +23,18 @@
 	});
 	return {
 		table: {
-			get: async (...parameters) => within(table.get(...parameters)),
-			query: async (...parameters) => within(table.query(...parameters)),
-			put: async (...parameters) => within(table.put(...parameters)),
-			putAll: async (...parameters) => within(table.putAll(...parameters)),
+			get: async (...parameters) => deliver(table.get(...parameters)),
+			query: async (...parameters) => deliver(table.query(...parameters)),
+			put: async (...parameters) => deliver(table.put(...parameters)),
+			putAll: async (...parameters) => deliver(table.putAll(...parameters)),
 		},
 		objects: {
-			get: async key => within(objects.get(key)),
-			put: async (key, body) => within(objects.put(key, body)),
+			get: async key => deliver(objects.get(key)),
+			put: async (key, body) => deliver(objects.put(key, body)),
 		},
 		hostList: {
-			read: async () => within(hostList.read()),
-			register: async host => within(hostList.register(host)),
+			read: async () => deliver(hostList.read()),
+			register: async host => deliver(hostList.register(host)),
 		},
 	};
 }
--- a/soak/world/remote-request.ts
+++ b/soak/world/remote-request.ts
@@ -1,5 +1,5 @@
 /**
- * One request to a peer of the world, with the ways it can stay unanswered.
+ * One request to a peer of the world, and the ways in which it can remain unanswered.
  */
 import {Left, type Either} from 'purify-ts';
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
@@ -11,24 +11,24 @@
 import type {PeerEnd} from './simulated-peers.js';
 import type {SimulatedProcess} from './simulated-process.js';
 
-/** Silence after which a link is given up, as the real links count it. */
+/** Time without contact after which a link counts as lost, as for the real links, in milliseconds. */
 const silenceMs = peerDefaults.livenessTickMs * peerDefaults.askerSilentTicks;
 
-/** Time beyond its own that a home is given to answer. */
+/** Time that the home is given to answer beyond the deadline of the request, in milliseconds. */
 const answerMarginMs = 5;
 
-type Way = {readonly self: SimulatedProcess; readonly network: SimulatedNetwork; readonly peer: PeerEnd};
+type RequestPath = {readonly self: SimulatedProcess; readonly network: SimulatedNetwork; readonly peer: PeerEnd};
 
 type Settle = (result: Either<Refusal, HomeEnd>, isReachable: boolean) => void;
 
-type Asked = {readonly request: HomeRequest; readonly sink: AnswerSink; readonly signal: AbortSignal};
+type RequestParts = {readonly request: HomeRequest; readonly sink: AnswerSink; readonly signal: AbortSignal};
 
-/** One request on its way to a peer and back. */
+/** One request in flight to a peer. */
 export class RemoteRequest {
 	private readonly _self: SimulatedProcess;
 	private readonly _network: SimulatedNetwork;
 	private readonly _peer: PeerEnd;
-	private readonly _asked: Asked;
+	private readonly _parts: RequestParts;
 	private readonly _settle: Settle;
 	private readonly _abort = new AbortController();
 	private readonly _onAbort: () => void;
@@ -36,34 +36,34 @@
 	private _deadline: Disposable | undefined;
 	private _hasPushed = false;
 	private _isSettled = false;
-	private _heardMs: number;
+	private _lastHeardMs: number;
 
-	constructor({self, network, peer}: Way, asked: Asked, settle: Settle) {
+	constructor({self, network, peer}: RequestPath, parts: RequestParts, settle: Settle) {
 		this._self = self;
 		this._network = network;
 		this._peer = peer;
-		this._asked = asked;
+		this._parts = parts;
 		this._settle = settle;
 		this._onAbort = () => {
 			this._cancel();
 		};
 
-		this._heardMs = self.nowMs();
+		this._lastHeardMs = self.nowMs();
 	}
 
 	start(): void {
-		const {request, signal} = this._asked;
+		const {request, signal} = this._parts;
 		this._peerEnd = this._peer.process.onEnd(() => {
 			this._network.send(this._peer.host, this._self, () => {
-				this._giveUp('linkLost', 'connection reset');
+				this._fail('linkLost', 'connection reset');
 			});
 		});
 		signal.addEventListener('abort', this._onAbort);
 		this._deadline = this._self.setTimer(request.timeLeftMs + answerMarginMs, () => {
 			this._cancel();
-			this._giveUp('deadline', 'no answer in time');
+			this._fail('deadline', 'no answer in time');
 		});
-		this._watch();
+		this._ping();
 		this._network.send(this._self, this._peer.host, () => {
 			this._peer.process.run(() => {
 				void this._run();
@@ -71,14 +71,14 @@
 		});
 	}
 
-	/** Runs at the peer. */
+	/** Executes the request at the peer. */
 	private async _run(): Promise<void> {
-		const {request} = this._asked;
+		const {request} = this._parts;
 		const sink: AnswerSink = {
 			push: frames => {
 				this._reply(() => {
 					this._hasPushed = true;
-					void this._asked.sink.push(frames);
+					void this._parts.sink.push(frames);
 				});
 			},
 		};
@@ -94,22 +94,22 @@
 		if (this._peer.process.isAlive) {
 			this._network.send(this._peer.process, this._self, () => {
 				if (!this._isSettled) {
-					this._heardMs = this._self.nowMs();
+					this._lastHeardMs = this._self.nowMs();
 					action();
 				}
 			});
 		}
 	}
 
-	/** Pings while in progress, as the real link does: a frozen or cut peer is noticed. */
-	private _watch(): void {
+	/** Pings the peer while the request is in progress, as the real link does, to detect a frozen or unreachable peer. */
+	private _ping(): void {
 		if (this._isSettled) {
 			return;
 		}
 
-		if (this._self.nowMs() - this._heardMs > silenceMs) {
+		if (this._self.nowMs() - this._lastHeardMs > silenceMs) {
 			this._cancel();
-			this._giveUp('linkLost', 'the peer is silent');
+			this._fail('linkLost', 'the peer is silent');
 			return;
 		}
 
@@ -119,7 +119,7 @@
 			});
 		});
 		this._self.setTimer(peerDefaults.livenessTickMs, () => {
-			this._watch();
+			this._ping();
 		});
 	}
 
@@ -131,8 +131,8 @@
 		});
 	}
 
-	private _giveUp(cause: 'linkLost' | 'deadline', detail: string): void {
-		const progress = progressOf(this._asked.request, true, this._hasPushed);
+	private _fail(cause: 'linkLost' | 'deadline', detail: string): void {
+		const progress = progressOf(this._parts.request, true, this._hasPushed);
 		this._end(Left(unansweredRefusal(cause, progress, detail)), cause === 'deadline');
 	}
 
@@ -144,7 +144,7 @@
 		this._isSettled = true;
 		this._peerEnd?.dispose();
 		this._deadline?.dispose();
-		this._asked.signal.removeEventListener('abort', this._onAbort);
+		this._parts.signal.removeEventListener('abort', this._onAbort);
 		this._settle(result, isReachable);
 	}
 }
--- a/soak/world/simulated-endpoint.ts
+++ b/soak/world/simulated-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * One endpoint in the world: the stand-in's core and its connections, without sockets.
+ * One endpoint of the world: the core of the stand-in and its connections, without sockets.
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {toDisposable, type Disposable} from '../../src/common/lifecycle/disposable.js';
@@ -15,9 +15,9 @@
 import {SimulatedProcess} from './simulated-process.js';
 import {reportState} from './state-reports.js';
 import {readStartUp, type StartUpMessage} from './start-up-message.js';
-import {watched, WorkWire, type EndpointObserver} from './work-wire.js';
+import {trackAnswers, WorkWire, type EndpointObserver} from './work-wire.js';
 
-/** What an endpoint is made with. */
+/** Parameters of one endpoint. */
 export type EndpointPlan = {
 	readonly address: EndpointAddress;
 	readonly isFirstPrimary: boolean;
@@ -30,33 +30,33 @@
 	readonly observer?: EndpointObserver;
 };
 
-/** One connection as its client sees it. */
+/** One connection from the view of its client. */
 export type SimulatedConnection = {
-	/** Takes bytes that the client sent at a time. */
+	/** Receives bytes that the client sent at `sentMs`. */
 	readonly receive: (bytes: Uint8Array, sentMs: number, sender: SimulatedProcess) => void;
-	/** Begins to answer. */
+	/** Starts answering. */
 	readonly start: () => void;
 	readonly close: () => void;
 };
 
-/** Time that the endpoint takes for a new connection. */
+/** Time that the endpoint takes to accept a connection, in milliseconds. */
 const connectCostMs = 10;
 
 const slowServiceMs = 4000;
 
-/** An endpoint's process. Its log outlives a crash, as a database's does. */
+/** The process of an endpoint. Its log survives a crash, like that of a database. */
 export class SimulatedEndpoint {
 	readonly process: SimulatedProcess;
-	/** The host under the process: it accepts and resets connections whatever the process does. */
+	/** The host of the process, which accepts and resets connections regardless of the state of the process. */
 	readonly host: SimulatedProcess;
 	readonly instance: Instance;
 	readonly slots: StatementSlots;
-	/** Share of the statements that take very long. */
+	/** Share of the statements that are slow. */
 	slowShare = 0;
 	private readonly _plan: EndpointPlan;
 	private readonly _network: SimulatedNetwork;
 	private readonly _engine: SqlEngine;
-	/** How each open connection is ended, and the home it works for. */
+	/** The function that ends each open connection, with the id of the home that holds the connection. */
 	private readonly _ends = new Map<() => void, string>();
 	private readonly _byProcessId = new Map<number, Connection>();
 	private readonly _wires = new Set<WorkWire>();
@@ -96,12 +96,12 @@
 		return this._isDown;
 	}
 
-	/** Connections that are open, of every purpose. */
+	/** Number of open connections of any purpose. */
 	get connectionCount(): number {
 		return this._ends.size;
 	}
 
-	/** Work connections with a request in progress or a transaction open. */
+	/** Number of work connections with a request in progress or a transaction open. */
 	get openWorkCount(): number {
 		return [...this._wires].filter(({isBusy, isInTransaction}) => isBusy || isInTransaction).length;
 	}
@@ -110,7 +110,7 @@
 		this.instance.start();
 	}
 
-	/** Resets every connection and refuses new ones. */
+	/** Resets every connection, and refuses new ones until a restart. */
 	crash(): void {
 		this._isDown = true;
 		this.process.freeze();
@@ -119,7 +119,7 @@
 		}
 	}
 
-	/** Resets connections of every purpose, some of them. */
+	/** Resets each connection, whatever its purpose, with a probability of one half. */
 	resetSome(): void {
 		for (const end of this._ends.keys()) {
 			if (this._random.next() < 0.5) {
@@ -134,10 +134,10 @@
 	}
 
 	/**
-	 * Answers a client's first message: a start-up or a cancellation. A connection is handed
-	 * over once the cost of connecting has passed; without one the output is ended.
+	 * Answers a client's first message, a StartupMessage or a CancelRequest. `onOpen` gets the connection
+	 * after the time that accepting takes; without a connection the output is ended.
 	 */
-	greet(startUp: Uint8Array, output: ConnectionOutput, onOpen: (connection: SimulatedConnection) => void): void {
+	handleStartUp(startUp: Uint8Array, output: ConnectionOutput, onOpen: (connection: SimulatedConnection) => void): void {
 		const message = readStartUp(startUp);
 		if (message.cancelledProcessId !== undefined) {
 			this._byProcessId.get(message.cancelledProcessId)?.cancel();
@@ -156,7 +156,7 @@
 		});
 	}
 
-	/** Sends the log to a follower; the result ends the stream. */
+	/** Streams the log to a follower, and returns a function that ends the stream. */
 	serveFollower(request: StreamRequest, follower: SimulatedEndpoint, receiver: StreamReceiver): () => void {
 		let feed: Disposable | undefined;
 		let isOver = false;
@@ -202,7 +202,7 @@
 		return end;
 	}
 
-	/** Says why no connection was opened, as the wire server does. */
+	/** Sends the reason why no connection was opened, as the wire server does. */
 	private _refuse(startUp: StartUpMessage, output: ConnectionOutput): void {
 		const isFull = this._ends.size >= this._plan.connections;
 		if (isFull) {
@@ -216,8 +216,8 @@
 	}
 
 	private _open({purpose, homeId}: StartUpMessage, output: ConnectionOutput): SimulatedConnection | undefined {
-		const isForeign = purpose === 'work' && this.instance.attachment.holder !== homeId;
-		if (this._isDown || isForeign || this._ends.size >= this._plan.connections) {
+		const isNotAttached = purpose === 'work' && this.instance.attachment.holder !== homeId;
+		if (this._isDown || isNotAttached || this._ends.size >= this._plan.connections) {
 			return undefined;
 		}
 
@@ -232,7 +232,7 @@
 			purpose,
 			identity: {user: 'proxy', database: this._plan.address.group, processId},
 			secret: 1,
-		}, watched(output, wire));
+		}, trackAnswers(output, wire));
 		const subscription = purpose === 'control' ? reportState(connection, this.instance, this.process) : undefined;
 		const close = () => {
 			this._ends.delete(end);
@@ -255,7 +255,7 @@
 
 		return {
 			receive: (bytes, sentMs, sender) => {
-				this._noteRequest(wire, bytes, sentMs, sender);
+				this._trackRequest(wire, bytes, sentMs, sender);
 				connection.receive(bytes);
 			},
 			start() {
@@ -265,10 +265,10 @@
 		};
 	}
 
-	private _noteRequest(wire: WorkWire, bytes: Uint8Array, sentMs: number, sender: SimulatedProcess): void {
+	private _trackRequest(wire: WorkWire, bytes: Uint8Array, sentMs: number, sender: SimulatedProcess): void {
 		const {observer} = this._plan;
 		const {isInTransaction} = wire;
-		if (!observer || !this._wires.has(wire) || !wire.noteRequest(bytes)) {
+		if (!observer || !this._wires.has(wire) || !wire.trackRequest(bytes)) {
 			return;
 		}
 
@@ -278,7 +278,7 @@
 		});
 	}
 
-	/** Replication between two endpoints over the network. */
+	/** Follows the log of a primary over the network; dispose to stop. */
 	private _follow(primary: SimulatedEndpoint | undefined, request: StreamRequest, receiver: StreamReceiver): Disposable {
 		let isOver = false;
 		let endAtPrimary: (() => void) | undefined;
--- a/soak/world/simulated-network.ts
+++ b/soak/world/simulated-network.ts
@@ -1,8 +1,8 @@
 /**
  * A network between processes: delays by zone, and cuts between zones.
  *
- * What is sent into a cut is not lost but held until the cut ends, as a connection that
- * outlives the cut would deliver it: late.
+ * A message that meets a cut is not lost but held until the cut ends, since a connection that
+ * outlives the cut delivers it late.
  */
 import type {Clock, Random} from '../../src/common/services/services.js';
 import type {SimulatedProcess} from './simulated-process.js';
@@ -15,21 +15,21 @@
 	readonly spreadMs: number;
 };
 
-type Held = {readonly from: SimulatedProcess; readonly to: SimulatedProcess; readonly action: () => void};
+type HeldMessage = {readonly from: SimulatedProcess; readonly to: SimulatedProcess; readonly action: () => void};
 
-/** Name that stands for the platform in a cut. */
+/** Zone name that stands for the platform in a cut. */
 export const platformZone = 'platform';
 
 /** Carries messages between processes. */
 export class SimulatedNetwork {
-	/** Time that everything between zones takes longer than usual. */
+	/** Additional delay of every message between zones, in milliseconds. */
 	extraDelayMs = 0;
 	private readonly _clock: Clock;
 	private readonly _random: Random;
 	private readonly _delays: NetworkDelays;
 	private readonly _cuts = new Set<string>();
 	private readonly _lastDueMs = new Map<string, number>();
-	private _held: Held[] = [];
+	private _held: HeldMessage[] = [];
 
 	constructor(clock: Clock, random: Random, delays: NetworkDelays) {
 		this._clock = clock;
@@ -37,12 +37,12 @@
 		this._delays = delays;
 	}
 
-	/** Whether nothing passes between two zones, in one direction at least. */
+	/** Whether messages between two zones are held in at least one direction. */
 	isCut(zoneA: string, zoneB: string): boolean {
-		return this._holds(zoneA, zoneB) || this._holds(zoneB, zoneA);
+		return this._isDirectionCut(zoneA, zoneB) || this._isDirectionCut(zoneB, zoneA);
 	}
 
-	/** Delivers an action to a process after the delay, in order for each pair of machines. */
+	/** Runs an action in the receiving process after the delay; messages between two machines keep their order. */
 	send(from: SimulatedProcess, to: SimulatedProcess, action: () => void): void {
 		if (!from.isAlive) {
 			return;
@@ -61,7 +61,7 @@
 		this.cutOneWay(zoneB, zoneA);
 	}
 
-	/** Holds what one zone sends to another; the other direction goes on. */
+	/** Holds messages from one zone to another; the other direction is not affected. */
 	cutOneWay(from: string, to: string): void {
 		this._cuts.add(directionKey(from, to));
 	}
@@ -76,8 +76,8 @@
 		}
 	}
 
-	private _arrive(message: Held): void {
-		if (this._holds(message.from.availabilityZone, message.to.availabilityZone)) {
+	private _arrive(message: HeldMessage): void {
+		if (this._isDirectionCut(message.from.availabilityZone, message.to.availabilityZone)) {
 			this._held.push(message);
 			return;
 		}
@@ -85,7 +85,7 @@
 		message.to.run(message.action);
 	}
 
-	private _holds(from: string, to: string): boolean {
+	private _isDirectionCut(from: string, to: string): boolean {
 		return this._cuts.size > 0 && this._cuts.has(directionKey(from, to));
 	}
 
--- a/soak/world/simulated-node.ts
+++ b/soak/world/simulated-node.ts
@@ -1,5 +1,5 @@
 /**
- * One node of the world: the product's own core with the world's time, network and platform.
+ * One node of the world: the core of the product with the simulated clock, network and platform.
  */
 import {AuditTrail} from '../../src/common/audit/audit-trail.js';
 import {TermRecords} from '../../src/common/groups/term-record.js';
@@ -13,11 +13,11 @@
 import {InitialDiscovery} from '../../src/node/initial-discovery.js';
 import type {PlatformClient} from '../../standins/platform/memory-platform.js';
 import type {SimulatedNetwork} from './simulated-network.js';
-import {platformFor} from './process-platform.js';
+import {platformWithin} from './process-platform.js';
 import {SimulatedPeers, type FindPeer, type PeerEnd} from './simulated-peers.js';
 import {type SimulatedProcess} from './simulated-process.js';
 
-/** What a node of the world is made with. */
+/** Parameters of one node of the world. */
 export type NodePlan = {
 	readonly host: Host;
 	readonly seed: number;
@@ -25,18 +25,18 @@
 	readonly adjustments: NodeAdjustments;
 };
 
-/** Changes to the parts of every node, for tests that break one on purpose. */
+/** Changes to components of every node, for tests that break one deliberately. */
 export type NodeAdjustments = {
 	readonly connector?: (connector: EndpointConnector) => EndpointConnector;
 	readonly table?: (table: Table) => Table;
-	/** Applies to what executes on peers. */
+	/** Replaces the executor for peers. */
 	readonly remoteExecutor?: (executor: HomeExecutor) => HomeExecutor;
 	/** Called with each node before it starts. */
 	readonly node?: (node: SimulatedNode) => void;
 };
 
-/** What the world lends to its nodes. */
-export type NodeSurroundings = {
+/** Services that the world provides to its nodes. */
+export type NodeEnvironment = {
 	readonly network: SimulatedNetwork;
 	readonly platform: PlatformClient;
 	readonly invariants: Invariants;
@@ -46,42 +46,42 @@
 	readonly findPeer: FindPeer;
 };
 
-/** A node while its process lives. */
+/** A node, for the lifetime of its process. */
 export class SimulatedNode implements PeerEnd {
 	readonly process: SimulatedProcess;
 	readonly host: SimulatedProcess;
 	readonly platform: PlatformClient;
 	readonly incarnation: string;
 	readonly core: NodeCore;
-	/** Requests of callers that it has not answered yet. */
+	/** Number of requests of callers that it has not answered yet. */
 	inProgressCount = 0;
-	/** Requests and transactions of callers that are not over yet. */
+	/** Number of requests and transactions of callers that have not ended yet. */
 	sessionCount = 0;
-	/** Requests of peers that are in progress here. */
+	/** Number of requests of peers that are in progress on this node. */
 	servedCount = 0;
 	isDraining = false;
 	isClosing = false;
-	private readonly _greeting: InitialDiscovery;
+	private readonly _initialDiscovery: InitialDiscovery;
 	private _sessionCount = 0;
 
-	constructor(plan: NodePlan, process: SimulatedProcess, host: SimulatedProcess, surroundings: NodeSurroundings) {
+	constructor(plan: NodePlan, process: SimulatedProcess, host: SimulatedProcess, environment: NodeEnvironment) {
 		this.process = process;
 		this.host = host;
-		this.platform = surroundings.platform;
+		this.platform = environment.platform;
 		this.incarnation = plan.host.incarnation;
 		const random = new SeededRandom(plan.seed);
 		const {adjustments} = plan;
 		const plainConnector = new PgEndpointConnector(process, {
-			user: 'proxy', password: '', dial: surroundings.dial(process),
+			user: 'proxy', password: '', dial: environment.dial(process),
 		});
 		const connector = adjustments.connector?.(plainConnector) ?? plainConnector;
-		const {metrics, invariants, network, findPeer} = surroundings;
+		const {metrics, invariants, network, findPeer} = environment;
 		const log: Log = {
 			event(name, fields) {
-				surroundings.log.event(name, {node: process.name, ...fields});
+				environment.log.event(name, {node: process.name, ...fields});
 			},
 		};
-		const platform = platformFor(process, surroundings.platform);
+		const platform = platformWithin(process, environment.platform);
 		const {objects, hostList} = platform;
 		const table = adjustments.table?.(platform.table) ?? platform.table;
 		const services = {
@@ -96,11 +96,11 @@
 			}),
 		}, plan.options);
 		const {membership, peers} = this.core;
-		this._greeting = new InitialDiscovery({...services, membership, peers});
+		this._initialDiscovery = new InitialDiscovery({...services, membership, peers});
 		adjustments.node?.(this);
 	}
 
-	/** Requests and transactions that its end would cut. */
+	/** Number of requests and transactions that would be cut off if it ended now. */
 	get workCount(): number {
 		return Math.max(this.inProgressCount, this.sessionCount) + this.servedCount;
 	}
@@ -113,12 +113,12 @@
 		this.core.membership.learn(host);
 	}
 
-	/** Starts as the daemon does: it meets others before it takes endpoints up. */
+	/** Starts as the daemon does: it discovers its peers before it works for endpoints. */
 	start(): void {
-		void this.core.start(async () => this._greeting.run());
+		void this.core.start(async () => this._initialDiscovery.run());
 	}
 
-	/** A new id for a caller's session on this node. */
+	/** A new id for a caller's session, unique across nodes and incarnations. */
 	nextSessionId(): string {
 		this._sessionCount += 1;
 		return `${this.process.name}/${this.incarnation}/${this._sessionCount}`;
--- a/soak/world/simulated-peers.ts
+++ b/soak/world/simulated-peers.ts
@@ -1,6 +1,6 @@
 /**
- * Links between nodes of the world: requests and answers cross the simulated network and
- * die with the processes at their ends.
+ * Links between nodes of the world: requests and answers cross the simulated network, and are lost
+ * when the process at either end is killed.
  */
 import {Left, Right, type Either} from 'purify-ts';
 import {Refusal} from '../../src/common/errors/error-kinds.js';
@@ -12,31 +12,31 @@
 import type {SimulatedNetwork} from './simulated-network.js';
 import type {SimulatedProcess} from './simulated-process.js';
 
-/** A node as its peers reach it. */
+/** A node as its peers see it. */
 export type PeerEnd = {
 	readonly process: SimulatedProcess;
-	/** The host under it, which refuses connections to a process that is gone. */
+	/** The host on which it runs, which refuses connections to a process that has ended. */
 	readonly host: SimulatedProcess;
 	readonly handlers: PeerHandlers;
 	readonly incarnation: string;
-	/** Requests of peers that are in progress here. */
+	/** Number of requests of peers that are in progress on this node. */
 	servedCount: number;
-	/** Whether it takes no new links any more. */
+	/** Whether it accepts no more links. */
 	readonly isClosing: boolean;
-	/** Takes in what a peer says about itself when it greets. */
+	/** Records what a peer says about itself when it connects. */
 	learn(host: Host): void;
 };
 
-/** Finds the node that runs under a name now. */
+/** Finds the node that currently runs under a name; undefined if none does. */
 export type FindPeer = (name: string) => PeerEnd | undefined;
 
-/** What the links of one node are made with. */
+/** Parameters of the links of one node. */
 export type PeersOptions = {
 	readonly self: SimulatedProcess;
 	readonly network: SimulatedNetwork;
 	readonly find: FindPeer;
 	readonly membership: Membership;
-	/** Changes what executes on peers, for tests. */
+	/** Replaces the executor for peers, for tests. */
 	readonly adjust?: (executor: HomeExecutor) => HomeExecutor;
 };
 
@@ -62,7 +62,7 @@
 		return this._adjust({
 			execute: async (request, sink, signal) => this._execute(host, request, sink, signal),
 			release: (group, endpoint, sessionId) => {
-				this._tell(host, peer => {
+				this._notify(host, peer => {
 					peer.handlers.executor.release(group, endpoint, sessionId);
 				});
 			},
@@ -70,35 +70,35 @@
 	}
 
 	async groupView(host: Host, group: string, timeoutMs: number): Promise<Either<Refusal, GroupView>> {
-		return this._ask(host, timeoutMs, async peer => peer.handlers.groupView(group));
+		return this._request(host, timeoutMs, async peer => peer.handlers.groupView(group));
 	}
 
 	async probe(host: Host, timeoutMs: number): Promise<Either<Refusal, PeerProbe>> {
-		return this._ask(host, timeoutMs, async peer => peer.handlers.probe());
+		return this._request(host, timeoutMs, async peer => peer.handlers.probe());
 	}
 
 	announcePrimary(host: Host, announcement: PrimaryAnnouncement): void {
-		this._tell(host, peer => {
+		this._notify(host, peer => {
 			peer.handlers.onPrimaryAnnounced(announcement);
 		});
 	}
 
 	async fetchChanges(host: Host, afterNumber: number, timeoutMs: number): Promise<Either<Refusal, ChangeBatch>> {
-		return this._ask(host, timeoutMs, async peer => peer.handlers.changesAfter(afterNumber));
+		return this._request(host, timeoutMs, async peer => peer.handlers.changesAfter(afterNumber));
 	}
 
 	announceVersion(host: Host, version: number): void {
-		this._tell(host, peer => {
+		this._notify(host, peer => {
 			peer.handlers.onVersionAnnounced(this._self.name, version);
 		});
 	}
 
 	async handOver(host: Host, endpoint: string, timeoutMs: number): Promise<Either<Refusal, void>> {
-		return this._ask(host, timeoutMs, async peer => peer.handlers.handOver(endpoint));
+		return this._request(host, timeoutMs, async peer => peer.handlers.handOver(endpoint));
 	}
 
 	announceLeaving(host: Host): void {
-		this._tell(host, peer => {
+		this._notify(host, peer => {
 			peer.handlers.onLeavingAnnounced(this._self.name);
 		});
 	}
@@ -118,7 +118,7 @@
 		this._linked.clear();
 	}
 
-	private _tell(host: Host, action: (peer: PeerEnd) => void): void {
+	private _notify(host: Host, action: (peer: PeerEnd) => void): void {
 		const peer = this._find(host.name);
 		if (!peer) {
 			return;
@@ -132,7 +132,7 @@
 		});
 	}
 
-	/** The peer learns when this process ends; that is when it lets go of its sessions. */
+	/** Introduces this node to the peer, and notifies the peer when this process ends, so that it releases the sessions. */
 	private _link(peer: PeerEnd): void {
 		if (this._linked.get(peer.process.name) === peer.process) {
 			return;
@@ -154,7 +154,7 @@
 		});
 	}
 
-	private async _ask<T>(host: Host, timeoutMs: number, answer: (peer: PeerEnd) => Promise<T>): Promise<Either<Refusal, T>> {
+	private async _request<T>(host: Host, timeoutMs: number, answer: (peer: PeerEnd) => Promise<T>): Promise<Either<Refusal, T>> {
 		const peer = this._find(host.name);
 		return new Promise(resolve => {
 			const settle = (result: Either<Refusal, T>, isReachable: boolean) => {
@@ -176,7 +176,7 @@
 			this._link(peer);
 			this._network.send(this._self, peer.host, () => {
 				peer.process.run(() => {
-					void this._answerBack(peer, answer, value => {
+					void this._reply(peer, answer, value => {
 						settle(Right(value), true);
 					});
 				});
@@ -184,7 +184,7 @@
 		});
 	}
 
-	private async _answerBack<T>(peer: PeerEnd, answer: (peer: PeerEnd) => Promise<T>, deliver: (value: T) => void): Promise<void> {
+	private async _reply<T>(peer: PeerEnd, answer: (peer: PeerEnd) => Promise<T>, deliver: (value: T) => void): Promise<void> {
 		const value = await answer(peer);
 		if (peer.process.isAlive) {
 			this._network.send(peer.process, this._self, () => {
--- a/soak/world/simulated-process.ts
+++ b/soak/world/simulated-process.ts
@@ -1,24 +1,25 @@
 /**
- * A process that can be killed or frozen: its timers and what reaches it obey.
+ * A process that can be killed or frozen. While it is frozen, timers and messages are deferred; once
+ * it is killed, they are dropped.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import {toDisposable} from '../../src/common/lifecycle/disposable.js';
 import {Emitter, type Event} from '../../src/common/lifecycle/emitter.js';
 import type {Clock} from '../../src/common/services/services.js';
 
-/** One process in one availability zone; also the clock of what runs in it. */
+/** A process in an availability zone; it is also the clock of the code that runs in it. */
 export class SimulatedProcess implements Clock {
 	readonly name: string;
 	readonly availabilityZone: string;
-	/** Name of the machine: what leaves one machine for another stays in order. */
+	/** Name of the machine; messages from one machine to another keep their order. */
 	readonly machine: string;
-	/** The process has been killed: its connections are reset. */
+	/** Fires when the process is killed and its connections are reset. */
 	readonly onEnd: Event<void>;
 	private readonly _clock: Clock;
 	private readonly _onEnd = new Emitter<void>();
 	private _isAlive = true;
 	private _isFrozen = false;
-	/** What came due or arrived while the process was frozen, in order. */
+	/** Timers and messages that came due while the process was frozen, in order. */
 	private _deferred: Array<() => void> = [];
 
 	constructor(name: string, availabilityZone: string, clock: Clock, machine = name) {
@@ -60,7 +61,7 @@
 		});
 	}
 
-	/** Runs something in the process: now, when it is thawed, or never. */
+	/** Runs an action in the process: at once, after a thaw if it is frozen, or never if it is killed. */
 	run(action: () => void): void {
 		if (!this._isAlive) {
 			return;
@@ -87,20 +88,20 @@
 		}
 	}
 
-	/** Ends the process without a word. */
+	/** Ends the process abruptly. */
 	kill(): void {
 		if (!this._isAlive) {
 			return;
 		}
 
-		// What its end sets off is the host's doing; nothing else leaves a process that is gone.
+		// Listeners still send the resets, on behalf of the host, before the process counts as dead; nothing leaves it afterwards.
 		this._onEnd.fire();
 		this._isAlive = false;
 		this._deferred = [];
 	}
 }
 
-/** What was promised, or undefined when the process ends before. */
+/** Resolves with the value of a promise, or with undefined if the process ends before. */
 export async function untilEnd<T>(process: SimulatedProcess, promise: Promise<T>): Promise<T | undefined> {
 	return new Promise((resolve, reject) => {
 		const ended = process.onEnd(() => {
--- a/soak/world/simulated-socket.ts
+++ b/soak/world/simulated-socket.ts
@@ -1,5 +1,5 @@
 /**
- * A connection from a node to an endpoint, as the node's connector sees a socket.
+ * A connection from a node to an endpoint, with the socket interface that the node's connector uses.
  */
 import type {Disposable} from '../../src/common/lifecycle/disposable.js';
 import type {EndpointAddress} from '../../src/common/services/services.js';
@@ -15,7 +15,7 @@
 	connect: Array<() => void>;
 };
 
-/** Bytes both ways, with the network's delays, cuts and the processes' states. */
+/** Carries bytes in both directions, subject to the delays and cuts of the network and to the states of the processes. */
 export class SimulatedSocket implements ByteSocket {
 	private readonly _node: SimulatedProcess;
 	private readonly _endpoint: SimulatedEndpoint;
@@ -28,14 +28,14 @@
 	private _server: SimulatedConnection | undefined;
 	private _isDestroyed = false;
 	private _isServerClosed = false;
-	private _waiting: Uint8Array[] | undefined = [];
+	private _pendingWrites: Uint8Array[] | undefined = [];
 
 	constructor(node: SimulatedProcess, endpoint: SimulatedEndpoint, network: SimulatedNetwork) {
 		this._node = node;
 		this._endpoint = endpoint;
 		this._network = network;
 		this._toEndpoint(() => {
-			this._knock();
+			this._connect();
 		});
 		this._nodeEnd = node.onEnd(() => {
 			this._toEndpoint(() => {
@@ -53,7 +53,7 @@
 	}
 
 	setNoDelay(): void {
-		// Nothing is ever delayed for company here.
+		// The simulated network never delays a small write in order to combine it with others.
 	}
 
 	on<K extends keyof Listeners>(event: K, listener: Listeners[K][number]): void {
@@ -65,8 +65,8 @@
 			return;
 		}
 
-		if (this._waiting) {
-			this._waiting.push(bytes);
+		if (this._pendingWrites) {
+			this._pendingWrites.push(bytes);
 			return;
 		}
 
@@ -90,15 +90,15 @@
 	}
 
 	pause(): void {
-		// Answers are small in these runs: the connector keeps what it is given.
+		// Back-pressure is not simulated: answers are small in these runs, and the connector buffers them.
 	}
 
 	resume(): void {
-		// As above.
+		// See pause().
 	}
 
-	/** The endpoint's host answers a connection attempt, whatever state its process is in. */
-	private _knock(): void {
+	/** Connects: the host of the endpoint accepts unless the endpoint is down, even if its process is frozen. */
+	private _connect(): void {
 		if (this._endpoint.isDown) {
 			this._toNode(() => {
 				this._reset('connection refused');
@@ -107,8 +107,8 @@
 		}
 
 		this._toNode(() => {
-			const waiting = this._waiting ?? [];
-			this._waiting = undefined;
+			const waiting = this._pendingWrites ?? [];
+			this._pendingWrites = undefined;
 			for (const listener of this._listeners.connect) {
 				listener();
 			}
@@ -138,7 +138,7 @@
 			return;
 		}
 
-		this._endpoint.greet(bytes, {
+		this._endpoint.handleStartUp(bytes, {
 			isFull: false,
 			write: (answer: Uint8Array) => {
 				const bytes = new Uint8Array(answer);
@@ -210,7 +210,7 @@
 	}
 }
 
-/** Opens such connections for one node; an unknown address is refused. */
+/** A function that opens connections from one node; it throws if the endpoint is unknown. */
 export function dialFor(node: SimulatedProcess, network: SimulatedNetwork, find: (name: string) => SimulatedEndpoint | undefined): (address: EndpointAddress) => ByteSocket {
 	return ({name}) => {
 		const endpoint = find(name);
--- a/soak/world/start-up-message.ts
+++ b/soak/world/start-up-message.ts
@@ -1,18 +1,18 @@
 /**
- * Reads what a client of an endpoint sends first.
+ * Reads the first message that a client sends to an endpoint.
  */
 import {appNames} from '../../standins/endpoint/constants.js';
 import type {ConnectionPurpose} from '../../standins/endpoint/wire/connection.js';
 
 const cancelRequestCode = 80_877_102;
 
-/** What a first message asks for. */
+/** The request in a first message. */
 export type StartUpMessage = {
 	readonly appName: string;
 	readonly purpose: ConnectionPurpose;
 	/** Home that a work connection belongs to; empty for the other purposes. */
 	readonly homeId: string;
-	/** Set on a request to cancel what another connection runs. */
+	/** Process id of the connection whose statement is to be cancelled; set on a CancelRequest only. */
 	readonly cancelledProcessId?: number;
 };
 
--- a/soak/world/work-wire.ts
+++ b/soak/world/work-wire.ts
@@ -1,5 +1,5 @@
 /**
- * What passes on one work connection, read off the wire at the endpoint.
+ * The state of one work connection, derived from its bytes at the endpoint.
  */
 import type {ConnectionOutput} from '../../standins/endpoint/wire/connection.js';
 import type {SimulatedProcess} from './simulated-process.js';
@@ -12,23 +12,23 @@
 /** A request cycle that arrived at an endpoint. */
 export type ArrivedCycle = {
 	readonly endpoint: string;
-	/** Process that sent it. */
+	/** The process that sent it. */
 	readonly sender: SimulatedProcess;
 	readonly sentMs: number;
 	/** Whether the connection had a transaction open. */
 	readonly isInTransaction: boolean;
-	/** Request cycles in progress at the endpoint, this one included. */
+	/** Number of request cycles in progress at the endpoint, including this one. */
 	readonly inProgress: number;
 };
 
-/** Told what happens at the endpoints of a world. */
+/** Notified of what happens at the endpoints of a world. */
 export type EndpointObserver = {
 	onCycle(cycle: ArrivedCycle): void;
-	/** A connection was refused because the endpoint had as many as it accepts. */
+	/** A connection was refused because the endpoint had its maximum number of connections. */
 	onFull(endpoint: string, startUp: StartUpMessage): void;
 };
 
-/** State of one work connection. */
+/** Tracks requests and transactions of one work connection. */
 export class WorkWire {
 	private _isBusy = false;
 	private _isInTransaction = false;
@@ -42,15 +42,15 @@
 		return this._isInTransaction;
 	}
 
-	/** Takes note of what the client sent; whether a request cycle began with it. */
-	noteRequest(bytes: Uint8Array): boolean {
+	/** Tracks bytes that the client sent, and returns whether a request cycle began with them. */
+	trackRequest(bytes: Uint8Array): boolean {
 		const isBeginning = !this._isBusy && bytes[0] !== terminateCode;
 		this._isBusy ||= isBeginning;
 		return isBeginning;
 	}
 
-	/** Takes note of an answer: whole messages, of which the last may end the cycle. */
-	noteAnswer(bytes: Uint8Array): void {
+	/** Tracks bytes of an answer, which must be whole messages; the last one may end the request cycle. */
+	trackAnswer(bytes: Uint8Array): void {
 		if (bytes.at(-6) === readyCode) {
 			this._isBusy = false;
 			this._isInTransaction = bytes.at(-1) !== idleStatus;
@@ -58,14 +58,14 @@
 	}
 }
 
-/** An output whose bytes are also looked at. */
-export function watched(output: ConnectionOutput, wire: WorkWire): ConnectionOutput {
+/** The output of a connection, with its answers tracked. */
+export function trackAnswers(output: ConnectionOutput, wire: WorkWire): ConnectionOutput {
 	return {
 		get isFull() {
 			return output.isFull;
 		},
 		write(bytes) {
-			wire.noteAnswer(bytes);
+			wire.trackAnswer(bytes);
 			output.write(bytes);
 		},
 		end() {
--- a/soak/world/world-plan.ts
+++ b/soak/world/world-plan.ts
@@ -1,5 +1,5 @@
 /**
- * What a world is made of, and who is told what happens in it.
+ * The plan of a world, and the observers of what happens in it.
  */
 import type {Change, Operation} from '../../src/common/configuration/schema.js';
 import type {NodeOptions} from '../../src/common/node-core.js';
@@ -29,28 +29,28 @@
 	readonly adjustments?: NodeAdjustments;
 };
 
-/** Times of a graceful end. */
+/** Times of the graceful end of a node, in milliseconds. */
 export type DrainTimes = {
-	/** For the platform's balancer to notice that the node is leaving. */
+	/** Time for the platform's load balancer to notice that the node is leaving. */
 	readonly noticeMs: number;
-	/** For requests and transactions, at most. */
+	/** Maximum time for requests and transactions to finish. */
 	readonly boundMs: number;
-	/** For peers to close their links. */
+	/** Time for peers to close their links. */
 	readonly linksMs: number;
 };
 
-/** Times of a graceful end where none are given. */
+/** Default times of a graceful end. */
 export const usualDrainTimes: DrainTimes = {noticeMs: 500, boundMs: 20_000, linksMs: 50};
 
-/** Told about nodes and about changes of the configuration. */
+/** Notified of nodes that start and of changes to the configuration. */
 export type ConfigurationObserver = {
 	onNodeStarted(node: SimulatedNode): void;
-	/** A change is being proposed; it may be in force anywhere from now on. */
+	/** A change is being proposed; from now on it may be in force on any node. */
 	onProposed(operations: readonly Operation[]): void;
 	onAccepted(change: Change, node: SimulatedNode): void;
 };
 
-/** What the world counts while it runs. */
+/** The observers of a world. */
 export type WorldObservers = {
 	readonly log: Log;
 	readonly metrics: Metrics;
@@ -70,7 +70,7 @@
 	})));
 }
 
-/** The first change of a world's configuration: everything that the plan has. */
+/** The first change of a world's configuration: all services, groups, endpoints and rules of the plan. */
 export function firstOperationsOf({slots, connections, groups, rules}: WorldPlan, addresses: readonly EndpointAddress[]): readonly Operation[] {
 	return [
 		{op: 'put', kind: 'service', value: {name: 'service', labels: {}}},
--- a/soak/world/world.ts
+++ b/soak/world/world.ts
@@ -16,8 +16,8 @@
 	addressesOf, firstOperationsOf, usualDrainTimes, type DrainTimes, type WorldObservers, type WorldPlan,
 } from './world-plan.js';
 
-/** How often a draining node looks whether its callers are done. */
-const drainLookMs = 10;
+/** Interval at which a draining node checks whether its requests and transactions are done, in milliseconds. */
+const drainPollMs = 10;
 
 /** The system under test and everything around it. */
 export class World {
@@ -63,7 +63,7 @@
 		await this.clock.advance(5000);
 	}
 
-	/** Starts a process for a node; a new one of the same name is another incarnation. */
+	/** Starts a node in a new process; each start under the same name is a new incarnation. */
 	startNode(name: string, availabilityZone: string): SimulatedNode {
 		this._incarnationCount += 1;
 		const host: Host = {
@@ -98,12 +98,12 @@
 		return node;
 	}
 
-	/** Starts a node unless one of its name runs. */
+	/** The running node of this name, which is started if there is none. */
 	ensureNode(name: string, availabilityZone: string): SimulatedNode {
 		return this.nodes.get(name) ?? this.startNode(name, availabilityZone);
 	}
 
-	/** Ends a node's process without a word. */
+	/** Ends a node's process abruptly. */
 	killNode(name: string): void {
 		const node = this.nodes.get(name);
 		if (node) {
@@ -113,7 +113,7 @@
 		}
 	}
 
-	/** Ends a node as its platform does on a replacement: with time to finish. */
+	/** Ends a node as the platform does on a replacement, with time to finish; resolves with the number of requests and transactions that were cut off. */
 	async drainNode(name: string, times: Partial<DrainTimes> = {}): Promise<{readonly cutCount: number}> {
 		const node = this.nodes.get(name);
 		if (!node) {
@@ -128,14 +128,14 @@
 		await untilEnd(node.process, node.core.drain(boundMs));
 		// Requests and transactions of callers and of peers finish within the same bound.
 		while (node.workCount > 0 && this.clock.nowMs() < endMs && node.process.isAlive) {
-			await this.pause(drainLookMs);
+			await this.pause(drainPollMs);
 		}
 
 		if (!node.process.isAlive) {
 			return {cutCount: 0};
 		}
 
-		// Peers close their links; what they sent until then is refused properly.
+		// Peers now close their links; until the node ends, it refuses their new requests.
 		node.isClosing = true;
 		await this.pause(linksMs);
 		const cutCount = node.workCount;
@@ -143,7 +143,7 @@
 		return {cutCount};
 	}
 
-	/** An endpoint by its name or its address. */
+	/** Finds an endpoint by its name or its host address. */
 	endpoint(name: string): SimulatedEndpoint | undefined {
 		const index = this.addresses.findIndex(address => address.name === name || address.host === name);
 		return this.endpoints[index];
@@ -154,7 +154,7 @@
 		return this.endpoints.filter((_, index) => this.addresses[index].group === group);
 	}
 
-	/** Cuts a zone off from the others, and from the platform if asked. */
+	/** Cuts a zone off from the others, and also from the platform if `isPlatformCut`. */
 	isolate(zone: string, isPlatformCut: boolean): void {
 		for (const other of this.plan.zones) {
 			if (other !== zone) {
@@ -175,7 +175,7 @@
 		this._applyPlatformCuts();
 	}
 
-	/** Waits in the world's time. */
+	/** Waits for a virtual time in milliseconds. */
 	async pause(durationMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			this.clock.setTimer(durationMs, resolve);
