--- a/soak/breakages.test.ts
+++ b/soak/breakages.test.ts
@@ -4,10 +4,10 @@
 import {run, type RunPlan} from './run.js';
 import {breakages, type Breakage} from './testing/breakages.js';
 
-/** Tried one after the other until the breakage shows, since not every seed leads into it; one group each. */
+/** Tried in order until the breakage is found, since not every seed leads to it; an even seed has one group. */
 const seeds = [2, 4, 6, 8, 10, 12];
 
-/** Short, with faults close together, since each run looks for one thing. */
+/** A short plan with faults close together, since each run looks for one breakage. */
 function planFor({circumstances: {delays, ...circumstances}}: Breakage, seed: number): RunPlan {
 	const plan = planOf(seed, 6000);
 	return {
@@ -26,7 +26,7 @@
 	return [...new Set(findings.map(({promise}) => promise))];
 }
 
-/** What runs with a breakage found, up to the first that found what was expected. */
+/** Promises that runs with a breakage found broken, up to the first run that found an expected one; each run without it must find none. */
 async function findBreakage(breakage: Breakage): Promise<ReadonlySet<string>> {
 	const found = new Set<string>();
 	for (const seed of seeds) {
@@ -44,7 +44,7 @@
 	return found;
 }
 
-describe('a run finds a deliberate breakage, and nothing without it', () => {
+describe('a run finds a deliberate breakage, and nothing without one', () => {
 	for (const breakage of breakages) {
 		it(breakage.name, async () => {
 			const found = await findBreakage(breakage);
--- a/soak/calm.test.ts
+++ b/soak/calm.test.ts
@@ -6,8 +6,8 @@
 
 const seeds = [1, 2];
 
-/** Kinds of refusals with which a caller knows that nothing ran and that it may come back. */
-const harmlessKinds = new Set(Object.entries(errorAnswers)
+/** Kinds of refusals that tell the caller that nothing ran and that it may retry. */
+const retryableKinds = new Set(Object.entries(errorAnswers)
 	.filter(([kind, {outcome, retryAfterMs}]) => outcome === 'notRun' && retryAfterMs > 0 && kind !== 'transactionLost')
 	.map(([kind]) => kind));
 
@@ -17,11 +17,11 @@
 	};
 }
 
-/** Answers other than rows and harmless refusals, with their counts. */
-function harmOf({history}: RunResult): ReadonlyArray<readonly [string, number]> {
+/** Counts of the answers that are neither rows nor refusals that may be retried. */
+function harmfulAnswers({history}: RunResult): ReadonlyArray<readonly [string, number]> {
 	return [...history.counts].filter(([name]) => {
 		const [, what] = name.split(': ');
-		return what !== 'answered' && !harmlessKinds.has(what);
+		return what !== 'answered' && !retryableKinds.has(what);
 	});
 }
 
@@ -30,11 +30,11 @@
 		for (const seed of seeds) {
 			const result = await run(calmPlan(seed, ['drainNode', 'rollNodes']));
 			expect(result.findings).toEqual([]);
-			expect(harmOf(result)).toEqual([]);
+			expect(harmfulAnswers(result)).toEqual([]);
 		}
 	});
 
-	it('replace no primary for pauses shorter than 2 s, with the platform down or slow', async () => {
+	it('replace no primary because of pauses shorter than 2 s, with the platform unavailable or slow', async () => {
 		for (const seed of seeds) {
 			const result = await run(calmPlan(seed, ['pauseEndpoint', 'pauseNode', 'platformOutage', 'platformSlow', 'lostAnswers', 'lagSpike']));
 			expect(result.findings).toEqual([]);
--- a/soak/counting-metrics.ts
+++ b/soak/counting-metrics.ts
@@ -1,9 +1,9 @@
 /**
- * Metrics of a run, added up over its nodes.
+ * Metrics of a run, summed over its nodes.
  */
 import type {MetricName, Metrics} from '../src/common/services/services.js';
 
-/** Keeps counters by name and labels, and every observed value by name. */
+/** Collects counters by name and labels, and every observed value by name. */
 export class HistogramMetrics implements Metrics {
 	readonly counters = new Map<string, number>();
 	readonly values = new Map<MetricName, number[]>();
@@ -14,7 +14,7 @@
 	}
 
 	gauge(): void {
-		// Momentary values of many nodes mean nothing when added up.
+		// Gauges are not collected: the current values of several nodes have no meaningful sum.
 	}
 
 	observe(name: MetricName, value: number): void {
--- a/soak/findings.ts
+++ b/soak/findings.ts
@@ -1,20 +1,20 @@
 /**
- * What a run can find broken.
+ * Findings of a run.
  */
 import type {InvariantName} from '../src/common/services/services.js';
 
-/** Promises as they are seen from outside of the nodes. */
+/** Promises that are checked from outside the nodes. */
 export type OutsidePromise
-	// Seen by callers.
+	// Observed by callers.
 	= | 'lost' | 'doubled' | 'ranAfterNotRun' | 'stale' | 'ackedAtOldPrimary' | 'wentBack' | 'tooOld' | 'mixed' | 'foreignAnswer' | 'invented' | 'unanswered'
-	// Seen at endpoints.
+	// Observed at endpoints.
 		| 'foreignConnection' | 'keyOutlived' | 'keyUnknown' | 'usageExceeded' | 'leavingServed' | 'slotsExceeded' | 'connectionsExceeded' | 'leftOpen'
-	// Seen at nodes.
+	// Observed at nodes.
 		| 'drainCut' | 'configurationLate' | 'configurationAltered' | 'configurationWentBack'
-	// Seen in the whole system.
+	// Observed in the whole system.
 		| 'falsePromotion' | 'notRecovered';
 
-/** One broken promise, or an invariant that the program itself found broken. */
+/** One broken promise, or an invariant that a node itself found broken. */
 export type Finding = {
 	readonly promise: OutsidePromise | InvariantName;
 	readonly detail: string;
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,5 +1,5 @@
 /**
- * Long randomised runs: `npm run soak -- --seed N --minutes M`. Exit code 1 on a violation.
+ * Long randomised runs: `npm run soak -- --seed N --minutes M`. The exit code is 1 on a violation.
  */
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
@@ -8,18 +8,18 @@
 import {run, type RunPlan, type RunResult} from './run.js';
 
 const program = new Command('soak')
-	.description('Randomised runs of whole systems on a virtual clock, judged from the callers\' view')
+	.description('Randomised runs of whole systems on a virtual clock, checked from the callers\' point of view')
 	.option('--seed <number>', 'first seed', Number, 1)
 	.option('--runs <number>', 'number of seeds', Number)
-	.option('--minutes <number>', 'real time to keep taking further seeds', Number, 1)
+	.option('--minutes <number>', 'real time for which further seeds are run', Number, 1)
 	.option('--seconds <number>', 'virtual time of one run', Number, 60)
 	.option('--faults <names>', 'only these faults, separated by commas', readFaultNames)
-	.option('--verbose', 'print what callers were told', false);
+	.option('--verbose', 'print the counts of faults, answers and events of every run', false);
 
 type Options = {seed: number; runs?: number; minutes: number; seconds: number; faults?: readonly FaultName[]; verbose: boolean};
 
-/** Findings printed of one run. */
-const printedFindings = 10;
+/** Maximum number of findings printed per run. */
+const maximumPrintedFindings = 10;
 
 async function main(): Promise<void> {
 	const options = program.parse().opts<Options>();
@@ -50,7 +50,7 @@
 	process.exitCode = failedRuns > 0 ? 1 : 0;
 }
 
-/** A run that comes to no end is a failed one. */
+/** Runs a plan; undefined, which counts as failed, if the run throws. */
 async function runToEnd(seed: number, plan: RunPlan): Promise<RunResult | undefined> {
 	try {
 		return await run(plan);
@@ -71,12 +71,12 @@
 	});
 }
 
-/** Prints one run; whether it held. */
+/** Prints the result of one run, and returns whether it is without findings. */
 function report(seed: number, result: RunResult, isVerbose: boolean): boolean {
 	const {history, findings} = result;
 	const isGood = findings.length === 0;
 	console.log(`seed ${seed}: ${history.writes.length} writes, ${history.reads.length} reads, ${sum(result.faults.values())} faults, ${findings.length} violations`);
-	for (const {promise, detail} of findings.slice(0, printedFindings)) {
+	for (const {promise, detail} of findings.slice(0, maximumPrintedFindings)) {
 		console.log(`  ${promise}: ${detail}`);
 	}
 
--- a/soak/plans.ts
+++ b/soak/plans.ts
@@ -1,5 +1,5 @@
 /**
- * Plans of runs: the shape that a seed gives to a world, its load and its faults.
+ * Plans of runs: the world, the load and the faults that belong to a seed.
  */
 import {SeededRandom} from '../src/common/random/seeded-random.js';
 import type {Random} from '../src/common/services/services.js';
@@ -7,13 +7,13 @@
 import type {RunPlan} from './run.js';
 import type {WorldPlan} from './world/world-plan.js';
 
-/** Share of the faults that one run may have; a different choice for each seed. */
+/** Share of the faults that one run may inject; each seed selects others. */
 const faultShare = 0.6;
 
 /** Share of the runs whose groups have five instances. */
 const largeGroupShare = 0.15;
 
-/** Share of the runs with faults close together. */
+/** Share of the runs with short pauses between faults. */
 const heavyShare = 0.2;
 
 const heavyPauseMs = 400;
@@ -25,12 +25,12 @@
 	{p50Ms: 200, p99Ms: 2000},
 ] as const;
 
-/** The last one is more than the slots can do under the shortest pauses. */
+/** With the longest service time and the shortest pauses the load exceeds the capacity of the slots. */
 const serviceTimesMs = [0.5, 0.5, 2, 8, 40] as const;
 
 const pausesMs = [40, 100, 150, 250] as const;
 
-/** The plan of a seed for breadth: shape, load and faults differ between seeds. */
+/** The varied plan of a seed: shape of the world, load and faults differ between seeds. */
 export function variedPlanOf(seed: number, durationMs: number): RunPlan {
 	const random = new SeededRandom((seed * 31) + 7);
 	return {
--- a/soak/replay.test.ts
+++ b/soak/replay.test.ts
@@ -7,7 +7,7 @@
 
 const plan: RunPlan = {...variedPlanOf(seed, 4000), recoveryMs: 2000};
 
-/** Everything that a run showed, as text. */
+/** Everything that a run observed, as text. */
 function recordOf({history, faults, events, findings}: RunResult): string {
 	return JSON.stringify([history.writes, history.reads, [...history.counts], [...faults], [...events], findings]);
 }
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,5 +1,5 @@
 /**
- * One randomised run: a world, its callers and its faults, judged at the end.
+ * One randomised run: a world with callers and faults, and the check of every promise at its end.
  */
 import {SeededRandom} from '../src/common/random/seeded-random.js';
 import type {LogEventName} from '../src/common/services/services.js';
@@ -15,13 +15,13 @@
 import type {DrainTimes, WorldPlan} from './world/world-plan.js';
 import {World} from './world/world.js';
 
-/** What one run does. */
+/** World, load and faults of one run. */
 export type RunPlan = {
 	readonly world: WorldPlan;
 	readonly callerCount: number;
 	/** Virtual time with load and faults. */
 	readonly durationMs: number;
-	/** Virtual time with load after the last fault was mended. */
+	/** Virtual time with load after the last fault was undone. */
 	readonly recoveryMs: number;
 	/** Time within which every group must take writes again. */
 	readonly recoveryBoundMs: number;
@@ -35,39 +35,39 @@
 	/** Mean time between faults of one chain; zero for none. */
 	readonly faultPauseMs: number;
 	readonly faultChains: number;
-	/** Faults that may come; all of them when left out. */
+	/** Faults to choose from; all of them by default. */
 	readonly faultNames?: readonly FaultName[];
-	/** Times that a node which is to go is given, where not as usual. */
+	/** Times of a graceful end of a node, where they differ from the defaults. */
 	readonly drain?: DrainTimes;
 	readonly sabotage: CallerSabotage;
 };
 
-/** What one run showed. */
+/** Findings, history and counts of one run. */
 export type RunResult = {
 	readonly findings: readonly Finding[];
 	readonly history: History;
 	readonly faults: ReadonlyMap<FaultName, number>;
 	readonly events: ReadonlyMap<LogEventName, number>;
 	readonly metrics: HistogramMetrics;
-	/** Request cycles that were in progress at one endpoint at one time, at most. */
+	/** Maximum number of request cycles in progress at one endpoint at the same time. */
 	readonly slotPeak: number;
-	/** Time until each group took a write after the last fault. */
+	/** Time until each group acknowledged a write after the last fault, in milliseconds. */
 	readonly recoveriesMs: readonly number[];
-	/** Time that accepted changes took to come into force, for each node and change. */
+	/** Time that accepted changes took to come into force, for each node and change, in milliseconds. */
 	readonly changeDelaysMs: readonly number[];
 };
 
-/** Everything that listens to a run. */
+/** The world of a run and everything that observes it. */
 class RunObservers {
-	readonly broken: Finding[] = [];
+	readonly violations: Finding[] = [];
 	readonly events = new Map<LogEventName, number>();
 	readonly metrics = new HistogramMetrics();
 	readonly changes = new ConfigurationWatch();
-	readonly arrivals: EndpointWatch;
+	readonly endpointWatch: EndpointWatch;
 	readonly world: World;
 
 	constructor(plan: WorldPlan) {
-		this.arrivals = new EndpointWatch(plan.slots, this.changes);
+		this.endpointWatch = new EndpointWatch(plan.slots, this.changes);
 		this.world = new World(plan, {
 			metrics: this.metrics,
 			log: {
@@ -78,31 +78,31 @@
 			invariants: {
 				check: (promise, condition, detail) => {
 					if (!condition) {
-						this.broken.push({promise, detail: detail()});
+						this.violations.push({promise, detail: detail()});
 					}
 
 					return condition;
 				},
 			},
-			endpoints: this.arrivals,
-			configuration: this.arrivals,
+			endpoints: this.endpointWatch,
+			configuration: this.endpointWatch,
 		});
 	}
 
-	/** Ends what watches, and says what it found. */
+	/** Ends the observation and returns its findings. */
 	finish(): readonly Finding[] {
 		this.changes.finish();
-		return [...this.arrivals.findings, ...this.changes.findings, ...this.broken];
+		return [...this.endpointWatch.findings, ...this.changes.findings, ...this.violations];
 	}
 }
 
-/** Time without load at the end, after which nothing may be left open at an endpoint. */
+/** Time without load at the end, after which no work connection may have a request or transaction open, in milliseconds. */
 const quietMs = 3000;
 
-/** Longest virtual time for what must come to an end by itself. */
-const endBoundMs = 240_000;
+/** Maximum virtual time in which faults and callers must come to an end by themselves, in milliseconds. */
+const maximumEndMs = 240_000;
 
-/** Runs and judges. */
+/** Runs a plan to its end and checks every promise; throws if the faults or callers come to no end. */
 export async function run(plan: RunPlan): Promise<RunResult> {
 	const observers = new RunObservers(plan.world);
 	const {world} = observers;
@@ -113,20 +113,20 @@
 	const callers = makeCallers(plan, world, history);
 	await clock.advanceUntil(Promise.all(callers.map(async caller => caller.prepare())));
 	const injector = new FaultInjector(world, new SeededRandom(plan.world.seed), {names: plan.faultNames, drain: plan.drain});
-	const working = callers.map(async caller => caller.run());
-	const breaking = plan.faultPauseMs > 0 ? Array.from({length: plan.faultChains}, async () => injector.run(plan.faultPauseMs)) : [];
+	const callerRuns = callers.map(async caller => caller.run());
+	const faultRuns = plan.faultPauseMs > 0 ? Array.from({length: plan.faultChains}, async () => injector.run(plan.faultPauseMs)) : [];
 	await clock.advance(plan.durationMs);
 	injector.stop();
-	await clock.advanceUntil(Promise.all(breaking), endBoundMs);
-	const mendedMs = clock.nowMs();
+	await clock.advanceUntil(Promise.all(faultRuns), maximumEndMs);
+	const undoneMs = clock.nowMs();
 	await clock.advance(plan.recoveryMs);
 	for (const caller of callers) {
 		caller.stop();
 	}
 
-	await clock.advanceUntil(Promise.all(working), endBoundMs);
+	await clock.advanceUntil(Promise.all(callerRuns), maximumEndMs);
 	await clock.advance(quietMs);
-	const recoveriesMs = plan.world.groups.map(group => recoveryOf(history, group, mendedMs));
+	const recoveriesMs = plan.world.groups.map(group => recoveryOf(history, group, undoneMs));
 	const tables = readTables(world, plan.callerCount);
 	const watched = observers.finish();
 	const findings = [...judge(history, tables), ...injector.findings, ...watched, ...leftOpen(world), ...judgeRecovery(plan, recoveriesMs)];
@@ -137,7 +137,7 @@
 		faults: injector.counts,
 		events: observers.events,
 		metrics: observers.metrics,
-		slotPeak: observers.arrivals.peakInProgress,
+		slotPeak: observers.endpointWatch.peakInProgress,
 		recoveriesMs,
 		changeDelaysMs: observers.changes.delaysMs,
 	};
@@ -151,28 +151,28 @@
 	}));
 }
 
-/** Time until a group acknowledged a write that was sent after everything was mended. */
-function recoveryOf({writes}: History, group: string, mendedMs: number): number {
+/** Time until a group acknowledged a write that was sent after the last fault was undone; infinite if it acknowledged none. */
+function recoveryOf({writes}: History, group: string, undoneMs: number): number {
 	const ends = writes
-		.filter(write => write.group === group && write.outcome === 'acknowledged' && write.startMs >= mendedMs)
-		.map(({endMs}) => endMs - mendedMs);
+		.filter(write => write.group === group && write.outcome === 'acknowledged' && write.startMs >= undoneMs)
+		.map(({endMs}) => endMs - undoneMs);
 	return Math.min(...ends, Number.POSITIVE_INFINITY);
 }
 
 function judgeRecovery({world, recoveryBoundMs}: RunPlan, recoveriesMs: readonly number[]): Finding[] {
 	return recoveriesMs.flatMap((recoveryMs, index) => recoveryMs > recoveryBoundMs
-		? [{promise: 'notRecovered', detail: `${world.groups[index]} took the first write after ${recoveryMs} ms`}]
+		? [{promise: 'notRecovered', detail: `${world.groups[index]} acknowledged the first write ${recoveryMs} ms after the last fault`}]
 		: []);
 }
 
-/** What callers have ended but endpoints still have. */
+/** Findings for work connections that still have a request or transaction open although all callers have ended. */
 function leftOpen({endpoints}: World): Finding[] {
 	return endpoints
 		.filter(({openWorkCount}) => openWorkCount > 0)
-		.map(({process, openWorkCount}) => ({promise: 'leftOpen', detail: `${openWorkCount} connections of ${process.name}`}));
+		.map(({process, openWorkCount}) => ({promise: 'leftOpen', detail: `${openWorkCount} connections of ${process.name} have a request or transaction open`}));
 }
 
-/** Reads every session's table at the primary of each group's highest term. */
+/** Reads every session's table at the primary with the highest term of each group. */
 function readTables(world: World, callerCount: number): Map<string, readonly number[]> {
 	const tables = new Map<string, readonly number[]>();
 	for (const group of world.plan.groups) {
--- a/soak/testing/adjustments.ts
+++ b/soak/testing/adjustments.ts
@@ -1,5 +1,5 @@
 /**
- * Nodes with one part broken on purpose, for showing that a run finds it.
+ * Adjustments that break one part of every node, to show that a run finds the breakage.
  */
 import {Refusal} from '../../src/common/errors/error-kinds.js';
 import type {
@@ -7,21 +7,21 @@
 } from '../../src/common/services/services.js';
 import type {NodeAdjustments} from '../world/simulated-node.js';
 
-/** Partition of the table that holds the configuration's changes. */
+/** Partition of the table with the changes of the configuration. */
 const configurationPartition = 'config';
 
-/** Instances are said to have promised a term that they know nothing of. */
-export const withoutFence: NodeAdjustments = {
+/** Instances are reported to have promised a term, but are never told of it. */
+export const fenceSkipped: NodeAdjustments = {
 	connector: connector => ({
 		connectWork: async (endpoint, homeId) => connector.connectWork(endpoint, homeId),
 		async connectControl(endpoint, observerId) {
 			const control = await connector.connectControl(endpoint, observerId);
-			return control.map(real => unfenced(real));
+			return control.map(real => skipFence(real));
 		},
 	}),
 };
 
-function unfenced(control: InstanceControl): InstanceControl {
+function skipFence(control: InstanceControl): InstanceControl {
 	return {
 		onClose: control.onClose,
 		onState: control.onState,
@@ -43,8 +43,8 @@
 	};
 }
 
-/** What a peer does not know the outcome of is said not to have run. */
-export const unknownSaidNotRun: NodeAdjustments = {
+/** A refusal of a peer with an unknown outcome is replaced by one which says that nothing ran. */
+export const unknownReportedNotRun: NodeAdjustments = {
 	remoteExecutor: executor => ({
 		async execute(request, sink, signal) {
 			const result = await executor.execute(request, sink, signal);
@@ -56,7 +56,7 @@
 	}),
 };
 
-/** Answers to reads that come from peers go to the request that was sent before. */
+/** The answer to a read that a peer executes goes to the previous read. */
 export function answersSwapped(): NodeAdjustments {
 	let previousSink: AnswerSink | undefined;
 	return {
@@ -74,14 +74,14 @@
 	};
 }
 
-/** Every session of a node has the same identity, so that transactions find each other's connection. */
+/** Every session of a node has the same id, so that transactions share a connection. */
 export const sessionsConfused: NodeAdjustments = {
 	node(node) {
 		node.nextSessionId = () => `${node.process.name}/${node.incarnation}/1`;
 	},
 };
 
-/** Rules that an endpoint is leaving are not looked at. */
+/** Rules that drain an endpoint are ignored. */
 export const drainsIgnored: NodeAdjustments = {
 	node({core: {configuration}}) {
 		const policyOf = configuration.endpointPolicy.bind(configuration);
@@ -89,7 +89,7 @@
 	},
 };
 
-/** Changes are written whether or not their number is taken. */
+/** Changes are written even if their number is already taken. */
 export const numbersOverwritten: NodeAdjustments = {
 	table: table => ({
 		...table,
@@ -105,8 +105,8 @@
 	}),
 };
 
-/** After the first change nodes learn of no further ones, neither from the table nor from peers. */
-export const changesUnheard: NodeAdjustments = {
+/** Nodes learn of no change after the first one, neither from the table nor from peers. */
+export const changesHidden: NodeAdjustments = {
 	table: table => ({
 		...table,
 		async query(partition, afterSort, limit) {
--- a/soak/testing/breakages.ts
+++ b/soak/testing/breakages.ts
@@ -1,5 +1,5 @@
 /**
- * One deliberate breakage for each promise, with a plan in which it shows.
+ * Deliberate breakages of promises, each with a plan with which a run finds it.
  */
 import type {FaultName} from '../faults/fault-actions.js';
 import type {Finding} from '../findings.js';
@@ -7,20 +7,20 @@
 import type {NetworkDelays} from '../world/simulated-network.js';
 import type {WorldPlan} from '../world/world-plan.js';
 import {
-	answersSwapped, changesUnheard, drainsIgnored, numbersOverwritten, sessionsConfused, unknownSaidNotRun, withoutFence,
+	answersSwapped, changesHidden, drainsIgnored, numbersOverwritten, sessionsConfused, unknownReportedNotRun, fenceSkipped,
 } from './adjustments.js';
 
 /** A breakage and what a run with it must find. */
 export type Breakage = {
 	readonly name: string;
-	/** Any one of these shows that the promise is broken. */
+	/** Promises of which at least one must be found broken. */
 	readonly expected: ReadonlyArray<Finding['promise']>;
-	/** Circumstances, also of the run without the breakage. */
+	/** Changes to the plan, also for the run without the breakage. */
 	readonly circumstances: Partial<RunPlan> & {readonly delays?: NetworkDelays};
 	readonly breakIt: (plan: RunPlan) => RunPlan;
 };
 
-/** Zones so far apart that much is on its way at any moment. */
+/** Zones so far apart that many messages are in flight at any time. */
 const farZones: NetworkDelays = {withinZoneMs: 0.2, betweenZonesMs: 10, spreadMs: 0.5};
 
 const writing = {writeShare: 0.8, transactionShare: 0, pauseMs: 20} as const;
@@ -33,7 +33,7 @@
 	return {faultNames};
 }
 
-/** Every breakage. */
+/** All breakages. */
 export const breakages: readonly Breakage[] = [
 	{
 		name: 'the token is ignored',
@@ -42,7 +42,7 @@
 		breakIt: plan => ({...plan, sabotage: {isTokenIgnored: true}}),
 	},
 	{
-		name: 'the stated age is ignored',
+		name: 'the maximum age of a read is ignored',
 		expected: ['tooOld'],
 		circumstances: {
 			...withFaults('lagSpike'), agedReadShare: 0.6, maximumAgeMs: 200, pauseMs: 60,
@@ -50,7 +50,7 @@
 		breakIt: plan => ({...plan, sabotage: {isAgeIgnored: true}}),
 	},
 	{
-		name: 'writes are answered at commit',
+		name: 'writes are acknowledged at commit',
 		expected: ['lost'],
 		circumstances: {...writing, ...withFaults('isolatePrimary')},
 		breakIt: withWorld(() => ({nodeOptions: {homes: {acknowledgement: 'commit'}}})),
@@ -61,7 +61,7 @@
 		circumstances: {
 			...writing, ...withFaults('orderPrimary'), faultChains: 4, delays: farZones,
 		},
-		breakIt: withWorld(() => ({adjustments: withoutFence})),
+		breakIt: withWorld(() => ({adjustments: fenceSkipped})),
 	},
 	{
 		name: 'sessions share a transaction\'s connection',
@@ -82,25 +82,25 @@
 		breakIt: withWorld(() => ({adjustments: answersSwapped()})),
 	},
 	{
-		name: 'what is unknown is said not to have run',
+		name: 'an unknown outcome is reported as not run',
 		expected: ['ranAfterNotRun'],
 		circumstances: {...writing, ...withFaults('crashPrimary', 'killNode'), delays: farZones},
-		breakIt: withWorld(() => ({adjustments: unknownSaidNotRun})),
+		breakIt: withWorld(() => ({adjustments: unknownReportedNotRun})),
 	},
 	{
-		name: 'what may have run is sent again',
+		name: 'a statement that may have run is retried',
 		expected: ['doubled'],
 		circumstances: {...writing, ...withFaults('crashPrimary', 'killNode'), delays: farZones},
 		breakIt: plan => ({...plan, sabotage: {isEverythingIdempotent: true}}),
 	},
 	{
-		name: 'a leaving endpoint goes on',
+		name: 'a drained endpoint gets new work',
 		expected: ['leavingServed'],
 		circumstances: withFaults('drainEndpoint'),
 		breakIt: withWorld(() => ({adjustments: drainsIgnored})),
 	},
 	{
-		name: 'a node ends without finishing',
+		name: 'a node ends without waiting for its requests',
 		expected: ['drainCut'],
 		circumstances: {...withFaults('drainNode'), pauseMs: 20},
 		breakIt: plan => ({...plan, drain: {noticeMs: 0, boundMs: 0, linksMs: 0}}),
@@ -112,9 +112,9 @@
 		breakIt: withWorld(() => ({adjustments: numbersOverwritten})),
 	},
 	{
-		name: 'changes are not heard of',
+		name: 'nodes do not learn of changes',
 		expected: ['configurationLate'],
 		circumstances: withFaults('operatorRace'),
-		breakIt: withWorld(() => ({adjustments: changesUnheard})),
+		breakIt: withWorld(() => ({adjustments: changesHidden})),
 	},
 ];
