--- a/bench/control/constants.ts
+++ b/bench/control/constants.ts
@@ -1,21 +1,21 @@
 /**
- * Sizes and budgets of the benchmark of control cost.
+ * Sizes and budgets of the benchmark that measures what control costs one node.
  */
 
-/** Sizes that slopes are taken over. */
+/** Sizes at which the system is measured; slopes are taken from the smallest to the largest. */
 export const controlSizes = {
 	hosts: [100, 400, 870],
 	served: [3, 10, 30],
 	groups: [100, 400, 970],
-	/** What stays as it is while something else grows. */
+	/** Number of hosts in measurements where hosts do not grow. */
 	fewHosts: 20,
 	instances: 3,
 	zones: 6,
-	/** Real time of one window. */
+	/** Real time that one measured window lasts. */
 	windowMs: 3000,
-	/** Time in which a node attaches and settles before a window. */
+	/** Time for the node to attach to its endpoints and come to rest before a window. */
 	settleMs: 2000,
-	/** Time between two systems, in which what the last one held is let go. */
+	/** Pause before each system, in which the memory of the previous one can be released. */
 	restMs: 600,
 	listReads: 20,
 	membershipChanges: 20,
@@ -23,7 +23,7 @@
 	heartbeatMs: 500,
 };
 
-/** The size that the budgets hold for. */
+/** The system size to which the budgets apply. */
 export const targetSize = {
 	hosts: 870,
 	groups: 970,
@@ -34,7 +34,7 @@
 	replacementsPerDay: 340,
 };
 
-/** What control may use of one node, and all nodes of the platform. */
+/** Resources that control may use on one node, and requests that all nodes together may send to the platform. */
 export const budgets = {
 	coreShare: 0.034,
 	memoryBytes: 32 * 1024 * 1024,
@@ -43,5 +43,5 @@
 	platformWritesPerSecond: 400,
 };
 
-/** Bytes of one message that are not the payload: HTTP/2 and gRPC frame headers. Headers of lower layers are not counted. */
+/** Bytes that one message adds to its payload: HTTP/2 and gRPC frame headers. Headers of lower layers are not counted. */
 export const linkOverheadBytes = 14;
--- a/bench/control/control-cost.ts
+++ b/bench/control/control-cost.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs one node as the system grows: counts of messages and bytes, processor
- * time and memory, their slopes, and what they come to at the target size.
+ * Measures what control costs one node as the system grows: counts of messages and bytes,
+ * processor time and memory, their slopes, and the totals that follow at the target size.
  */
 import process from 'node:process';
 import {setFlagsFromString} from 'node:v8';
@@ -23,9 +23,9 @@
 type GroupRow = {readonly groups: number; readonly heapBytes: number; readonly changeCpuMs: number; readonly mapHeapBytes: number};
 type ChangeRow = {
 	readonly groups: number;
-	/** At the node that makes the change, its preview included. */
+	/** Processor time at the node that makes the change, including its preview. */
 	readonly cpuMs: number;
-	/** At a node that takes it in. */
+	/** Processor time at a node that applies the change. */
 	readonly applyCpuMs: number;
 	readonly peerMessages: number;
 	readonly peerBytes: number;
@@ -35,7 +35,7 @@
 	// Nothing is logged here.
 };
 
-/** Measures all slopes. */
+/** Measures the cost of control at all sizes; resolves with tables, slopes and bounded figures. */
 export async function benchControlCost({note}: BenchContext): Promise<BenchResult> {
 	note('warming up');
 	await withSystem(async system => measureServed(system, controlSizes.served[0]));
@@ -74,7 +74,7 @@
 	}
 }
 
-/** Groups are few here, so that hosts alone make the difference. */
+/** Configures only a few groups, so that the number of hosts alone makes the difference. */
 async function measureHosts(system: ControlSystem, hosts: number): Promise<HostRow> {
 	await system.registerHosts(hosts, true);
 	const emptyBytes = heapBytes();
@@ -108,7 +108,7 @@
 	};
 }
 
-/** No endpoint is served here: what is left is the configuration itself. */
+/** Places the groups so that the node serves none of their endpoints: only the cost of the configuration itself remains. */
 async function measureGroups(system: ControlSystem, groups: number): Promise<{group: GroupRow; change: ChangeRow}> {
 	await system.registerHosts(controlSizes.fewHosts, false);
 	await system.core.start();
@@ -133,7 +133,7 @@
 	};
 }
 
-/** Changes of one rule each, as fast as they go. */
+/** Makes changes of one rule each, one directly after the other. */
 async function measureChanges(system: ControlSystem, groups: number): Promise<ChangeRow> {
 	const {configurationChanges} = controlSizes;
 	const before = {...system.traffic};
@@ -170,7 +170,7 @@
 	};
 }
 
-/** A host comes; every part that follows the membership has its turn. */
+/** Adds hosts one by one, with a pause in which every component that follows the membership can react. */
 async function cpuMsOfMembershipChange(system: ControlSystem): Promise<number> {
 	const {membershipChanges, zones} = controlSizes;
 	const cpuMs = await cpuMsOf(async () => {
@@ -182,9 +182,9 @@
 	return cpuMs / membershipChanges;
 }
 
-async function cpuMsOf(act: () => Promise<void>): Promise<number> {
+async function cpuMsOf(operation: () => Promise<void>): Promise<number> {
 	const start = process.cpuUsage();
-	await act();
+	await operation();
 	const {user, system} = process.cpuUsage(start);
 	return (user + system) / 1000;
 }
@@ -194,14 +194,14 @@
 	return process.memoryUsage().heapUsed;
 }
 
-/** Growth between the first and the last size, for each unit. */
+/** Growth from the first to the last size, per unit of size. */
 function slope<Row>(rows: readonly Row[], size: (row: Row) => number, value: (row: Row) => number): number {
 	const [first, last] = [rows[0], rows.at(-1)!];
 	return (value(last) - value(first)) / (size(last) - size(first));
 }
 
-/** The straight line through the first and the last size, at another size. */
-function at<Row>(rows: readonly Row[], size: (row: Row) => number, value: (row: Row) => number, wanted: number): number {
+/** Value at another size, on the straight line through the first and the last measured size. */
+function estimateAt<Row>(rows: readonly Row[], size: (row: Row) => number, value: (row: Row) => number, wanted: number): number {
 	return value(rows[0]) + (slope(rows, size, value) * (wanted - size(rows[0])));
 }
 
@@ -261,12 +261,12 @@
 	const list = hosts.at(-1)!;
 	const [group, change] = [groups.at(-1)!, changes.at(-1)!];
 	const reads = 1000 / (membershipDefaults.readIntervalPerHostMs * targetSize.hosts);
-	const idle = at(served, row => row.served, row => row.window.coreShare, targetSize.served);
+	const idle = estimateAt(served, row => row.served, row => row.window.coreShare, targetSize.served);
 	const changesPerSecond = targetSize.changesPerDay / 86_400;
 	const replacementsPerSecond = targetSize.replacementsPerDay / 86_400;
-	const acts = (reads * list.readCpuMs) + (changesPerSecond * change.applyCpuMs) + (2 * replacementsPerSecond * (group.changeCpuMs + list.changeCpuMs));
-	const heap = list.heapBytes + group.heapBytes + group.mapHeapBytes + at(served, row => row.served, row => row.heapBytes, targetSize.served);
-	const idleSize = at(served, row => row.served, row => idleBytes(row.window), targetSize.served);
+	const eventCpuMsPerSecond = (reads * list.readCpuMs) + (changesPerSecond * change.applyCpuMs) + (2 * replacementsPerSecond * (group.changeCpuMs + list.changeCpuMs));
+	const heap = list.heapBytes + group.heapBytes + group.mapHeapBytes + estimateAt(served, row => row.served, row => row.heapBytes, targetSize.served);
+	const idleSize = estimateAt(served, row => row.served, row => idleBytes(row.window), targetSize.served);
 	const bytes = list.listBytesPerSecond + idleSize + (changesPerSecond * change.peerBytes);
 	const allReads = (targetSize.hosts * reads) + (2 * controlSizes.zones * 2);
 	const allWrites = (targetSize.hosts * reads / membershipDefaults.readsPerRegistration) + (2 * changesPerSecond);
@@ -274,7 +274,7 @@
 		title: `At ${targetSize.hosts} nodes and ${targetSize.groups} groups of three, worked out`,
 		columns: ['figure', 'value', 'budget'],
 		rows: [
-			['core %, control', (idle + (acts / 1000)) * 100, budgets.coreShare * 100],
+			['core %, control', (idle + (eventCpuMsPerSecond / 1000)) * 100, budgets.coreShare * 100],
 			['heap MB, control', heap / 1024 / 1024, budgets.memoryBytes / 1024 / 1024],
 			['bytes/s a node, control', bytes, budgets.bytesPerSecond],
 			['platform reads/s, all nodes', allReads, budgets.platformReadsPerSecond],
@@ -283,10 +283,10 @@
 	};
 }
 
-/** Counts only: they are the same on a busy machine. */
+/** Only counts have bounds, since they do not depend on how busy the machine is. */
 function boundsOf(hosts: readonly HostRow[], served: readonly ServedRow[]): BoundedFigure[] {
 	const busiest = served.at(-1)!;
-	const idle = at(served, row => row.served, row => idleBytes(row.window), targetSize.served);
+	const idle = estimateAt(served, row => row.served, row => idleBytes(row.window), targetSize.served);
 	const listBytes = hosts.at(-1)!.listBytesPerSecond;
 	return [
 		{name: 'bytes of a list read for each host', value: slope(hosts, row => row.hosts, row => row.readBytes), maximum: 420},
--- a/bench/control/control-system.ts
+++ b/bench/control/control-system.ts
@@ -1,5 +1,5 @@
 /**
- * One node's core among as many hosts and groups as a measurement wants, in this process.
+ * Runs one node's core in this process, among as many hosts and groups as a measurement needs.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- sides of an Either. */
 import process from 'node:process';
@@ -13,21 +13,21 @@
 import {SystemRandom} from '../../src/node/system-random.js';
 import {MemoryPlatform} from '../../standins/platform/memory-platform.js';
 import {
-	CountedPeers, CountedTable, noTraffic, ReportingConnector,
+	CountingPeers, CountingTable, noTraffic, ReportingConnector,
 } from './counted-edges.js';
 import {controlSizes} from './constants.js';
 import type {ControlSize, Traffic, WindowFigures} from './types.js';
 
-/** Operations of one change; its text stays below the bound of a change. */
+/** Operations in one change, few enough that its text stays below the maximum size of a change. */
 const operationsPerChange = 500;
 
 const silent = () => {
-	// What is measured is measured from outside.
+	// The node's own logs and metrics are not used: everything is measured from outside.
 };
 
 const silentMetrics: Metrics = {count: silent, gauge: silent, observe: silent};
 
-/** A host as the list describes it. */
+/** A host as the host list describes it. */
 export function hostOf(index: number, zone: string): Host {
 	return {
 		name: `host-${index}`,
@@ -43,11 +43,11 @@
 
 const trafficNames = ['stateReports', 'stateReportBytes', 'peerMessages', 'peerBytes', 'platformReads', 'platformReadBytes', 'platformWrites'] as const;
 
-/** One core, started. */
+/** One node's core with in-memory services that count the traffic. */
 export class ControlSystem implements Disposable {
 	readonly traffic: Traffic = noTraffic();
 	readonly connector = new ReportingConnector(this.traffic);
-	readonly peers = new CountedPeers(this.traffic);
+	readonly peers = new CountingPeers(this.traffic);
 	readonly core: NodeCore;
 	readonly hostList: TableHostList;
 	private readonly _platform: MemoryPlatform;
@@ -56,10 +56,10 @@
 	constructor() {
 		const clock = new SystemClock();
 		const random = new SystemRandom();
-		// Many hosts are registered at once here; the platform's rates are not what is measured.
+		// Many hosts are registered at once, and the platform's rate limits are not measured here.
 		this._platform = new MemoryPlatform(clock, random, {writesPerSecond: 1_000_000, readsPerSecond: 1_000_000});
 		const {table, objects} = this._platform.connect();
-		const counted = new CountedTable(table, this.traffic);
+		const counted = new CountingTable(table, this.traffic);
 		this.hostList = new TableHostList(counted, {platformNowMs: () => clock.wallClockMs()});
 		this.core = new NodeCore(hostOf(0, 'zone-0'), {
 			clock,
@@ -78,14 +78,14 @@
 	}
 
 	/** Registers the hosts, starts the core and configures the groups. */
-	async start({hosts, groups, served}: ControlSize, isNaturallyPlaced: boolean): Promise<void> {
-		await this.registerHosts(hosts, isNaturallyPlaced);
+	async start({hosts, groups, served}: ControlSize, isSpreadOverZones: boolean): Promise<void> {
+		await this.registerHosts(hosts, isSpreadOverZones);
 		await this.core.start();
-		await this.configure(groups, group => isNaturallyPlaced ? group % controlSizes.zones : Number(group >= served));
+		await this.configure(groups, group => isSpreadOverZones ? group % controlSizes.zones : Number(group >= served));
 		await sleep(controlSizes.settleMs);
 	}
 
-	/** Others than this node; those of its own zone only where it shall share the zone's endpoints. */
+	/** Registers the other hosts; some of them in the node's own zone only if it is to share the zone's endpoints with them. */
 	async registerHosts(count: number, isZoneShared: boolean): Promise<void> {
 		const {zones} = controlSizes;
 		for (let index = 1; index < count; index++) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	/** Groups of three, each instance in another zone; `firstZoneOf` says where the first one is. */
+	/** Configures groups of three instances, each instance in another zone; `firstZoneOf` gives the zone of the first. */
 	async configure(groups: number, firstZoneOf: (group: number) => number): Promise<void> {
 		const operations: Operation[] = [{op: 'put', kind: 'service', value: {name: 'service', labels: {}}}];
 		for (let group = 0; group < groups; group++) {
@@ -108,7 +108,7 @@
 		}
 	}
 
-	/** Makes one change through the log. */
+	/** Makes one change through the change log, acknowledging the warnings of its preview; throws if it is refused. */
 	async propose(operations: readonly Operation[]): Promise<void> {
 		this._changeCount += 1;
 		const {history, changeLog} = this.core;
@@ -118,14 +118,14 @@
 		const proposed = await changeLog.propose(proposal);
 		await proposed.caseOf({
 			Left: async refusal => refusal.kind === 'unacknowledged'
-				? this._proposeKnowing(proposal, refusal.preview.warnings.map(({id}) => id))
+				? this._proposeAcknowledging(proposal, refusal.preview.warnings.map(({id}) => id))
 				: Promise.reject(new Error(`change refused: ${JSON.stringify(refusal).slice(0, 500)}`)),
 			Right: async () => undefined,
 		});
 		this.peers.version = history.version;
 	}
 
-	/** What a window of time uses. */
+	/** Waits for a window of time and resolves with the traffic per second and the processor time in it. */
 	async window(durationMs = controlSizes.windowMs): Promise<WindowFigures> {
 		const before = {...this.traffic};
 		const startMs = performance.now();
@@ -145,7 +145,7 @@
 		this.core.dispose();
 	}
 
-	private async _proposeKnowing(proposal: Parameters<NodeCore['changeLog']['propose']>[0], acknowledged: readonly string[]): Promise<void> {
+	private async _proposeAcknowledging(proposal: Parameters<NodeCore['changeLog']['propose']>[0], acknowledged: readonly string[]): Promise<void> {
 		const proposed = await this.core.changeLog.propose({...proposal, acknowledged});
 		proposed.ifLeft(refusal => {
 			throw new Error(`change refused: ${refusal.kind}`);
--- a/bench/control/counted-edges.ts
+++ b/bench/control/counted-edges.ts
@@ -1,6 +1,6 @@
 /**
- * The edges of a node's core, in memory: endpoints that only report, peers that only
- * answer, and a table that counts. What crosses them is counted as it is on the wire.
+ * In-memory services of a node's core: endpoints that only report their state, peers that only
+ * answer, and a table. They count messages and bytes as these would be on the wire.
  */
 /* eslint-disable @typescript-eslint/naming-convention -- names of the service's API. */
 import {Buffer} from 'node:buffer';
@@ -20,30 +20,30 @@
 
 type Body = Envelope['body'];
 
-/** Nothing counted yet. */
+/** Traffic with all counts at zero. */
 export function noTraffic(): Traffic {
 	return {
 		stateReports: 0, stateReportBytes: 0, peerMessages: 0, peerBytes: 0, platformReads: 0, platformReadBytes: 0, platformWrites: 0,
 	};
 }
 
-/** An instance that reports its state as a heartbeat and does nothing else. */
+/** A control connection to an instance that reports its state as a heartbeat and does nothing else. */
 class ReportingControl implements InstanceControl {
 	private readonly _onClose = new Emitter<void>();
 	private readonly _onState = new Emitter<InstanceState>();
-	private readonly _beat: Disposable;
+	private readonly _heartbeat: Disposable;
 	readonly onClose = this._onClose.event; // eslint-disable-line @typescript-eslint/member-ordering -- needs the emitter.
 	readonly onState = this._onState.event; // eslint-disable-line @typescript-eslint/member-ordering
 
 	constructor(private readonly _state: InstanceState, traffic: Traffic) {
-		// A type, a length, the parameter's name and its value, both with a zero at the end.
+		// A ParameterStatus message: type, length, and the parameter's name and value, each with a terminating zero byte.
 		const sizeBytes = 1 + 4 + reportedParameters.state.length + 1 + formatState(_state).length + 1;
 		const timer = setInterval(() => {
 			traffic.stateReports += 1;
 			traffic.stateReportBytes += sizeBytes;
 			this._onState.fire(_state);
 		}, controlSizes.heartbeatMs);
-		this._beat = toDisposable(() => {
+		this._heartbeat = toDisposable(() => {
 			clearInterval(timer);
 		});
 	}
@@ -73,11 +73,11 @@
 	}
 
 	dispose(): void {
-		this._beat.dispose();
+		this._heartbeat.dispose();
 	}
 }
 
-/** Endpoints without work: the first of each group is its primary. */
+/** Connects to endpoints that run no statements; the first endpoint of each group is its primary. */
 export class ReportingConnector implements EndpointConnector {
 	controlCount = 0;
 	private readonly _traffic: Traffic;
@@ -99,9 +99,9 @@
 	}
 }
 
-/** Peers that have what this node has. */
-export class CountedPeers implements Peers {
-	/** Version that they answer with. */
+/** Peers that have the same configuration version as this node; counts what is sent to and received from them. */
+export class CountingPeers implements Peers {
+	/** Configuration version that the peers answer with. */
 	version = 0;
 	private readonly _traffic: Traffic;
 
@@ -115,7 +115,7 @@
 				return Left(new Refusal('peerUnavailable', 'no work here'));
 			},
 			release() {
-				// There is no work.
+				// No statements run here.
 			},
 		};
 	}
@@ -148,11 +148,11 @@
 	}
 
 	announceLeaving(): void {
-		// Nobody leaves.
+		// The node does not leave here.
 	}
 
 	dispose(): void {
-		// There are no links.
+		// There are no links to close.
 	}
 
 	private _count(body: Body): void {
@@ -161,8 +161,8 @@
 	}
 }
 
-/** A table that counts requests, and the bytes of answers as the service's API writes them. */
-export class CountedTable implements Table {
+/** A table that counts requests, and the bytes of responses as the service's API encodes them. */
+export class CountingTable implements Table {
 	private readonly _table: Table;
 	private readonly _traffic: Traffic;
 
@@ -197,11 +197,11 @@
 
 	private _countRead(items: readonly TableItem[]): void {
 		this._traffic.platformReads += 1;
-		this._traffic.platformReadBytes += answerBytes(items);
+		this._traffic.platformReadBytes += responseBytes(items);
 	}
 }
 
-function answerBytes(items: readonly TableItem[]): number {
+function responseBytes(items: readonly TableItem[]): number {
 	const written = items.map(({partition, sort, revision, changeId, body, expiresAtMs}) => ({
 		partition: {S: partition},
 		sort: {S: sort},
--- a/bench/control/types.ts
+++ b/bench/control/types.ts
@@ -1,8 +1,8 @@
 /**
- * Shapes of the benchmark of control cost.
+ * Types of the benchmark of control cost.
  */
 
-/** What crossed the edges of one node's core, in messages and bytes. */
+/** Messages and bytes between one node's core and its endpoints, its peers and the platform. */
 export type Traffic = {
 	stateReports: number;
 	stateReportBytes: number;
@@ -13,15 +13,16 @@
 	platformWrites: number;
 };
 
-/** What one window of time used. */
+/** Processor time and traffic of one window of time. */
 export type WindowFigures = {
 	readonly seconds: number;
 	/** Processor time as a share of one core. */
 	readonly coreShare: number;
+	/** Traffic per second. */
 	readonly traffic: Traffic;
 };
 
-/** What a system of one size is made of, seen from one node. */
+/** Size of a system as seen from one node. */
 export type ControlSize = {
 	readonly hosts: number;
 	readonly groups: number;
--- a/bench/fleet/constants.ts
+++ b/bench/fleet/constants.ts
@@ -6,7 +6,7 @@
 /** Zones and regions; hosts and groups are spread over them evenly. */
 export const fleetZones = {zones: 6, regions: 3} as const;
 
-/** Instances of a group, each in a zone of its own. */
+/** Instances of a group, each in a different zone. */
 export const instancesPerGroup = 3;
 
 /** Name of the node that is measured; its zone is the first. */
@@ -15,16 +15,16 @@
 /** Length of the measured window. */
 export const windowMs = 12_000;
 
-/** Time between a scrape of the node's metrics and the window. */
+/** Pause between a scrape of the node's metrics and the measured window, in which the scrape's garbage is collected. */
 export const scrapeRestMs = 6000;
 
-/** Time until links that were opened at the start, and are not used, have closed. */
+/** Time after which links that were opened at the start and are not used have closed. */
 const linksClosedMs = 36_000;
 
-/** Below the time after which an unused link closes. */
+/** Interval between two uses of a link; shorter than the idle time after which a link closes. */
 const linkUseMs = 25_000;
 
-/** What is measured; several run side by side. */
+/** The scenarios that are measured; several run at the same time. */
 export const scenarios: readonly Scenario[] = [
 	{
 		name: 'alone', hosts: 1, groups: 0, settleMs: 20_000,
@@ -58,10 +58,10 @@
 	},
 ];
 
-/** Scenarios that run at one time. */
-export const scenariosAtOneTime = 3;
+/** Number of scenarios that run at the same time. */
+export const scenarioConcurrency = 3;
 
-/** The size that is worked out. */
+/** The fleet size for which the totals are computed. */
 export const targetFleet = {
 	hosts: 870,
 	groups: 970,
@@ -70,25 +70,25 @@
 	connectionsPerNode: 3793,
 } as const;
 
-/** What control may use. */
+/** Resources that control may use on one node. */
 export const fleetBudgets = {
 	coreShare: 0.034,
 	memoryBytes: 32 * 1024 * 1024,
 	bytesPerS: 4096,
 } as const;
 
-/** Bounds of the fleet's figures; counts and ratios within one run. */
+/** Upper bounds of the fleet's figures, which are counts and ratios within one run. */
 export const fleetBounds = {
-	/** Bytes of one host in an answer of the list, as the node reads it. */
+	/** Bytes that each host adds to a read of the host list by the node. */
 	listBytesPerHost: 450,
-	/** Read and written bytes a second for each group that is served. */
+	/** Bytes read and written per second for each group that the node serves. */
 	bytesPerServedGroupS: 1500,
-	/** Control's processor time at the target ÷ its budget; processor time varies by half on a busy machine. */
+	/** Processor time of control at the target size ÷ its budget; 1.5 because processor time varies by half on a busy machine. */
 	coreAgainstBudget: 1.5,
 } as const;
 
-/** Operations of one change; its text stays below the bound of a change. */
+/** Operations in one change, few enough that its text stays below the maximum size of a change. */
 export const operationsPerChange = 500;
 
-/** Time between two looks of the crowd at the log of changes. */
+/** Interval at which the crowd polls the change log. */
 export const crowdPollMs = 250;
--- a/bench/fleet/crowd/crowd-host.ts
+++ b/bench/fleet/crowd/crowd-host.ts
@@ -1,5 +1,5 @@
 /**
- * One host of the crowd: answers links as a node does, without being one.
+ * One host of the crowd: answers peer links as a node does, without running a node.
  */
 import {Left} from 'purify-ts';
 import {Refusal} from '../../../src/common/errors/error-kinds.js';
@@ -16,37 +16,37 @@
 const address = '127.0.0.1';
 
 function ignore(): void {
-	// Nothing follows from it here.
+	// A host of the crowd does not react to this.
 }
 
-/** Listens under the name of one host. */
+/** Listens for peer links under the name of one host, and can open its own. */
 export class CrowdHost implements Disposable {
 	private readonly _access: PlatformAccess;
-	private readonly _place: FleetHost;
+	private readonly _fleetHost: FleetHost;
 	private readonly _server = new PeerServer();
 	private _peers: Peers | undefined;
 	private _self: Host;
 
-	constructor(place: FleetHost, access: PlatformAccess) {
-		this._place = place;
+	constructor(fleetHost: FleetHost, access: PlatformAccess) {
+		this._fleetHost = fleetHost;
 		this._access = access;
-		this._self = hostOf(place);
+		this._self = hostOf(fleetHost);
 	}
 
 	get host(): Host {
 		return this._self;
 	}
 
-	/** Links of this host, made when they are first needed. */
+	/** Links from this host to its peers, created on first use. */
 	get peers(): Peers {
 		this._peers ??= new PeerLinks(this._services());
 		return this._peers;
 	}
 
-	/** Begins to listen on a free port. */
+	/** Starts to listen on a free port. */
 	async start(): Promise<void> {
 		const peerPort = await this._server.listen(address, 0);
-		this._self = hostOf(this._place, {peerHost: address, peerPort});
+		this._self = hostOf(this._fleetHost, {peerHost: address, peerPort});
 		this._server.serve(this._services(), this._handlers());
 	}
 
--- a/bench/fleet/crowd/main.ts
+++ b/bench/fleet/crowd/main.ts
@@ -1,7 +1,7 @@
 /**
- * Stands in for all nodes of a fleet but one, in one process: each listens for links and is
- * in the host list; together they compare themselves with the measured node, and announce
- * changes to it, as often as nodes would.
+ * Stands in for all nodes of a fleet but one, in one process: each host listens for links and
+ * is in the host list; together they compare their configuration versions with the measured
+ * node and announce changes to it as often as real nodes would.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -16,16 +16,16 @@
 
 const fetchTimeoutMs = 400;
 
-/** Trees along which a version comes to a node. */
+/** Announcements of each version that a node receives: one along each of the two announcement trees. */
 const announcementsPerVersion = 2;
 
-const startedAtOneTime = 16;
+const startConcurrency = 16;
 
 async function run(settings: CrowdSettings): Promise<void> {
 	const access = new PlatformAccess(settings.platformUrl);
 	const hosts = settings.hosts.map(host => new CrowdHost(host, access));
-	await Promise.all(Array.from({length: startedAtOneTime}, async (_item, task) => {
-		for (let index = task; index < hosts.length; index += startedAtOneTime) {
+	await Promise.all(Array.from({length: startConcurrency}, async (_item, task) => {
+		for (let index = task; index < hosts.length; index += startConcurrency) {
 			await hosts[index].start();
 			await register(access, hosts[index]);
 		}
@@ -35,11 +35,11 @@
 	});
 	process.stdout.write(`${JSON.stringify({ready: true})}\n`);
 	if (hosts.length > 0) {
-		await Promise.all([followChanges(settings, access, hosts), compareRepeatedly(settings, access, hosts), keepLinks(settings, access, hosts)]);
+		await Promise.all([followChanges(settings, access, hosts), compareRepeatedly(settings, access, hosts), useLinksRepeatedly(settings, access, hosts)]);
 	}
 }
 
-/** Lasts for ever, so that nothing has to be renewed. */
+/** Registers a host without an expiry time, so that its registration need not be renewed. */
 async function register({table}: PlatformAccess, {host}: CrowdHost): Promise<void> {
 	const written = await table.put({
 		partition: hostsPartition, sort: host.name, changeId: `${host.incarnation}/1`, body: JSON.stringify(host),
@@ -52,7 +52,7 @@
 async function followChanges({subject}: CrowdSettings, {history, changeLog}: PlatformAccess, hosts: readonly CrowdHost[]): Promise<void> {
 	history.onChange(version => {
 		for (let count = 0; count < announcementsPerVersion; count++) {
-			anyOf(hosts).peers.announceVersion(subject, version);
+			pickRandom(hosts).peers.announceVersion(subject, version);
 		}
 	});
 	for (;;) {
@@ -62,16 +62,16 @@
 }
 
 async function compareRepeatedly({subject, comparisonsPerS}: CrowdSettings, {history}: PlatformAccess, hosts: readonly CrowdHost[]): Promise<void> {
-	// As many nodes have a node for their partner as it has partners.
-	const partners = Array.from({length: syncDefaults.antiEntropyAnyZoneEvery}, () => anyOf(hosts));
+	// On average, a node is the anti-entropy peer of as many nodes as it has anti-entropy peers itself.
+	const partners = Array.from({length: syncDefaults.antiEntropyAnyZoneEvery}, () => pickRandom(hosts));
 	for (let turn = 0; ; turn++) {
 		await pause(1000 / comparisonsPerS);
 		await partners[turn % partners.length].peers.fetchChanges(subject, history.version, fetchTimeoutMs);
 	}
 }
 
-/** Every host uses its link now and then, as one does whose callers' statements go everywhere. */
-async function keepLinks({subject, linkUseMs}: CrowdSettings, {history}: PlatformAccess, hosts: readonly CrowdHost[]): Promise<void> {
+/** Lets every host use its link at an interval, as a node does whose callers' statements go to all nodes. */
+async function useLinksRepeatedly({subject, linkUseMs}: CrowdSettings, {history}: PlatformAccess, hosts: readonly CrowdHost[]): Promise<void> {
 	if (linkUseMs === undefined) {
 		return;
 	}
@@ -85,7 +85,7 @@
 	}));
 }
 
-function anyOf(hosts: readonly CrowdHost[]): CrowdHost {
+function pickRandom(hosts: readonly CrowdHost[]): CrowdHost {
 	return hosts[Math.floor(Math.random() * hosts.length)];
 }
 
--- a/bench/fleet/fleet-bench.ts
+++ b/bench/fleet/fleet-bench.ts
@@ -1,20 +1,20 @@
 /**
- * What control costs one node's process amid a fleet: processor time, memory and bytes, as
- * the kernel accounts them, at growing sizes; and what that comes to at the target size.
+ * Measures what control costs one node's process in a fleet: processor time, memory and bytes,
+ * as the kernel accounts them, at growing sizes, and the totals that follow at the target size.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {LoadProcess} from '../load/load-process.js';
 import {differenceOf, readAccount} from '../process-account.js';
 import type {BenchContext, BenchResult} from '../types.js';
 import {
-	scenarios, scenariosAtOneTime, scrapeRestMs, windowMs,
+	scenarios, scenarioConcurrency, scrapeRestMs, windowMs,
 } from './constants.js';
 import {reportFleet} from './fleet-report.js';
-import {FleetSystem, folderOf, placeFleet} from './fleet-system.js';
+import {FleetSystem, createScenarioFolder, allocateFleetAddresses} from './fleet-system.js';
 import {listReadsOf} from './operators-metrics.js';
 import type {Scenario, ScenarioFigures} from './types.js';
 
-/** Runs every scenario, several at a time. */
+/** Runs every scenario, several at the same time; resolves with tables and bounded figures. */
 export async function benchFleet(context: BenchContext): Promise<BenchResult> {
 	const waiting = [...scenarios];
 	const figures: ScenarioFigures[] = [];
@@ -25,13 +25,13 @@
 		}
 	};
 
-	await Promise.all(Array.from({length: scenariosAtOneTime}, async () => runNext()));
+	await Promise.all(Array.from({length: scenarioConcurrency}, async () => runNext()));
 	return reportFleet(scenarios.flatMap(scenario => figures.filter(figure => figure.scenario === scenario)));
 }
 
 async function measure(scenario: Scenario, {folder: parent}: BenchContext): Promise<ScenarioFigures> {
-	const folder = await folderOf(scenario, parent);
-	const system = new FleetSystem(scenario, folder, await placeFleet(scenario));
+	const folder = await createScenarioFolder(scenario, parent);
+	const system = new FleetSystem(scenario, folder, await allocateFleetAddresses(scenario));
 	const load = scenario.idleConnections === undefined ? undefined : new LoadProcess();
 	try {
 		await system.start();
@@ -47,7 +47,7 @@
 async function measureWindow(scenario: Scenario, system: FleetSystem): Promise<ScenarioFigures> {
 	const readsBefore = await listReadsOf(system);
 	const scrapedMs = performance.now();
-	// A scrape leaves garbage, which is collected in the time after it.
+	// The scrape leaves garbage, which is to be collected before the window starts.
 	await pause(scrapeRestMs);
 	const versionBefore = system.access.history.version;
 	const before = await readAccount(system.subjectPid);
@@ -70,7 +70,7 @@
 	};
 }
 
-/** Changes one rule again and again. */
+/** Changes one rule repeatedly, at the rate of the scenario. */
 async function changeRepeatedly({changesPerS = 0}: Scenario, {access}: FleetSystem): Promise<void> {
 	const count = Math.floor(windowMs / 1000 * changesPerS);
 	for (let change = 0; change < count; change++) {
--- a/bench/fleet/fleet-plan.ts
+++ b/bench/fleet/fleet-plan.ts
@@ -1,5 +1,5 @@
 /**
- * Hosts and groups of a fleet, and which of them the measured node has to do with.
+ * Plans the hosts and groups of a fleet, and finds which groups the measured node serves.
  */
 import type {Operation} from '../../src/common/configuration/schema.js';
 import {HomeMap} from '../../src/common/membership/home-map.js';
@@ -7,26 +7,26 @@
 import {fleetZones, instancesPerGroup, subjectName} from './constants.js';
 import type {FleetEndpoint, FleetHost, Scenario} from './types.js';
 
-/** An address of its own for an endpoint that nobody here connects to. */
+/** A unique address for an endpoint to which nothing connects here. */
 function unusedAddress(index: number): {readonly host: string; readonly port: number} {
 	return {host: `127.1.${Math.floor(index / addressesPerRange)}.${1 + (index % addressesPerRange)}`, port: 9};
 }
 
 const addressesPerRange = 250;
 
-function placeOf(zone: number): Pick<FleetHost, 'availabilityZone' | 'region'> {
+function locationOf(zone: number): Pick<FleetHost, 'availabilityZone' | 'region'> {
 	return {availabilityZone: `zone-${zone}`, region: `region-${zone % fleetZones.regions}`};
 }
 
-/** The hosts of a fleet; the first is the measured node. */
+/** Plans the hosts of a fleet; the first is the measured node. */
 export function planHosts({hosts}: Scenario): FleetHost[] {
 	return Array.from({length: hosts}, (_item, index) => ({
 		name: index === 0 ? subjectName : `host-${index}`,
-		...placeOf(index % fleetZones.zones),
+		...locationOf(index % fleetZones.zones),
 	}));
 }
 
-/** The endpoints of a fleet. Those of groups that the measured node serves get the addresses given. */
+/** Plans the endpoints of a fleet with unused addresses, and finds the groups and the number of endpoints that the measured node serves. */
 export function planEndpoints(scenario: Scenario, hosts: readonly FleetHost[]): {endpoints: FleetEndpoint[]; servedGroups: string[]; servedCount: number} {
 	const homes = new HomeMap(hosts.map(host => hostOf(host)), () => undefined, 1);
 	const endpoints: FleetEndpoint[] = [];
@@ -36,7 +36,7 @@
 		for (let instance = 0; instance < instancesPerGroup; instance++) {
 			const zone = ((scenario.areGroupsNear ? 0 : group) + instance) % fleetZones.zones;
 			const endpoint = {
-				name: `group-${group}-${instance}`, group: `group-${group}`, availabilityZone: placeOf(zone).availabilityZone, ...unusedAddress(endpoints.length),
+				name: `group-${group}-${instance}`, group: `group-${group}`, availabilityZone: locationOf(zone).availabilityZone, ...unusedAddress(endpoints.length),
 			};
 			endpoints.push(endpoint);
 			if (homes.homeOf(endpoint)?.name === subjectName) {
@@ -71,7 +71,7 @@
 	return operations;
 }
 
-/** A host of the fleet with an address. */
+/** A host of the fleet as the host list describes it, with the address given. */
 export function hostOf(host: FleetHost, address?: {readonly peerHost: string; readonly peerPort: number}): Host {
 	return {
 		...host, peerHost: '', peerPort: 0, ...address, operatorPort: 1, isLeaving: false, incarnation: '0',
--- a/bench/fleet/fleet-report.ts
+++ b/bench/fleet/fleet-report.ts
@@ -1,5 +1,5 @@
 /**
- * Tables, slopes and what they come to at the target size.
+ * Tables and slopes of the fleet benchmark, and the totals that follow at the target size.
  */
 import {membershipDefaults} from '../../src/common/membership/constants.js';
 import type {BenchResult, Cell, Table} from '../types.js';
@@ -10,7 +10,7 @@
 
 const secondsPerDay = 86_400;
 
-/** What one more of something costs. */
+/** Cost of one additional list read, link, served endpoint, change or connection. */
 type Slopes = {
 	readonly listReadCpuMs: number;
 	readonly listReadBytes: number;
@@ -29,7 +29,7 @@
 	readonly connectionResidentBytes: number;
 };
 
-/** Reports all scenarios. */
+/** Computes the tables and bounded figures from the figures of all scenarios. */
 export function reportFleet(figures: readonly ScenarioFigures[]): BenchResult {
 	const slopes = slopesOf(figures);
 	const target = targetOf(figures, slopes);
@@ -77,7 +77,7 @@
 	const served = many.servedEndpoints - few.servedEndpoints;
 	const {idleConnections: connections = 1} = connected.scenario;
 	const perServed = (value: (figure: ScenarioFigures) => number): number => (value(many) - value(few)) / served;
-	// The node with the connections serves one group besides.
+	// The node with the connections also serves a group; the cost of one served endpoint is subtracted for it.
 	const perConnection = (value: (figure: ScenarioFigures) => number): number => (value(connected) - value(alone) - perServed(value)) / connections;
 	const perRead = (value: (figure: ScenarioFigures) => number): number => (value(reading) - value(hosts)) * reading.seconds / reads;
 	const perChange = (value: (figure: ScenarioFigures) => number): number => (value(changing) - value(full)) * changing.seconds / changing.changes;
@@ -133,18 +133,18 @@
 	readonly residentBytes: number;
 };
 
-/** What was measured at the target size, and what happens too seldom for a window. */
+/** Adds to the figures measured at the target size what happens too rarely to fall into a window. */
 function targetOf(figures: readonly ScenarioFigures[], slopes: Slopes): Target {
 	const find = finder(figures);
 	const [alone, full] = [find('alone'), find('970 groups of 870 hosts')];
 	const listReadsPerS = 1000 / (membershipDefaults.readIntervalPerHostMs * targetFleet.hosts);
 	const extraReadsPerS = listReadsPerS - (full.listReads / full.seconds);
 	const changesPerS = targetFleet.changesPerDay / secondsPerDay;
-	const seldomCpuMs = (extraReadsPerS * slopes.listReadCpuMs) + (changesPerS * slopes.changeCpuMs);
-	// The node that is measured may have got more endpoints than there are for each.
+	const infrequentCpuMs = (extraReadsPerS * slopes.listReadCpuMs) + (changesPerS * slopes.changeCpuMs);
+	// The measured node may serve more or fewer endpoints than the average node of the fleet.
 	const extraServed = (targetFleet.groups * instancesPerGroup / targetFleet.hosts) - full.servedEndpoints;
 	return {
-		coreShare: coreShareOf(full) + (extraServed * slopes.servedCoreShare) + (seldomCpuMs / 1000),
+		coreShare: coreShareOf(full) + (extraServed * slopes.servedCoreShare) + (infrequentCpuMs / 1000),
 		coreShareAlone: coreShareOf(alone),
 		bytesPerS: byteRateOf(full) + (extraServed * slopes.servedBytesPerS) + (extraReadsPerS * slopes.listReadBytes) + (changesPerS * slopes.changeBytes),
 		heapBytes: full.heapBytes - alone.heapBytes,
--- a/bench/fleet/fleet-system.ts
+++ b/bench/fleet/fleet-system.ts
@@ -30,15 +30,15 @@
 	crowd: new URL('crowd/main.js', import.meta.url),
 } as const;
 
-/** Variable that the runtime takes options from. */
+/** Environment variable from which Node.js reads options. */
 const nodeOptionsVariable = 'NODE_OPTIONS';
 
-/** Credentials of everything here. */
+/** Credentials of callers, operators and endpoints alike. */
 const credentials = {user: 'fleet', password: 'fleet'} as const;
 
 const memorySchema = z.object({heapUsed: z.number(), rss: z.number()});
 
-/** Time that the node gets to collect garbage and write what is left. */
+/** Time for the node to collect garbage and write its memory usage to the file. */
 const memoryWaitMs = 700;
 
 /** The processes of one scenario. */
@@ -60,31 +60,31 @@
 		const planned = planEndpoints(scenario, this._hosts);
 		this.servedEndpoints = planned.servedCount;
 		this._endpoints = planned.endpoints.map(endpoint => {
-			const place = placement.endpoints.get(endpoint.name);
-			return place ? {...endpoint, host: place.host, port: place.port} : endpoint;
+			const addresses = placement.endpoints.get(endpoint.name);
+			return addresses ? {...endpoint, host: addresses.host, port: addresses.port} : endpoint;
 		});
 		this.access = new PlatformAccess(this._platformUrl);
 	}
 
-	/** Process of the measured node. */
+	/** Process id of the measured node. */
 	get subjectPid(): number {
 		return this._processes.get(subjectName).pid;
 	}
 
-	/** Where callers reach the measured node. */
-	get subjectPlace(): NodeAddresses {
+	/** Addresses on which the measured node listens. */
+	get subjectAddresses(): NodeAddresses {
 		return this._placement.nodes.get(subjectName)!;
 	}
 
-	/** The measured node as callers reach it. */
+	/** Address and credentials with which callers reach the measured node. */
 	get callers(): {readonly host: string; readonly port: number; readonly user: string; readonly password: string} {
-		const {host, callersPort: port} = this.subjectPlace;
+		const {host, callersPort: port} = this.subjectAddresses;
 		return {host, port, ...credentials};
 	}
 
-	/** The measured node as operators reach it. */
+	/** URL and authorization header with which operators reach the measured node. */
 	get operators(): {readonly url: string; readonly authorization: string} {
-		const {host, operatorsPort} = this.subjectPlace;
+		const {host, operatorsPort} = this.subjectAddresses;
 		const {user, password} = credentials;
 		return {url: `http://${host}:${operatorsPort}`, authorization: `Basic ${Buffer.from(`${user}:${password}`).toString('base64')}`};
 	}
@@ -96,7 +96,7 @@
 		await this._start('platform', programs.platform, {...platform, faults: rates});
 		await this.access.propose(operationsFor(this._endpoints));
 		await this._startEndpoints();
-		const {host: peerHost, peersPort: peerPort} = this.subjectPlace;
+		const {host: peerHost, peersPort: peerPort} = this.subjectAddresses;
 		await this._start('crowd', programs.crowd, {
 			platformUrl: this._platformUrl,
 			hosts: this._hosts.slice(1),
@@ -107,7 +107,7 @@
 		await this._startSubject();
 	}
 
-	/** What is left in the measured node after garbage was collected. */
+	/** Memory of the measured node after a garbage collection, in bytes. */
 	async memory(): Promise<z.infer<typeof memorySchema>> {
 		process.kill(this.subjectPid, 'SIGUSR2');
 		await pause(memoryWaitMs);
@@ -134,7 +134,7 @@
 		});
 	}
 
-	/** All in one process: what they use is not looked at. */
+	/** Starts all endpoints in one process, since what they use is not measured. */
 	private async _startEndpoints(): Promise<void> {
 		const served = this._endpoints.filter(({name}) => this._placement.endpoints.has(name));
 		const files: string[] = [];
@@ -154,7 +154,7 @@
 		}
 
 		if (files.length > 0) {
-			// The set passes one settings file; the others come before it.
+			// The process set passes the last settings file itself; the options name the others before it.
 			const last = files.pop()!;
 			const options = ['--fresh', ...files.flatMap(file => ['--settings', file])];
 			await this._start('endpoints', programs.endpoints, JSON.parse(await readFile(last, 'utf8')), options);
@@ -174,7 +174,7 @@
 	}
 
 	private _subjectSettings(): SettingsInput {
-		const {host, callersPort, peersPort, operatorsPort} = this.subjectPlace;
+		const {host, callersPort, peersPort, operatorsPort} = this.subjectAddresses;
 		const {availabilityZone, region} = this._hosts[0];
 		const {listReadPerHostMs} = this._scenario;
 		return {
@@ -200,8 +200,8 @@
 	}
 }
 
-/** Finds places for the processes of a scenario. */
-export async function placeFleet(scenario: Scenario): Promise<ListenAddresses> {
+/** Allocates listen addresses for the processes of a scenario. */
+export async function allocateFleetAddresses(scenario: Scenario): Promise<ListenAddresses> {
 	const hosts = planHosts(scenario);
 	const {endpoints, servedGroups} = planEndpoints(scenario, hosts);
 	const served = endpoints.filter(({group}) => servedGroups.includes(group));
@@ -228,8 +228,8 @@
 	}));
 }
 
-/** Makes a folder for one scenario. */
-export async function folderOf(scenario: Scenario, parent: string): Promise<string> {
+/** Creates the folder of one scenario and resolves with its path. */
+export async function createScenarioFolder(scenario: Scenario, parent: string): Promise<string> {
 	const folder = path.join(parent, scenario.name.replaceAll(/\W+/gv, '-'));
 	await mkdir(folder, {recursive: true});
 	return folder;
--- a/bench/fleet/memory-hook.ts
+++ b/bench/fleet/memory-hook.ts
@@ -1,12 +1,12 @@
 /**
- * Preloaded into the measured node: collects garbage when told to, and writes what is left.
+ * Preloaded into the measured node: on SIGUSR2, collects garbage and writes the memory usage to a file.
  */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-/** Name of the variable that tells the file to write to. */
+/** Name of the environment variable with the path of the file to write. */
 export const memoryFileVariable = 'QUETZALSTREAM_BENCH_MEMORY';
 
 const file = process.env[memoryFileVariable];
--- a/bench/fleet/operators-metrics.ts
+++ b/bench/fleet/operators-metrics.ts
@@ -1,10 +1,10 @@
 /**
- * Reads a node's own counters over its operators' port.
+ * Reads a node's own counters through its operators' port.
  */
 import {exportedName} from '../../src/node/observability/prom-metrics.js';
 import type {FleetSystem} from './fleet-system.js';
 
-/** Reads of the host list that the measured node has made. */
+/** Number of times that the measured node has read the host list. */
 export async function listReadsOf({operators}: FleetSystem): Promise<number> {
 	const response = await fetch(`${operators.url}/metrics`, {headers: {authorization: operators.authorization}});
 	const text = await response.text();
--- a/bench/fleet/platform-access.ts
+++ b/bench/fleet/platform-access.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's services as a benchmark's own process uses them.
+ * Access to the platform's services for the benchmark's own processes.
  */
 import {randomUUID} from 'node:crypto';
 import {ChangeHistory} from '../../src/common/configuration/change-history.js';
@@ -17,11 +17,11 @@
 
 const silentAudit: Audit = {
 	record() {
-		// The change itself names its author.
+		// No audit is needed: each change names its author.
 	},
 };
 
-/** Table, objects and log of changes of one platform stand-in. */
+/** Table, object store and change log of one platform stand-in. */
 export class PlatformAccess implements Disposable {
 	readonly clock = new SystemClock();
 	readonly log = new RecordingLog();
@@ -60,7 +60,7 @@
 		}));
 	}
 
-	/** Makes changes until all operations are in force. */
+	/** Proposes all operations, in as many changes as they need; throws if one is refused. */
 	async propose(operations: readonly Operation[]): Promise<void> {
 		for (let start = 0; start < operations.length; start += operationsPerChange) {
 			const proposed = await this.changeLog.propose({
--- a/bench/fleet/types.ts
+++ b/bench/fleet/types.ts
@@ -4,10 +4,10 @@
 import type {Host} from '../../src/common/services/services.js';
 import type {ProcessAccount} from '../process-account.js';
 
-/** Where a host of the fleet is. */
+/** Name and location of a host of the fleet. */
 export type FleetHost = Pick<Host, 'name' | 'availabilityZone' | 'region'>;
 
-/** An endpoint of the fleet; only those of groups that the subject serves are processes. */
+/** An endpoint of the fleet; only endpoints of groups that the measured node serves actually run. */
 export type FleetEndpoint = {
 	readonly name: string;
 	readonly group: string;
@@ -16,36 +16,36 @@
 	readonly port: number;
 };
 
-/** What one scenario consists of, besides the one node that is measured. */
+/** Size and load of the fleet in which the node is measured. */
 export type Scenario = {
 	readonly name: string;
-	/** Hosts, the measured one included. */
+	/** Number of hosts, including the measured one. */
 	readonly hosts: number;
-	/** Groups of three endpoints. */
+	/** Number of groups, of three endpoints each. */
 	readonly groups: number;
 	/** Whether the first endpoint of every group is in the zone of the measured node. */
 	readonly areGroupsNear?: boolean;
 	readonly idleConnections?: number;
 	readonly changesPerS?: number;
-	/** Time between two uses of a link to the measured node by each other host; links stay closed without. */
+	/** Time between two uses of each other host's link to the measured node; if undefined, the links stay closed. */
 	readonly linkUseMs?: number;
-	/** Time between two reads of the host list for each host, where it differs from the default. */
+	/** Time between two reads of the host list, per host in it; if undefined, the default applies. */
 	readonly listReadPerHostMs?: number;
 	/** Time between the node's readiness and the measurement. */
 	readonly settleMs: number;
 };
 
-/** What a scenario gave. */
+/** Measurements of one scenario. */
 export type ScenarioFigures = {
 	readonly scenario: Scenario;
 	readonly servedEndpoints: number;
 	readonly seconds: number;
-	/** What the node used in the window. */
+	/** Resources that the node used in the window. */
 	readonly used: ProcessAccount;
-	/** Memory after garbage was collected, at the end of the window. */
+	/** Memory after a garbage collection at the end of the window. */
 	readonly heapBytes: number;
 	readonly residentBytes: number;
-	/** Reads of the host list in the window, by their rate. */
+	/** Reads of the host list in the window, computed from their rate since the scrape before it. */
 	readonly listReads: number;
 	/** Changes of the configuration in the window. */
 	readonly changes: number;
--- a/bench/format.test.ts
+++ b/bench/format.test.ts
@@ -12,12 +12,12 @@
 	],
 };
 
-describe('results', () => {
-	it('fail by figures that exceed their bound or were not measured', () => {
+describe('results of benchmarks', () => {
+	it('fail on figures that exceed their bound or were not measured', () => {
 		expect(exceeded(result.bounded).map(({name}) => name)).toEqual(['beyond', 'not measured']);
 	});
 
-	it('are printed in columns of one width', () => {
+	it('are printed in columns of equal width', () => {
 		const [title, , header, ruler, first, second] = formatResult(result).split('\n');
 		expect(title).toEqual('Ways');
 		expect([header, ruler, first, second]).toEqual([
--- a/bench/format.ts
+++ b/bench/format.ts
@@ -1,30 +1,30 @@
 /**
- * Prints results for people.
+ * Formats the results of a benchmark as text tables.
  */
 import type {
 	BenchResult, BoundedFigure, Cell, Table,
 } from './types.js';
 
-/** Significant digits of figures that are not whole. */
+/** Significant digits with which fractional figures are printed. */
 const shownDigits = 3;
 
-/** The tables and bounds of a result, as text. */
+/** Formats the tables and bounds of a result as text. */
 export function formatResult({tables, bounded}: BenchResult): string {
 	const checks: Table = {
 		title: 'Bounds',
 		columns: ['figure', 'value', 'maximum', 'held'],
-		rows: bounded.map(figure => [figure.name, figure.value, figure.maximum, isHeld(figure) ? 'yes' : 'NO']),
+		rows: bounded.map(figure => [figure.name, figure.value, figure.maximum, isWithinBound(figure) ? 'yes' : 'NO']),
 	};
 	return [...tables, checks].filter(({rows}) => rows.length > 0).map(table => formatTable(table)).join('\n');
 }
 
-/** Figures that exceed their bound. */
+/** Figures that exceed their bound or were not measured. */
 export function exceeded(bounded: readonly BoundedFigure[]): readonly BoundedFigure[] {
-	return bounded.filter(figure => !isHeld(figure));
+	return bounded.filter(figure => !isWithinBound(figure));
 }
 
-/** A figure that is not a number was not measured, which does not hold either. */
-function isHeld({value, maximum}: BoundedFigure): boolean {
+/** A figure that is NaN was not measured; it counts as out of bounds too. */
+function isWithinBound({value, maximum}: BoundedFigure): boolean {
 	return value <= maximum;
 }
 
--- a/bench/load/connection-pool.ts
+++ b/bench/load/connection-pool.ts
@@ -1,13 +1,13 @@
 /**
- * Connections to one target, and runs over all of them.
+ * A pool of connections to one target, over which the load process runs statements.
  */
-import {openingAtOneTime} from './constants.js';
+import {openConcurrency} from './constants.js';
 import {RawClient} from './raw-client.js';
 import type {Series} from './series.js';
 import type {LoadTarget, RunBound, Work} from './types.js';
 import {framesOf, prepareFrames} from './work-frames.js';
 
-/** A run over a pool. */
+/** Statements to run over a pool. */
 export type PoolRun = {
 	readonly work: Work;
 	readonly bound: RunBound;
@@ -15,12 +15,12 @@
 	readonly series: Series;
 };
 
-/** Opens, uses and closes the connections to one target. */
+/** Connections to one target. */
 export class ConnectionPool {
 	private readonly _clients: RawClient[] = [];
 	private readonly _frames = new Map<Work, readonly Uint8Array[]>();
 
-	/** Opens connections, a bounded number at one time, and prepares the statements on each. */
+	/** Opens connections, a bounded number at the same time, and prepares the statements on each. */
 	async open(target: LoadTarget, count: number): Promise<void> {
 		let opened = 0;
 		const openNext = async (): Promise<void> => {
@@ -33,19 +33,19 @@
 			}
 		};
 
-		await Promise.all(Array.from({length: Math.min(count, openingAtOneTime)}, async () => openNext()));
+		await Promise.all(Array.from({length: Math.min(count, openConcurrency)}, async () => openNext()));
 	}
 
-	/** Runs statements: each of so many tasks goes over its own share of the connections. */
+	/** Runs statements until the bound is reached: `inProgress` concurrent tasks, each of which takes the connections of its share in turn. */
 	async run(run: PoolRun): Promise<void> {
 		const frames = this._framesOf(run.work);
 		const startedMs = performance.now();
 		const endMs = startedMs + (run.bound.durationMs ?? Number.POSITIVE_INFINITY);
-		let left = run.bound.statements ?? Number.POSITIVE_INFINITY;
+		let remaining = run.bound.statements ?? Number.POSITIVE_INFINITY;
 		const runTask = async (task: number): Promise<void> => {
 			let turn = task;
-			while (left > 0 && performance.now() < endMs) {
-				left--;
+			while (remaining > 0 && performance.now() < endMs) {
+				remaining--;
 				const client = this._clients[turn % this._clients.length];
 				const sentMs = performance.now();
 				const answer = await client.request(frames[turn % frames.length]);
@@ -63,8 +63,8 @@
 	}
 
 	private _framesOf(work: Work): readonly Uint8Array[] {
-		const made = this._frames.get(work) ?? framesOf(work);
-		this._frames.set(work, made);
-		return made;
+		const frames = this._frames.get(work) ?? framesOf(work);
+		this._frames.set(work, frames);
+		return frames;
 	}
 }
--- a/bench/load/constants.ts
+++ b/bench/load/constants.ts
@@ -1,12 +1,12 @@
 /**
- * Statements of the load, and bounds of the load process.
+ * Statements of the load, and limits of the load process.
  */
 import type {Work} from './types.js';
 
 /** Rows of the table that the load reads and writes. */
 export const rowCount = 1000;
 
-/** Statements that make the table. */
+/** Statements that create and fill the table. */
 export const tableStatements = [
 	'CREATE TABLE IF NOT EXISTS bench_item (id int PRIMARY KEY, name text, price int)',
 	'INSERT INTO bench_item (id, name, price) VALUES ($1, $2, $3) ON CONFLICT (id) DO NOTHING',
@@ -23,10 +23,10 @@
 	return `SELECT id, name, price FROM bench_item WHERE id = ${id}`;
 }
 
-/** Connections that are opened at one time. */
-export const openingAtOneTime = 50;
+/** Number of connections that are opened at the same time. */
+export const openConcurrency = 50;
 
-/** Longest wait for a connection or an answer. */
+/** Maximum time for a connection to close before its socket is destroyed. */
 export const answerTimeoutMs = 20_000;
 
 /** Range and precision of the latency histograms, in microseconds. */
@@ -36,5 +36,5 @@
 	numberOfSignificantValueDigits: 3,
 } as const;
 
-/** Kinds of statements by name. */
+/** All kinds of work. */
 export const works: readonly Work[] = ['preparedRead', 'simpleRead', 'preparedWrite'];
--- a/bench/load/load-process.ts
+++ b/bench/load/load-process.ts
@@ -1,64 +1,64 @@
 /**
- * The benchmark's side of a load process.
+ * Starts a load process and controls it from the benchmark's process.
  */
 import {fork, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import {fileURLToPath} from 'node:url';
-import type {LoadAnswer, LoadOrder, SeriesReport} from './types.js';
+import type {LoadResponse, LoadRequest, SeriesReport} from './types.js';
 
 const program = new URL('main.js', import.meta.url);
 
-/** A load process; takes one order at a time. */
+/** A load process; it handles one request at a time. */
 export class LoadProcess {
 	private readonly _child: ChildProcess;
-	private readonly _ended: Promise<never>;
+	private readonly _exited: Promise<never>;
 
 	constructor() {
 		this._child = fork(fileURLToPath(program), {execArgv: []});
-		this._ended = failAtEnd(this._child);
-		// Heard of by the order in progress; without one it does not matter.
-		this._ended.catch(() => undefined);
+		this._exited = rejectOnExit(this._child);
+		// An exit is reported by the request in progress; without one it is ignored.
+		this._exited.catch(() => undefined);
 	}
 
 	get pid(): number {
 		return this._child.pid ?? 0;
 	}
 
-	async open(order: Omit<Extract<LoadOrder, {kind: 'open'}>, 'kind'>): Promise<void> {
-		await this._order({kind: 'open', ...order});
+	async open(request: Omit<Extract<LoadRequest, {kind: 'open'}>, 'kind'>): Promise<void> {
+		await this._request({kind: 'open', ...request});
 	}
 
-	async run(order: Omit<Extract<LoadOrder, {kind: 'run'}>, 'kind'>): Promise<void> {
-		await this._order({kind: 'run', ...order});
+	async run(request: Omit<Extract<LoadRequest, {kind: 'run'}>, 'kind'>): Promise<void> {
+		await this._request({kind: 'run', ...request});
 	}
 
 	async close(pool: string): Promise<void> {
-		await this._order({kind: 'close', pool});
+		await this._request({kind: 'close', pool});
 	}
 
-	/** Figures of a series so far. */
+	/** Resolves with the figures of a series so far. */
 	async report(series: string): Promise<SeriesReport> {
-		const {report} = await this._order({kind: 'report', series});
+		const {report} = await this._request({kind: 'report', series});
 		if (!report) {
-			throw new Error(`no report of ${series}`);
+			throw new Error(`load process returned no report of series ${series}`);
 		}
 
 		return report;
 	}
 
-	/** Ends the process. */
+	/** Kills the process. */
 	dispose(): void {
 		this._child.kill('SIGKILL');
 	}
 
-	private async _order(order: LoadOrder): Promise<LoadAnswer> {
-		const answered = new Promise<LoadAnswer>(resolve => {
-			this._child.once('message', (message: LoadAnswer) => {
+	private async _request(request: LoadRequest): Promise<LoadResponse> {
+		const answered = new Promise<LoadResponse>(resolve => {
+			this._child.once('message', (message: LoadResponse) => {
 				resolve(message);
 			});
 		});
-		this._child.send(order);
-		const answer = await Promise.race([answered, this._ended]);
+		this._child.send(request);
+		const answer = await Promise.race([answered, this._exited]);
 		if (answer.error !== undefined) {
 			throw new Error(`load process: ${answer.error}`);
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-async function failAtEnd(child: ChildProcess): Promise<never> {
+async function rejectOnExit(child: ChildProcess): Promise<never> {
 	await once(child, 'exit');
-	throw new Error(`load process ended with ${child.exitCode ?? child.signalCode}`);
+	throw new Error(`load process exited with ${child.exitCode ?? child.signalCode}`);
 }
--- a/bench/load/main.ts
+++ b/bench/load/main.ts
@@ -1,13 +1,13 @@
 /**
- * The load process: does what its parent orders, one order after the other.
+ * The load process: runs the requests that its parent process sends, and answers each.
  */
 import process from 'node:process';
 import {ConnectionPool} from './connection-pool.js';
 import {Series} from './series.js';
-import type {LoadAnswer, LoadOrder} from './types.js';
+import type {LoadResponse, LoadRequest} from './types.js';
 
 type Handlers = {
-	readonly [Kind in LoadOrder['kind']]: (order: Extract<LoadOrder, {kind: Kind}>) => Promise<LoadAnswer>;
+	readonly [Kind in LoadRequest['kind']]: (request: Extract<LoadRequest, {kind: Kind}>) => Promise<LoadResponse>;
 };
 
 const pools = new Map<string, ConnectionPool>();
@@ -36,7 +36,7 @@
 	},
 };
 
-async function handle<Kind extends LoadOrder['kind']>(order: Extract<LoadOrder, {kind: Kind}>): Promise<LoadAnswer> {
+async function handle<Kind extends LoadRequest['kind']>(order: Extract<LoadRequest, {kind: Kind}>): Promise<LoadResponse> {
 	try {
 		return await handlers[order.kind](order);
 	} catch (error) {
@@ -50,8 +50,8 @@
 	return value;
 }
 
-process.on('message', (order: LoadOrder) => {
-	void handle(order).then(answer => {
+process.on('message', (request: LoadRequest) => {
+	void handle(request).then(answer => {
 		process.send?.(answer);
 	});
 });
--- a/bench/load/raw-client.ts
+++ b/bench/load/raw-client.ts
@@ -1,6 +1,6 @@
 /**
- * A client connection on a bare socket: sends frames that were made before, counts what
- * comes back and decodes next to nothing, so that the load costs little beside what it measures.
+ * A client connection on a plain socket: sends frames that were encoded beforehand, counts what
+ * comes back and decodes almost nothing, so that the load costs little compared with what it measures.
  */
 import {createHash} from 'node:crypto';
 import {createConnection, type Socket} from 'node:net';
@@ -21,16 +21,16 @@
 const tokenParameter = 'quetzalstream.token';
 const maximumMessageBytes = 1024 * 1024;
 
-/** What one answer consisted of. */
+/** Number of messages in one answer, number of socket reads (`pieces`) in which it arrived, and the SQLSTATE of its first error. */
 export type RawAnswer = {
 	frames: number;
 	pieces: number;
 	sqlState: string | undefined;
 };
 
-/** One connection; one request at a time. */
+/** One connection, which runs one request at a time. */
 export class RawClient {
-	/** Last token that was reported. */
+	/** The last session token that was reported; empty if there was none. */
 	token = '';
 	private readonly _target: LoadTarget;
 	private readonly _socket: Socket;
@@ -48,11 +48,11 @@
 			this._fail(error);
 		});
 		this._socket.on('close', () => {
-			this._fail(new Error('the connection was closed'));
+			this._fail(new Error('connection closed before the answer was complete'));
 		});
 	}
 
-	/** Authenticates; resolves with the first ReadyForQuery. */
+	/** Authenticates; resolves at the first ReadyForQuery, rejects if the connection is refused or lost. */
 	async start(): Promise<void> {
 		const {user, group, token} = this._target;
 		const parameters: Record<string, string> = {user, database: group};
@@ -63,7 +63,7 @@
 		await this.request(serialize.startup(parameters));
 	}
 
-	/** Sends frames that end in one ReadyForQuery; the answer object is used again by the next request. */
+	/** Sends frames that lead to exactly one ReadyForQuery and resolves with the answer; the next request reuses the answer object. */
 	async request(frames: Uint8Array): Promise<RawAnswer> {
 		const answer = this._answer;
 		answer.frames = 0;
@@ -84,7 +84,7 @@
 		return answer;
 	}
 
-	/** Ends the connection; resolves once it is closed. */
+	/** Ends the connection gracefully, or destroys its socket after a timeout; resolves once it is closed. */
 	async close(): Promise<void> {
 		if (this._socket.destroyed) {
 			return;
@@ -111,11 +111,11 @@
 
 		for (const {type, bodyStart, end} of framesIn(batch)) {
 			this._answer.frames++;
-			this._take(type, batch, bodyStart, end);
+			this._handleMessage(type, batch, bodyStart, end);
 		}
 	}
 
-	private _take(type: number, batch: Uint8Array, bodyStart: number, end: number): void {
+	private _handleMessage(type: number, batch: Uint8Array, bodyStart: number, end: number): void {
 		switch (type) {
 			case messageTypes.readyForQuery: {
 				this._settle?.(undefined);
@@ -123,7 +123,7 @@
 			}
 
 			case messageTypes.parameterStatus: {
-				this._noteParameter(batch, bodyStart, end);
+				this._recordParameter(batch, bodyStart, end);
 				break;
 			}
 
@@ -141,7 +141,7 @@
 		}
 	}
 
-	private _noteParameter(batch: Uint8Array, bodyStart: number, end: number): void {
+	private _recordParameter(batch: Uint8Array, bodyStart: number, end: number): void {
 		const {name, value} = readParameter(batch, bodyStart, end);
 		if (name === tokenParameter) {
 			this.token = value;
--- a/bench/load/series.ts
+++ b/bench/load/series.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of the runs that belong together.
+ * Latencies and counts of runs that are reported together.
  */
 import {build} from 'hdr-histogram-js';
 import {histogramOptions} from './constants.js';
@@ -15,7 +15,7 @@
 	private _frames = 0;
 	private _pieces = 0;
 
-	/** Takes in one answer. */
+	/** Records one answer and its latency. */
 	add(latencyMs: number, {frames, pieces, sqlState}: RawAnswer): void {
 		this._statements++;
 		this._frames += frames;
--- a/bench/load/types.ts
+++ b/bench/load/types.ts
@@ -1,38 +1,38 @@
 /**
- * What a benchmark tells its load process, and what that answers.
+ * Messages between a benchmark and its load process.
  */
 
-/** Who connects where. */
+/** Address, group and credentials of a connection. */
 export type LoadTarget = {
 	readonly host: string;
 	readonly port: number;
 	readonly group: string;
 	readonly user: string;
 	readonly password: string;
-	/** Session token that every connection brings; undefined for none. */
+	/** Session token with which every connection starts; undefined for none. */
 	readonly token?: string;
 };
 
-/** Statements that the load consists of. */
+/** Kind of statements that the load consists of. */
 export type Work = 'preparedRead' | 'simpleRead' | 'preparedWrite';
 
-/** How long a run lasts: a number of statements or a time, whichever ends first. */
+/** Bound of a run: a number of statements or a time, whichever is reached first. */
 export type RunBound = {
 	readonly statements?: number;
 	readonly durationMs?: number;
 };
 
 /** One request to the load process. */
-export type LoadOrder
+export type LoadRequest
 	= | {readonly kind: 'open'; readonly pool: string; readonly target: LoadTarget; readonly connections: number}
 		| {
 			readonly kind: 'run';
 			readonly pool: string;
 			readonly work: Work;
-			/** Latencies of runs with the same series are put together. */
+			/** Latencies of runs with the same series are recorded together. */
 			readonly series: string;
 			readonly bound: RunBound;
-			/** Statements in progress at one time. */
+			/** Number of statements in progress at the same time. */
 			readonly inProgress: number;
 		}
 		| {readonly kind: 'close'; readonly pool: string}
@@ -45,14 +45,14 @@
 	readonly durationMs: number;
 	readonly p50Ms: number;
 	readonly p99Ms: number;
-	/** Messages of the answers, ReadyForQuery included. */
+	/** Number of messages in the answers, including ReadyForQuery. */
 	readonly frames: number;
-	/** Pieces in which the answers came. */
+	/** Number of socket reads in which the answers arrived. */
 	readonly pieces: number;
 };
 
-/** What the load process answers: the figures of a report, or nothing. */
-export type LoadAnswer = {
+/** Response of the load process: the figures of a report, an error, or nothing. */
+export type LoadResponse = {
 	readonly report?: SeriesReport;
 	readonly error?: string;
 };
--- a/bench/load/work-frames.ts
+++ b/bench/load/work-frames.ts
@@ -1,5 +1,5 @@
 /**
- * Frames of the load's statements, made once.
+ * Frames of the load's statements, encoded once.
  */
 import {serialize} from 'pg-protocol';
 import {preparedTexts, rowCount, simpleReadText} from './constants.js';
@@ -12,15 +12,15 @@
 	serialize.sync(),
 ]);
 
-const makers: Record<Work, (id: number) => Uint8Array> = {
+const frameBuilders: Record<Work, (id: number) => Uint8Array> = {
 	preparedRead: id => execute('read', [String(id)]),
 	simpleRead: id => serialize.query(simpleReadText(id)),
 	preparedWrite: id => execute('write', [String(id), String(id + 1)]),
 };
 
-/** The requests of one kind of work, one for each row. */
+/** Frames of the requests for one kind of work, one request for each row. */
 export function framesOf(work: Work): readonly Uint8Array[] {
-	return Array.from({length: rowCount}, (_item, index) => makers[work](index));
+	return Array.from({length: rowCount}, (_item, index) => frameBuilders[work](index));
 }
 
 function execute(statement: string, values: string[]): Uint8Array {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one benchmark and compares its ratios and counts with their bounds.
+ * Command line of the benchmarks: runs one and compares its ratios and counts with their bounds.
  */
 import {mkdir, mkdtemp, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -58,7 +58,7 @@
 	}
 }
 
-// The libraries' own notices would break the logs of the processes.
+// A warning printed by the AWS SDK would disturb the logs of the processes.
 process.env.AWS_SDK_JS_NODE_VERSION_SUPPORT_WARNING_DISABLED = 'true';
 command.parse();
 process.exitCode = await run(String(command.processedArgs[0]), command.opts<BenchOptions>());
--- a/bench/path/path-bench.ts
+++ b/bench/path/path-bench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the whole path of a statement: direct to an endpoint, through its home, and
- * through another node, side by side in one run.
+ * Measures statements on each path to the data: directly to an endpoint, through its home, and
+ * through another node. All paths are measured in one run, so that their figures can be compared.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {LoadProcess} from '../load/load-process.js';
@@ -13,10 +13,10 @@
 } from './path-report.js';
 import {startPathSystem, type PathSystem} from './path-system.js';
 import type {
-	LatencyPlan, MemoryFigures, Way, WayFigures,
+	LatencyPlan, MemoryFigures, AccessPath, PathFigures,
 } from './types.js';
 
-/** Runs the benchmark. */
+/** Runs the benchmark; resolves with tables and bounded figures. */
 export async function benchPath(context: BenchContext): Promise<BenchResult> {
 	const system = await startPathSystem(context);
 	const load = new LoadProcess();
@@ -24,9 +24,9 @@
 		await pause(pathAmounts.replicationMs);
 		const run = new PathRun(system, load, context);
 		const result = await run.result();
-		const complaints = await system.stop();
-		for (const complaint of complaints) {
-			context.note(complaint);
+		const failures = await system.stop();
+		for (const failure of failures) {
+			context.note(failure);
 		}
 
 		return result;
@@ -36,7 +36,7 @@
 	}
 }
 
-/** One run over a system that is up. */
+/** One run on a started system. */
 class PathRun {
 	private readonly _system: PathSystem;
 	private readonly _load: LoadProcess;
@@ -52,10 +52,10 @@
 		const memory = await this._measureMemory();
 		await this._warmUp();
 		const latencies = [
-			...await this._measureLatency({name: 'read', work: 'preparedRead', ways: this._ways('replica')}),
-			...await this._measureLatency({name: 'simple read', work: 'simpleRead', ways: this._ways('replica')}),
-			...await this._measureLatency({name: 'read without token', work: 'preparedRead', ways: this._ways('primary', false)}),
-			...await this._measureLatency({name: 'write', work: 'preparedWrite', ways: this._ways('primary')}),
+			...await this._measureLatency({name: 'read', work: 'preparedRead', paths: this._paths('replica')}),
+			...await this._measureLatency({name: 'simple read', work: 'simpleRead', paths: this._paths('replica')}),
+			...await this._measureLatency({name: 'read without token', work: 'preparedRead', paths: this._paths('primary', false)}),
+			...await this._measureLatency({name: 'write', work: 'preparedWrite', paths: this._paths('primary')}),
 		];
 		const loads = await this._measureLoads();
 		return {
@@ -64,7 +64,7 @@
 		};
 	}
 
-	private _ways(role: 'primary' | 'replica', hasToken = true): readonly Way[] {
+	private _paths(role: 'primary' | 'replica', hasToken = true): readonly AccessPath[] {
 		const endpoints = this._system.endpointPids;
 		const home = [this._system.pidOf(pathSystem.home)];
 		const entry = [this._system.pidOf(pathSystem.entry)];
@@ -75,14 +75,14 @@
 		];
 	}
 
-	/** Lets the processes compile what they will run: a sequential client alone takes long to get there. */
+	/** Lets the processes compile the code that they will run, which takes long with a sequential client alone. */
 	private async _warmUp(): Promise<void> {
 		this._context.note('warm-up');
 		const {warmUpConnections: connections, warmUpMs: durationMs} = pathAmounts;
 		for (const role of ['replica', 'primary'] as const) {
-			for (const way of this._ways(role)) {
+			for (const accessPath of this._paths(role)) {
 				const work = role === 'replica' ? 'preparedRead' : 'preparedWrite';
-				await this._load.open({pool: 'warm-up', target: way.target, connections});
+				await this._load.open({pool: 'warm-up', target: accessPath.target, connections});
 				await this._load.run({
 					pool: 'warm-up', work, series: 'warm-up', bound: {durationMs}, inProgress: connections,
 				});
@@ -91,44 +91,44 @@
 		}
 	}
 
-	/** One connection on each way; the ways take turns, so that all meet the same conditions. */
-	private async _measureLatency({name, work, ways}: LatencyPlan): Promise<WayFigures[]> {
+	/** Measures with one connection on each path; the paths take turns, so that all are measured under the same conditions. */
+	private async _measureLatency({name, work, paths: ways}: LatencyPlan): Promise<PathFigures[]> {
 		const {warmUpStatements, sliceStatements, slices} = pathAmounts;
 		this._context.note(`latency: ${name}`);
-		const series = (way: Way): string => `${name} ${way.name}`;
-		const run = async (way: Way, into: string, statements: number): Promise<void> =>
+		const series = (accessPath: AccessPath): string => `${name} ${accessPath.name}`;
+		const run = async (accessPath: AccessPath, into: string, statements: number): Promise<void> =>
 			this._load.run({
-				pool: way.name, work, series: into, bound: {statements}, inProgress: 1,
+				pool: accessPath.name, work, series: into, bound: {statements}, inProgress: 1,
 			});
-		for (const way of ways) {
-			await this._load.open({pool: way.name, target: way.target, connections: 1});
-			await run(way, 'warm-up', warmUpStatements);
+		for (const accessPath of ways) {
+			await this._load.open({pool: accessPath.name, target: accessPath.target, connections: 1});
+			await run(accessPath, 'warm-up', warmUpStatements);
 		}
 
-		const accounts = new Map(ways.map(way => [way, new AccountSum()]));
+		const accounts = new Map(ways.map(accessPath => [accessPath, new AccountSum()]));
 		for (let slice = 0; slice < slices; slice++) {
-			for (const way of ways) {
-				await accounts.get(way)?.around(way.pids, async () => run(way, series(way), sliceStatements));
+			for (const accessPath of ways) {
+				await accounts.get(accessPath)?.around(accessPath.pids, async () => run(accessPath, series(accessPath), sliceStatements));
 			}
 		}
 
-		const figures: WayFigures[] = [];
-		for (const way of ways) {
-			await this._load.close(way.name);
-			const report = await this._load.report(series(way));
+		const figures: PathFigures[] = [];
+		for (const accessPath of ways) {
+			await this._load.close(accessPath.name);
+			const report = await this._load.report(series(accessPath));
 			figures.push({
-				way: way.name, work: name, connections: 1, report, accounts: accounts.get(way)?.total ?? {},
+				way: accessPath.name, work: name, connections: 1, report, accounts: accounts.get(accessPath)?.total ?? {},
 			});
 		}
 
 		return figures;
 	}
 
-	/** Many connections to one node. */
-	private async _measureLoads(): Promise<WayFigures[]> {
-		const figures: WayFigures[] = [];
-		const [direct, oneHop, twoHops] = this._ways('replica');
-		const [, writing] = this._ways('primary');
+	/** Measures runs over many connections. */
+	private async _measureLoads(): Promise<PathFigures[]> {
+		const figures: PathFigures[] = [];
+		const [direct, oneHop, twoHops] = this._paths('replica');
+		const [, writing] = this._paths('primary');
 		const {loads} = pathAmounts;
 		figures.push(await this._measureLoad(direct, 'preparedRead', 16));
 		for (const connections of loads) {
@@ -145,26 +145,26 @@
 		return figures;
 	}
 
-	private async _measureLoad(way: Way, work: Work, connections: number): Promise<WayFigures> {
-		this._context.note(`load: ${way.name}, ${work}, ${connections} connections`);
+	private async _measureLoad(accessPath: AccessPath, work: Work, connections: number): Promise<PathFigures> {
+		this._context.note(`load: ${accessPath.name}, ${work}, ${connections} connections`);
 		const {loadMs, maximumInProgress} = pathAmounts;
-		const series = `${way.name} ${work} ${connections}`;
+		const series = `${accessPath.name} ${work} ${connections}`;
 		const inProgress = Math.min(connections, maximumInProgress);
 		const run = async (into: string, bound: RunBound): Promise<void> => this._load.run({
 			pool: series, work, series: into, bound, inProgress,
 		});
-		await this._load.open({pool: series, target: way.target, connections});
+		await this._load.open({pool: series, target: accessPath.target, connections});
 		await run('warm-up', {durationMs: loadMs / 5});
 		const accounts = new AccountSum();
-		await accounts.around(way.pids, async () => run(series, {durationMs: loadMs}));
+		await accounts.around(accessPath.pids, async () => run(series, {durationMs: loadMs}));
 		const report = await this._load.report(series);
 		await this._load.close(series);
 		return {
-			way: way.name, work, connections, report, accounts: accounts.total,
+			way: accessPath.name, work, connections, report, accounts: accounts.total,
 		};
 	}
 
-	/** Memory of a node that does nothing but hold connections. */
+	/** Measures the memory of a node that does nothing but hold connections. */
 	private async _measureMemory(): Promise<MemoryFigures> {
 		const {idleConnections: connections, restMs} = pathAmounts;
 		this._context.note(`memory: ${connections} idle connections`);
--- a/bench/path/path-report.ts
+++ b/bench/path/path-report.ts
@@ -5,10 +5,10 @@
 import type {ProcessAccount} from '../process-account.js';
 import type {BoundedFigure, Cell, Table} from '../types.js';
 import {pathBounds} from './constants.js';
-import type {MemoryFigures, WayFigures} from './types.js';
+import type {MemoryFigures, PathFigures} from './types.js';
 
-/** Figures of one sequential client on each way. */
-export function latencyTable(figures: readonly WayFigures[]): Table {
+/** Table of the figures of one sequential client on each path. */
+export function latencyTable(figures: readonly PathFigures[]): Table {
 	return {
 		title: 'One sequential client',
 		columns: [
@@ -29,7 +29,7 @@
 	};
 }
 
-function latencyRow({work, way, report, accounts}: WayFigures, direct: WayFigures | undefined): Cell[] {
+function latencyRow({work, way, report, accounts}: PathFigures, direct: PathFigures | undefined): Cell[] {
 	const {home, entry} = accounts;
 	return [
 		work,
@@ -47,8 +47,8 @@
 	];
 }
 
-/** Figures of many clients on one way. */
-export function loadTable(figures: readonly WayFigures[]): Table {
+/** Table of the figures of many clients on one path. */
+export function loadTable(figures: readonly PathFigures[]): Table {
 	return {
 		title: 'Many clients',
 		columns: [
@@ -69,7 +69,7 @@
 	};
 }
 
-function loadRow({work, way, connections, report, accounts}: WayFigures): Cell[] {
+function loadRow({work, way, connections, report, accounts}: PathFigures): Cell[] {
 	const {home, entry, endpoints} = accounts;
 	const node = entry ?? home;
 	return [
@@ -88,7 +88,7 @@
 	];
 }
 
-/** Memory and work of idle connections. */
+/** Table of the memory and processor time that idle connections take. */
 export function memoryTable({connections, before, after}: MemoryFigures): Table {
 	return {
 		title: 'A node that holds idle connections',
@@ -103,13 +103,13 @@
 	};
 }
 
-/** What a regression of a single statement's way shows in. */
-export function latencyBounds(figures: readonly WayFigures[]): BoundedFigure[] {
+/** Bounded figures in which a regression of a single statement's path shows. */
+export function latencyBounds(figures: readonly PathFigures[]): BoundedFigure[] {
 	const direct = findFigure(figures, 'read', 'direct');
 	const oneHop = findFigure(figures, 'read', 'one hop');
 	const twoHops = findFigure(figures, 'read', 'two hops');
 	if (!direct || !oneHop || !twoHops) {
-		throw new Error('a way was not measured');
+		throw new Error('expected the read latency on all three paths, found fewer');
 	}
 
 	return [
@@ -125,12 +125,12 @@
 	];
 }
 
-/** What a regression under load shows in. */
-export function loadBounds(figures: readonly WayFigures[]): BoundedFigure[] {
+/** Bounded figures in which a regression under load shows. */
+export function loadBounds(figures: readonly PathFigures[]): BoundedFigure[] {
 	const direct = figures.find(({way}) => way === 'direct');
 	const oneHop = figures.find(({way, connections}) => way === 'one hop' && connections === pathBounds.cpuConnections);
 	if (!direct || !oneHop) {
-		throw new Error('a load was not measured');
+		throw new Error('expected load figures of the direct path and of one hop, found fewer');
 	}
 
 	const ratio = microsPerStatement(oneHop.accounts.home, oneHop.report) / microsPerStatement(direct.accounts.endpoints, direct.report);
@@ -140,7 +140,7 @@
 	];
 }
 
-/** What a regression of memory shows in. */
+/** Bounded figures in which a regression of memory use shows. */
 export function memoryBounds({connections, before, after}: MemoryFigures): BoundedFigure[] {
 	return [{
 		name: 'resident bytes per idle connection',
@@ -149,15 +149,15 @@
 	}];
 }
 
-function findFigure(figures: readonly WayFigures[], work: string, way: string): WayFigures | undefined {
+function findFigure(figures: readonly PathFigures[], work: string, way: string): PathFigures | undefined {
 	return figures.find(figure => figure.work === work && figure.way === way);
 }
 
-function framesPerAnswer({report}: WayFigures): number {
+function framesPerAnswer({report}: PathFigures): number {
 	return report.frames / report.statements;
 }
 
-function piecesPerAnswer({report}: WayFigures): number {
+function piecesPerAnswer({report}: PathFigures): number {
 	return report.pieces / report.statements;
 }
 
@@ -169,7 +169,7 @@
 	return account ? account.cpuMs * 1000 / statements : 0;
 }
 
-/** Over all nodes on the way, as if they shared one core. */
+/** Statements per second of processor time, summed over all nodes on the path. */
 function statementsPerCore({statements}: SeriesReport, accounts: ReadonlyArray<ProcessAccount | undefined>): number {
 	const cpuMs = sumOf(accounts.map(account => account?.cpuMs ?? 0));
 	return cpuMs === 0 ? 0 : statements / cpuMs * 1000;
@@ -179,12 +179,12 @@
 	return (after.residentBytes - before.residentBytes) / connections;
 }
 
-/** Errors by SQLSTATE. */
+/** Lists the number of errors by SQLSTATE. */
 function describeErrors({errors}: SeriesReport): string {
 	return Object.entries(errors).map(([sqlState, count]) => `${sqlState}: ${count}`).join(', ') || '-';
 }
 
-function errorCount(figures: readonly WayFigures[]): number {
+function errorCount(figures: readonly PathFigures[]): number {
 	return sumOf(figures.flatMap(({report}) => Object.values(report.errors)));
 }
 
--- a/bench/path/path-system.ts
+++ b/bench/path/path-system.ts
@@ -1,6 +1,6 @@
 /**
- * The system of the path benchmark: three nodes in zones of their own, with all endpoints
- * of one group in the zone of the first.
+ * The system of the path benchmark: three nodes, each in its own zone, and one group with all
+ * endpoints in the zone of the first node.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {DevelopmentSystem} from '../../demo/development-system.js';
@@ -15,10 +15,10 @@
 const zones = {home: 'zone-a', entry: 'zone-b', holder: 'zone-c'} as const;
 const endpoints = ['bench-1', 'bench-2', 'bench-3'] as const;
 
-/** Credentials of the product towards the endpoints. */
+/** Credentials with which the nodes connect to the endpoints. */
 const endpointUser = {user: 'quetzalstream', password: 'bench'} as const;
 
-/** The processes under measurement and the ways to them. */
+/** The measured processes and the targets through which they are reached. */
 export class PathSystem {
 	private readonly _system: DevelopmentSystem;
 	private readonly _token: string;
@@ -28,28 +28,28 @@
 		this._token = token;
 	}
 
-	/** The way over a node; with a token unless told otherwise. */
+	/** Target for connections through a node; with a session token by default. */
 	over(node: string, hasToken = true): LoadTarget {
-		const {host, callersPort: port} = this._system.nodePlace(node);
+		const {host, callersPort: port} = this._system.nodeAddresses(node);
 		return {
 			host, port, group: pathSystem.group, ...pathSystem.user, ...(hasToken && {token: this._token}),
 		};
 	}
 
-	/** The direct way to the primary, or to a replica. */
+	/** Target for direct connections to the primary or to a replica. */
 	direct(role: 'primary' | 'replica'): LoadTarget {
-		const {host, port} = this._system.endpointPlace(endpointOf(role));
+		const {host, port} = this._system.endpointAddresses(endpointOf(role));
 		return {
 			host, port, group: pathSystem.group, ...endpointUser,
 		};
 	}
 
-	/** Process of a node or an endpoint. */
+	/** Process id of a node or an endpoint. */
 	pidOf(name: string): number {
 		return this._system.pidOf(name);
 	}
 
-	/** Processes of all endpoints. */
+	/** Process ids of all endpoints. */
 	get endpointPids(): readonly number[] {
 		return endpoints.map(name => this.pidOf(name));
 	}
@@ -58,13 +58,13 @@
 		return this._system.stop();
 	}
 
-	/** Ends every process at once. */
+	/** Kills every process. */
 	dispose(): void {
 		this._system.dispose();
 	}
 }
 
-/** Starts everything and fills the table. */
+/** Starts all processes and fills the table; rejects if a process does not start. */
 export async function startPathSystem({folder, note}: BenchContext): Promise<PathSystem> {
 	const deployment = makeDeployment();
 	const placement = await placeDeployment(deployment);
@@ -83,7 +83,7 @@
 	}
 }
 
-/** Nothing fails here, so that the first primary stays. */
+/** Name of the primary or of a replica; nothing fails here, so that the first endpoint stays primary. */
 function endpointOf(role: 'primary' | 'replica'): string {
 	return endpoints[role === 'primary' ? 0 : 1];
 }
@@ -112,11 +112,11 @@
 	});
 }
 
-/** Makes the table and its rows; resolves with a token that includes them. */
+/** Creates the table and its rows; resolves with a session token that includes these writes. */
 async function fill(system: DevelopmentSystem): Promise<string> {
-	const {host, callersPort: port} = system.nodePlace(pathSystem.home);
+	const {host, callersPort: port} = system.nodeAddresses(pathSystem.home);
 	const client = new ProxyClient({host, port}, pathSystem.group, pathSystem.user);
-	// Whichever node started first was home of everything until now.
+	// The node that started first was the home of all endpoints until the others joined.
 	await pause(pathAmounts.settleMs);
 	await client.connect();
 	const [create, insert] = tableStatements;
--- a/bench/path/types.ts
+++ b/bench/path/types.ts
@@ -1,35 +1,35 @@
 /**
- * Figures of the path benchmark.
+ * Types of the path benchmark.
  */
 import type {LoadTarget, SeriesReport, Work} from '../load/types.js';
 import type {ProcessAccount, ProcessGroups} from '../process-account.js';
 
-/** A way to the data, with the processes on it. */
-export type Way = {
+/** A path to the data, with the processes on it. */
+export type AccessPath = {
 	readonly name: string;
 	readonly target: LoadTarget;
-	/** Nodes on the way, and the endpoints that may answer. */
+	/** Process ids of the nodes on the path and of the endpoints that may answer. */
 	readonly pids: ProcessGroups;
 };
 
-/** Figures of one way and one kind of work. */
-export type WayFigures = {
+/** Figures of one kind of work on one path; `way` is the name of the path. */
+export type PathFigures = {
 	readonly way: string;
 	readonly work: string;
 	readonly connections: number;
 	readonly report: SeriesReport;
-	/** What the processes on the way used. */
+	/** Resources that the processes on the path used. */
 	readonly accounts: Readonly<Record<string, ProcessAccount>>;
 };
 
-/** One kind of work to compare the ways by. */
+/** One kind of work by which the paths are compared. */
 export type LatencyPlan = {
 	readonly name: string;
 	readonly work: Work;
-	readonly ways: readonly Way[];
+	readonly paths: readonly AccessPath[];
 };
 
-/** Figures of a node that holds idle connections. */
+/** Resources that a node has used before and after idle connections were opened. */
 export type MemoryFigures = {
 	readonly connections: number;
 	readonly before: ProcessAccount;
--- a/bench/process-account.ts
+++ b/bench/process-account.ts
@@ -1,28 +1,28 @@
 /**
- * What the kernel accounts to a process: processor time, memory, and what it read and wrote.
- * Read from outside, so that measuring costs the process nothing.
+ * Resources that the kernel accounts to a process: processor time, memory, bytes read and
+ * written. They are read from outside the process, so that measuring costs it nothing.
  */
 import {readFile} from 'node:fs/promises';
 
-/** Clock ticks of /proc in one second; the same on every Linux that Node.js runs on. */
+/** Clock ticks per second in /proc; the same on every Linux on which Node.js runs. */
 const ticksPerSecond = 100;
 
-/** The account of a process at one moment. Counts go up from its start. */
+/** Resource usage of a process at one moment; counts run from the start of the process. */
 export type ProcessAccount = {
 	readonly cpuMs: number;
 	readonly residentBytes: number;
-	/** Bytes of read and write calls, sockets included. */
+	/** Bytes of read and write calls, including those on sockets. */
 	readonly readBytes: number;
 	readonly writtenBytes: number;
-	/** Read and write calls. */
+	/** Number of read and write calls. */
 	readonly readCalls: number;
 	readonly writeCalls: number;
 };
 
-/** Reads the account of a process. */
+/** Reads the resource usage of a process from /proc; rejects if the process does not exist. */
 export async function readAccount(pid: number): Promise<ProcessAccount> {
 	const [stat, status, io] = await Promise.all(['stat', 'status', 'io'].map(async file => readFile(`/proc/${pid}/${file}`, 'utf8')));
-	// The name in brackets may hold anything; numbers begin behind it.
+	// The process name in parentheses may contain any character; the numeric fields start after it.
 	const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
 	const ticks = Number(fields[11]) + Number(fields[12]);
 	return {
@@ -35,7 +35,7 @@
 	};
 }
 
-/** What a process used between two moments; memory is the later one's. */
+/** Resources used between two moments; memory is that of the later one. */
 export function differenceOf(before: ProcessAccount, after: ProcessAccount): ProcessAccount {
 	return {
 		cpuMs: after.cpuMs - before.cpuMs,
@@ -52,18 +52,18 @@
 	return start === -1 ? 0 : Number.parseInt(text.slice(start + key.length), 10);
 }
 
-/** Processes by what they are; those of one name are counted together. */
+/** Process ids by the role of the processes; those of one role are counted together. */
 export type ProcessGroups = Readonly<Record<string, readonly number[]>>;
 
-/** Adds up what several processes use during some acts. */
+/** Sums the resources that several processes use during a series of operations. */
 export class AccountSum {
-	/** What each has used so far, by the names given. */
+	/** Resources used so far, by the role of the processes; memory is the maximum. */
 	readonly total: Record<string, ProcessAccount> = {};
 
-	/** Adds what the processes use during one act. */
-	async around(pids: ProcessGroups, act: () => Promise<void>): Promise<void> {
+	/** Runs one operation and adds the resources that the processes use during it. */
+	async around(pids: ProcessGroups, operation: () => Promise<void>): Promise<void> {
 		const before = await readAll(pids);
-		await act();
+		await operation();
 		const after = await readAll(pids);
 		for (const name of Object.keys(pids)) {
 			const used = differenceOf(before[name], after[name]);
--- a/bench/simulated/bench-caller.ts
+++ b/bench/simulated/bench-caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's session in a benchmark: it writes and reads rows of its own through any node.
+ * A caller's session in a benchmark, which sends statements through any node.
  */
 import {SeededRandom} from '../../src/common/random/seeded-random.js';
 import {CallerSession} from '../../src/common/sessions/caller-session.js';
@@ -14,21 +14,21 @@
 const codec = new SessionTokenCodec(new HmacTokenSigner('the key of every node in a benchmark'));
 
 /** How one statement is sent. */
-export type Sending = {
+export type SendOptions = {
 	readonly hasToken: boolean;
 	readonly maximumAgeMs?: number;
-	/** Deadline of the statement; undefined for the rules' own. */
+	/** Deadline of the statement; if undefined, that of the rules applies. */
 	readonly deadlineMs?: number;
 };
 
-/** A statement's answer and how long it took. */
+/** Answer to a statement and the virtual time that it took. */
 export type TimedAnswer = {
 	readonly answer: CallerAnswer;
 	readonly tookMs: number;
 	readonly isFromPrimary: boolean;
 };
 
-/** One session. */
+/** One caller with its session token. */
 export class BenchCaller {
 	readonly number: number;
 	readonly random: SeededRandom;
@@ -44,15 +44,15 @@
 		this._process = new SimulatedProcess(`caller ${number}`, world.plan.zones[number % world.plan.zones.length], world.clock);
 	}
 
-	/** Sends one statement through some node; undefined when no node takes callers. */
-	async send(group: string, statement: CallerStatement, sending: Sending): Promise<TimedAnswer | undefined> {
+	/** Sends one statement through a node; resolves with undefined when no node accepts callers. */
+	async send(group: string, statement: CallerStatement, options: SendOptions): Promise<TimedAnswer | undefined> {
 		const node = this._pickNode();
 		if (!node) {
 			return undefined;
 		}
 
 		const {world, callersMs} = this._bench;
-		const session = this._session(node, group, sending);
+		const session = this._session(node, group, options);
 		const startMs = world.clock.nowMs();
 		await this.pause(callersMs);
 		const answer = await exchange({caller: this._process, node, network: world.network}, session, statement);
@@ -71,7 +71,7 @@
 		});
 	}
 
-	/** Nodes of the caller's own zone come first, as behind a balancer of the zone. */
+	/** Prefers nodes in the caller's own zone, as a load balancer of the zone does. */
 	private _pickNode(): SimulatedNode | undefined {
 		const nodes = [...this._bench.world.nodes.values()].filter(({isDraining}) => !isDraining);
 		const near = nodes.filter(({process}) => process.availabilityZone === this._process.availabilityZone);
@@ -79,7 +79,7 @@
 		return choice[Math.floor(this.random.next() * choice.length)];
 	}
 
-	private _session(node: SimulatedNode, group: string, {hasToken, maximumAgeMs, deadlineMs}: Sending): CallerSession {
+	private _session(node: SimulatedNode, group: string, {hasToken, maximumAgeMs, deadlineMs}: SendOptions): CallerSession {
 		const marks = new TokenSessionMarks(codec, group, 'primary');
 		if (hasToken && this._token !== undefined) {
 			marks.mergeToken(this._token);
--- a/bench/simulated/bench-world.ts
+++ b/bench/simulated/bench-world.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment of the settings files as a world on the virtual clock.
+ * Starts a deployment from its settings file as a simulated world on a virtual clock.
  */
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
@@ -15,7 +15,7 @@
 export const deploymentNames = ['furniture', 'cooperative'] as const;
 export type DeploymentName = typeof deploymentNames[number];
 
-/** A started world and what it counts. */
+/** A started world and its metrics. */
 export type BenchWorld = {
 	readonly world: World;
 	readonly metrics: HistogramMetrics;
@@ -24,26 +24,26 @@
 
 const repositoryFolder = path.join(path.dirname(fileURLToPath(import.meta.url)), '../../..');
 
-/** Reads a deployment's settings file. */
+/** Reads a deployment's settings file; rejects if it is invalid. */
 export async function readDeployment(name: DeploymentName): Promise<Deployment> {
 	const loaded = await loadFile(path.join(repositoryFolder, 'deployments', name, 'deployment.jsonc'), deploymentSchema);
 	return loaded.unsafeCoerce();
 }
 
-/** Starts a deployment with a seed. An invariant that breaks ends the run. */
+/** Starts a deployment with a seed; a violated invariant ends the run with an error. */
 export async function startWorld(deployment: Deployment, seed: number, nodeOptions: NodeOptions = {}): Promise<BenchWorld> {
 	const metrics = new HistogramMetrics();
 	const world = new World(planOf(deployment, seed, nodeOptions), {
 		metrics,
 		log: {
 			event() {
-				// The figures come from the callers.
+				// The log is not used: the figures come from the callers.
 			},
 		},
 		invariants: {
 			check(name, condition, detail) {
 				if (!condition) {
-					throw new Error(`invariant ${name} broken: ${detail()}`);
+					throw new Error(`invariant ${name} violated: ${detail()}`);
 				}
 
 				return condition;
--- a/bench/simulated/failover.ts
+++ b/bench/simulated/failover.ts
@@ -1,6 +1,6 @@
 /**
- * Failover gap: from the last write acknowledged before an event to the first after it,
- * and acknowledged writes that the new primary does not have.
+ * Measures the failover gap, which is the longest time between two acknowledged writes from the
+ * last one before an event on, and counts acknowledged writes that the new primary does not have.
  */
 import type {Operation} from '../../src/common/configuration/schema.js';
 import type {NodeOptions} from '../../src/common/node-core.js';
@@ -15,12 +15,12 @@
 import {failoverBenchSizes as sizes} from './constants.js';
 import {percentile} from './statistics.js';
 
-/** Something that happens to the primary of the first group. */
+/** A fault or a planned change that replaces or delays the primary of the first group. */
 type Event = {
 	readonly name: string;
 	readonly act: (world: World, primary: SimulatedEndpoint) => Promise<void> | void;
 	readonly nodeOptions?: NodeOptions;
-	/** Largest gap at the 99th percentile that is accepted, in virtual milliseconds. */
+	/** Maximum accepted 99th percentile of the gap, in virtual milliseconds. */
 	readonly maximumGapMs: number;
 };
 
@@ -85,12 +85,12 @@
 	},
 	{
 		name: 'ordered by an operator',
-		act: async (world, primary) => orderAway(world, primary, {kind: 'orderPrimary'}),
+		act: async (world, primary) => movePrimaryByRule(world, primary, {kind: 'orderPrimary'}),
 		maximumGapMs: 300,
 	},
 	{
 		name: 'drain of the endpoint',
-		act: async (world, primary) => orderAway(world, primary, {kind: 'drain', isDraining: true}),
+		act: async (world, primary) => movePrimaryByRule(world, primary, {kind: 'drain', isDraining: true}),
 		maximumGapMs: 300,
 	},
 	{
@@ -103,7 +103,7 @@
 	},
 ];
 
-/** Measures both deployments. */
+/** Measures every event on both deployments; resolves with tables and bounded figures. */
 export async function benchFailover({note}: BenchContext): Promise<BenchResult> {
 	const tables: Table[] = [];
 	const bounded: Array<{name: string; value: number; maximum: number}> = [];
@@ -130,7 +130,7 @@
 	return {tables, bounded};
 }
 
-/** Exported so that one event can be measured by itself. */
+/** Measures one event, one sample per seed; exported so that an event can be measured alone. */
 export async function measureEvent(deployment: Deployment, event: Event): Promise<Sample[]> {
 	const samples: Sample[] = [];
 	for (let seed = 1; seed <= sizes.runs; seed++) {
@@ -153,18 +153,18 @@
 	const eventAtMs = clock.nowMs() + sizes.beforeMs;
 	const endMs = eventAtMs + sizes.afterMs;
 	const working = Promise.all(writers.map(async writer => write(bench, writer, {group, acknowledged, endMs})));
-	// The event falls anywhere between two heartbeats and two writes.
+	// The random part lets the event fall at any point between two heartbeats and two writes.
 	await clock.advance(sizes.beforeMs + (world.random.next() * 500));
 	const atMs = clock.nowMs();
 	void event.act(world, primary);
 	await clock.advanceUntil(working, sizes.afterMs * 4);
-	const leader = leaderOf(world, group);
-	const table = leader.instance.database.tables.get('booking');
-	const kept = new Set([...table?.rows.values() ?? []].map(([id]) => Number(id)));
+	const newPrimary = primaryOf(world, group);
+	const table = newPrimary.instance.database.tables.get('booking');
+	const storedIds = new Set([...table?.rows.values() ?? []].map(([id]) => Number(id)));
 	return {
 		gapMs: longestGapMs([...acknowledged.values()], atMs, endMs),
-		lostCount: [...acknowledged.keys()].filter(id => !kept.has(id)).length,
-		promotionCount: leader.instance.state.promisedTerm - 1,
+		lostCount: [...acknowledged.keys()].filter(id => !storedIds.has(id)).length,
+		promotionCount: newPrimary.instance.state.promisedTerm - 1,
 	};
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-/** Longest time without an acknowledged write, from just before the event on. */
+/** Longest time between two acknowledged writes, from the last one before the event on. */
 function longestGapMs(timesMs: readonly number[], atMs: number, endMs: number): number {
 	const sorted = [...timesMs, endMs].toSorted((a, b) => a - b);
 	let longest = 0;
@@ -202,12 +202,12 @@
 	return longest;
 }
 
-function leaderOf(world: World, group: string): SimulatedEndpoint {
-	const leaders = world.instancesOf(group).filter(({instance}) => instance.isPrimary);
-	return leaders.toSorted((a, b) => a.instance.state.promisedTerm - b.instance.state.promisedTerm).at(-1)!;
+function primaryOf(world: World, group: string): SimulatedEndpoint {
+	const primaries = world.instancesOf(group).filter(({instance}) => instance.isPrimary);
+	return primaries.toSorted((a, b) => a.instance.state.promisedTerm - b.instance.state.promisedTerm).at(-1)!;
 }
 
-async function orderAway(world: World, primary: SimulatedEndpoint, effect: {kind: 'orderPrimary'} | {kind: 'drain'; isDraining: true}): Promise<void> {
+async function movePrimaryByRule(world: World, primary: SimulatedEndpoint, effect: {kind: 'orderPrimary'} | {kind: 'drain'; isDraining: true}): Promise<void> {
 	const {name} = primary.process;
 	const group = name.slice(0, name.lastIndexOf('-'));
 	const other = world.instancesOf(group).find(endpoint => endpoint !== primary)!;
--- a/bench/simulated/fleet-cost.ts
+++ b/bench/simulated/fleet-cost.ts
@@ -1,7 +1,7 @@
 /**
- * What one node spends on the other nodes of a large fleet, while it starts and in a quiet
- * second: counts from whole nodes on a virtual clock, times what one of each costs on this
- * machine over real links.
+ * Computes the processor time that one node spends on the other nodes of a large fleet, while
+ * it starts and in a quiet second: the number of links and calls, counted with whole nodes on a
+ * virtual clock, times the cost of one link or call, measured on this machine over real links.
  */
 import process from 'node:process';
 import {performance} from 'node:perf_hooks';
@@ -18,29 +18,29 @@
 const sizes = [30, 100, 200] as const;
 
 /**
- * Time between two reports of the three instances of the stand-in: each of 42 endpoints says
- * something of itself in the store every 1.2 s, which is 35 changed rows a second.
+ * Time between two reports of the stand-in's three instances. It gives the 35 changed rows per
+ * second of 42 endpoints that each update their row in the store every 1.2 s.
  */
 const reportEveryMs = 86;
 
-/** Virtual time that is counted once nodes serve, and the pause between two statements of every node meanwhile. */
+/** Virtual time over which calls are counted once the nodes serve, and the time between two statements of every node in it. */
 const quiet = {forMs: 10_000, everyMs: 1000} as const;
 
-/** Groups in an overview, endpoints of them, and zones: those of a deployment of 200 nodes. */
+/** Number of groups in an overview, of endpoints in each, and the zones, as in a deployment of 200 nodes. */
 const deployment = {groups: 14, endpointsPerGroup: 3, zones: 'abcdef'} as const;
 
-/** Links and calls that are timed. */
+/** Number of links, calls and rankings that are timed. */
 const timed = {links: 60, calls: 3000, rankings: 200} as const;
 
-/** Growth of what a node does in a quiet second from 100 nodes to 200 that is accepted: that of a zone's node count alone is none. */
+/** Maximum accepted ratio of a node's processor time in a quiet second at 200 nodes to that at 100; more nodes per zone alone should not increase it. */
 const maximumGrowth = 1.1;
 
-/** Links of a node that is neither home nor asker, to the homes and askers that it uses. */
+/** Maximum accepted number of links that a node which is neither home nor coordinator opens, to the homes and coordinators that it uses. */
 const maximumOrdinaryLinks = 20;
 
 type Kind = ObservedPeerCall['kind'];
 
-/** Milliseconds of processor time, both ends together. */
+/** Processor time of one operation in milliseconds, both ends together. */
 type UnitCosts = {
 	readonly link: number;
 	readonly call: number;
@@ -49,21 +49,21 @@
 
 type Counts = {
 	readonly nodes: number;
-	/** Calls between nodes while all of them start. */
+	/** Calls between nodes while all nodes start. */
 	readonly startCalls: number;
 	readonly startLinks: number;
-	/** Calls of each kind in a quiet second, of an average node. */
+	/** Calls of each kind that an average node makes in a quiet second. */
 	readonly perS: ReadonlyMap<Kind, number>;
-	/** Calls that the busiest node answers in a quiet second. */
+	/** Calls that the node with the most calls answers in a quiet second. */
 	readonly mostAnsweredPerS: number;
 	readonly storeCallsPerS: number;
 	readonly startStoreCalls: number;
-	/** Most links that a node which is neither home nor asker has opened. */
+	/** Maximum number of links that a node which is neither home nor coordinator has opened. */
 	readonly ordinaryLinks: number;
 	readonly rankingMs: number;
 };
 
-/** Counts and times, at three sizes. */
+/** Counts calls at three fleet sizes and multiplies them with their measured costs; resolves with tables and bounded figures. */
 export async function benchFleetCost({note}: BenchContext): Promise<BenchResult> {
 	const costs = await unitCosts();
 	note(`one link ${costs.link.toFixed(1)} ms, one call ${costs.call.toFixed(3)} ms, one overview of ${deployment.groups} groups ${costs.overview.toFixed(3)} ms`);
@@ -123,7 +123,7 @@
 	return [...perS].filter(([kind]) => kind !== 'overview').reduce((sum, [, count]) => sum + count, 0);
 }
 
-/** Choices are kept for a quarter of a second: at most four a second for each endpoint. */
+/** A ranking is cached for a quarter of a second, so that each endpoint is ranked at most four times per second. */
 function rankingMsPerS({rankingMs}: Counts): number {
 	return 4 * rankingMs;
 }
@@ -133,22 +133,22 @@
 }
 
 async function countFleet(nodes: number): Promise<Counts> {
-	const bench = new LineTestCluster();
+	const cluster = new LineTestCluster();
 	const calls: ObservedPeerCall[] = [];
-	bench.peerCallListener = call => {
+	cluster.peerCallListener = call => {
 		calls.push(call);
 	};
 
-	await bench.start(nodes);
-	await bench.clock.advance(3000);
+	await cluster.start(nodes);
+	await cluster.clock.advance(3000);
 	const startCalls = calls.length;
 	const startLinks = linksOf(calls).size;
-	const startStoreCalls = bench.store.calls;
-	const kept = calls.splice(0);
-	reportLater(bench);
+	const startStoreCalls = cluster.store.calls;
+	const callsDuringStart = calls.splice(0);
+	scheduleReport(cluster);
 	for (let passedMs = 0; passedMs < quiet.forMs; passedMs += quiet.everyMs) {
-		await bench.clock.advanceUntil(Promise.all(bench.nodes.map(async node => node.session(databases.primary).start('READ x'))));
-		await bench.clock.advance(quiet.everyMs);
+		await cluster.clock.advanceUntil(Promise.all(cluster.nodes.map(async node => node.session(databases.primary).start('READ x'))));
+		await cluster.clock.advance(quiet.everyMs);
 	}
 
 	const seconds = quiet.forMs / 1000;
@@ -161,18 +161,18 @@
 		startStoreCalls,
 		perS: new Map([...perS].map(([kind, count]) => [kind, count / nodes / seconds])),
 		mostAnsweredPerS: Math.max(...answered.values()) / seconds,
-		storeCallsPerS: (bench.store.calls - startStoreCalls) / seconds,
-		ordinaryLinks: mostOrdinaryLinks(bench, [...kept, ...calls]),
+		storeCallsPerS: (cluster.store.calls - startStoreCalls) / seconds,
+		ordinaryLinks: mostOrdinaryLinks(cluster, [...callsDuringStart, ...calls]),
 		rankingMs: rankingMs(nodes),
 	};
-	bench.dispose();
+	cluster.dispose();
 	return result;
 }
 
-function reportLater(bench: LineTestCluster): void {
-	bench.clock.setTimer(reportEveryMs, () => {
-		bench.register();
-		reportLater(bench);
+function scheduleReport(cluster: LineTestCluster): void {
+	cluster.clock.setTimer(reportEveryMs, () => {
+		cluster.register();
+		scheduleReport(cluster);
 	});
 }
 
@@ -180,11 +180,11 @@
 	return new Set(calls.map(({from, to}) => `${from} ${to}`));
 }
 
-function mostOrdinaryLinks(bench: LineTestCluster, calls: readonly ObservedPeerCall[]): number {
-	const [{registry, fleet}] = bench.nodes;
+function mostOrdinaryLinks(cluster: LineTestCluster, calls: readonly ObservedPeerCall[]): number {
+	const [{registry, fleet}] = cluster.nodes;
 	const homes = new Set(registry.ofService('svc').flatMap(endpoint => fleet.homes(endpoint).map(({name}) => name)));
-	const special = new Set(bench.nodes.filter(node => node.fleet.isCoordinator || homes.has(node.self.name)).map(({self}) => self.name));
-	const links = [...linksOf(calls)].map(link => link.split(' ')[0]).filter(from => !special.has(from));
+	const homesAndCoordinators = new Set(cluster.nodes.filter(node => node.fleet.isCoordinator || homes.has(node.self.name)).map(({self}) => self.name));
+	const links = [...linksOf(calls)].map(link => link.split(' ')[0]).filter(from => !homesAndCoordinators.has(from));
 	return Math.max(...countBy(links, from => from).values());
 }
 
@@ -198,7 +198,7 @@
 	return counts;
 }
 
-/** Processor time in which a node ranks its homes for every endpoint once. */
+/** Time in milliseconds in which a node ranks the homes of every endpoint once. */
 function rankingMs(nodes: number): number {
 	const peering = fakePeering();
 	const {zones, groups, endpointsPerGroup} = deployment;
@@ -212,7 +212,7 @@
 	}));
 	const startedAtMs = performance.now();
 	for (let round = 0; round < timed.rankings; round++) {
-		// Whatever voids choices, as a node that did not answer does.
+		// A change of reachability invalidates the cached rankings, as when a node does not answer.
 		peering.directory.reportReachability('n1', round % 2 === 0);
 		for (const endpoint of endpoints) {
 			fleet.homes(endpoint);
@@ -228,7 +228,7 @@
 	const peers: PeerNode[] = [];
 	const log = {
 		event() {
-			// Not looked at.
+			// The log is not used.
 		},
 	};
 	for (let index = 0; index < timed.links; index++) {
@@ -241,11 +241,11 @@
 	}
 
 	const client = new DirectPeerClient(clock, () => undefined);
-	const answerMs = 5000;
-	const tell = async (peer: PeerNode): Promise<unknown> => client.tell(peer, {kind: 'left', name: 'n'}, answerMs);
+	const timeoutMs = 5000;
+	const sendNotice = async (peer: PeerNode): Promise<unknown> => client.tell(peer, {kind: 'left', name: 'n'}, timeoutMs);
 	const [first, ...others] = peers;
-	await tell(first);
-	const links = await processorMs(async () => Promise.all(others.map(async peer => tell(peer))));
+	await sendNotice(first);
+	const links = await processorMs(async () => Promise.all(others.map(async peer => sendNotice(peer))));
 	const repeated = async (call: () => Promise<unknown>): Promise<number> => {
 		const spentMs = await processorMs(async () => {
 			for (let count = 0; count < timed.calls; count++) {
@@ -255,8 +255,8 @@
 		return spentMs / timed.calls;
 	};
 
-	const call = await repeated(async () => tell(first));
-	const overview = await repeated(async () => client.overview(first, '', answerMs));
+	const call = await repeated(async () => sendNotice(first));
+	const overview = await repeated(async () => client.overview(first, '', timeoutMs));
 	client.dispose();
 	for (const server of servers) {
 		server.dispose();
@@ -281,7 +281,7 @@
 	return {
 		self: () => self,
 		onNotice() {
-			// Not looked at.
+			// Notices are ignored; only the cost of the call is measured.
 		},
 		overview: async () => overviews,
 		status: never,
--- a/bench/simulated/line-failover.ts
+++ b/bench/simulated/line-failover.ts
@@ -1,7 +1,7 @@
 /**
- * Failover gap and the share of reads at replicas for nodes that reach endpoints themselves,
- * and for fleets in which a few homes do: whole nodes on a virtual clock before a stand-in of
- * one group. A promotion takes the stand-in 500 ms.
+ * Measures the failover gap and the share of reads at replicas, for fleets whose nodes all
+ * connect to the endpoints and for fleets in which only a few homes do. Whole nodes run on a
+ * virtual clock in front of a stand-in of one group, whose promotions take 500 ms.
  */
 import {pauseFor} from '../../src/common/lifecycle/timing.js';
 import {databases, LineTestCluster} from '../../standins/line/line-test-cluster.js';
@@ -9,25 +9,25 @@
 import type {BenchContext, BenchResult, Table} from '../types.js';
 import {percentile} from './statistics.js';
 
-/** Nodes of the two kinds of fleets. */
+/** Number of nodes of each of the two kinds of fleets. */
 const fleets = {'8 nodes': 8, '24 nodes, two homes': 24} as const;
 
-/** Runs of each event; the loss comes 7 ms later in each, so that it meets other moments of the polls. */
+/** Number of runs of each event; in each run the event comes 7 ms later, so that it falls at another point between two polls. */
 const runs = 8;
 const stepMs = 7;
 
-/** Sizes of one run: callers at one time, and times in virtual milliseconds. */
+/** Sizes of one run: number of concurrent callers, and times in virtual milliseconds. */
 const sizes = {
 	callers: 8, pauseMs: 10, warmUpMs: 1000, measuredMs: 9000,
 } as const;
 
-/** Id of the instance that leads at first. */
+/** Id of the instance that is the primary at the start. */
 const firstPrimary = 'i-1';
 
 type Event = {
 	readonly name: string;
 	readonly act: (bench: LineTestCluster) => void;
-	/** Largest gap that is accepted, in virtual milliseconds. */
+	/** Maximum accepted gap, in virtual milliseconds. */
 	readonly maximumGapMs: number;
 };
 
@@ -35,7 +35,7 @@
 	group.instance(firstPrimary).isUp = false;
 }
 
-function cutFrom(nodes: readonly LineTestNode[]): void {
+function cutFromPrimary(nodes: readonly LineTestNode[]): void {
 	for (const {connector} of nodes) {
 		connector.connectionFaults.set(firstPrimary, 'silent');
 	}
@@ -45,11 +45,11 @@
 	{name: 'crash', act: crash, maximumGapMs: 2500},
 	{
 		name: 'crash, store away for 1 s',
-		act(bench) {
-			bench.store.isUnavailable = true;
-			crash(bench);
-			bench.clock.setTimer(1000, () => {
-				bench.store.isUnavailable = false;
+		act(cluster) {
+			cluster.store.isUnavailable = true;
+			crash(cluster);
+			cluster.clock.setTimer(1000, () => {
+				cluster.store.isUnavailable = false;
 			});
 		},
 		maximumGapMs: 4500,
@@ -57,21 +57,21 @@
 	{
 		name: 'silent for all',
 		act({nodes}) {
-			cutFrom(nodes);
+			cutFromPrimary(nodes);
 		},
 		maximumGapMs: 4500,
 	},
 	{
 		name: 'silent for a third of the nodes',
 		act({nodes}) {
-			cutFrom(nodes.filter((_, index) => index % 3 === 0));
+			cutFromPrimary(nodes.filter((_, index) => index % 3 === 0));
 		},
 		maximumGapMs: 2500,
 	},
 	{
 		name: 'planned: the primary drains',
-		act(bench) {
-			bench.register(firstPrimary);
+		act(cluster) {
+			cluster.register(firstPrimary);
 		},
 		maximumGapMs: 2500,
 	},
@@ -85,7 +85,7 @@
 	readonly reads: number;
 };
 
-/** Runs every event on both fleets. */
+/** Measures every event on both fleets; resolves with a table and bounded figures. */
 export async function benchLineFailover({note}: BenchContext): Promise<BenchResult> {
 	const rows: Array<Table['rows'][number]> = [];
 	const bounded: Array<BenchResult['bounded'][number]> = [];
@@ -119,25 +119,25 @@
 }
 
 async function sample(event: Event, nodeCount: number, run: number): Promise<Sample> {
-	const bench = new LineTestCluster();
+	const cluster = new LineTestCluster();
 	try {
-		await bench.start(nodeCount);
-		const load = new Load(bench);
+		await cluster.start(nodeCount);
+		const load = new Load(cluster);
 		load.start();
-		await bench.clock.advance(sizes.warmUpMs + (run * stepMs));
-		event.act(bench);
-		await bench.clock.advance(sizes.measuredMs);
+		await cluster.clock.advance(sizes.warmUpMs + (run * stepMs));
+		event.act(cluster);
+		await cluster.clock.advance(sizes.measuredMs);
 		load.stop();
-		await bench.clock.advance(sizes.measuredMs);
-		return {...load.counts(), lost: await load.lost(), promotions: bench.ordered.length};
+		await cluster.clock.advance(sizes.measuredMs);
+		return {...load.counts(), lost: await load.lost(), promotions: cluster.ordered.length};
 	} finally {
-		bench.dispose();
+		cluster.dispose();
 	}
 }
 
-/** Callers that write items of their own, and read them at any age that their route allows. */
+/** Callers that each write an item of their own, and read it at any age that their route allows. */
 class Load {
-	private readonly _bench: LineTestCluster;
+	private readonly _cluster: LineTestCluster;
 	private readonly _acknowledged = new Map<string, number>();
 	private _isStopped = false;
 	private _lastAckMs: number;
@@ -145,9 +145,9 @@
 	private _reads = 0;
 	private _readsAtReplicas = 0;
 
-	constructor(bench: LineTestCluster) {
-		this._bench = bench;
-		this._lastAckMs = bench.clock.nowMs();
+	constructor(cluster: LineTestCluster) {
+		this._cluster = cluster;
+		this._lastAckMs = cluster.clock.nowMs();
 	}
 
 	start(): void {
@@ -165,15 +165,15 @@
 		return {gapMs: this._gapMs, reads: this._reads, readsAtReplicas: this._readsAtReplicas};
 	}
 
-	/** Acknowledged writes that the last primary does not show. */
+	/** Number of items whose last acknowledged value the last primary does not have. */
 	async lost(): Promise<number> {
-		const {group} = this._bench;
-		const leader = group.instances.filter(({isPrimary, isUp}) => isPrimary && isUp).toSorted((a, b) => b.term - a.term)[0];
-		return [...this._acknowledged].filter(([item, value]) => Number(leader.read(item) ?? 0) < value).length;
+		const {group} = this._cluster;
+		const primary = group.instances.filter(({isPrimary, isUp}) => isPrimary && isUp).toSorted((a, b) => b.term - a.term)[0];
+		return [...this._acknowledged].filter(([item, value]) => Number(primary.read(item) ?? 0) < value).length;
 	}
 
 	private async _write(caller: number): Promise<void> {
-		const {clock, nodes} = this._bench;
+		const {clock, nodes} = this._cluster;
 		const session = nodes[caller % nodes.length].session(databases.primary);
 		const item = `item-${caller}`;
 		for (let value = 1; !this._isStopped; value++) {
@@ -189,14 +189,14 @@
 	}
 
 	private async _read(caller: number): Promise<void> {
-		const {clock, nodes} = this._bench;
+		const {clock, nodes} = this._cluster;
 		const session = nodes[(caller * 3) % nodes.length].session(databases.own);
 		while (!this._isStopped) {
 			const answer = await session.start(`READ item-${caller}`);
 			const [, instance] = /COMPLETE (i-\d)/v.exec(answer) ?? [];
 			if (instance !== undefined) {
 				this._reads += 1;
-				this._readsAtReplicas += this._bench.group.instance(instance).isPrimary ? 0 : 1;
+				this._readsAtReplicas += this._cluster.group.instance(instance).isPrimary ? 0 : 1;
 			}
 
 			await pauseFor(clock, sizes.pauseMs);
--- a/bench/simulated/overload.ts
+++ b/bench/simulated/overload.ts
@@ -1,5 +1,5 @@
 /**
- * Writes beyond what a primary can run: goodput, early refusal, fairness and recovery.
+ * Measures writes beyond the capacity of a primary: goodput, early refusals, fairness and recovery.
  */
 import type {Deployment} from '../../src/common/settings/deployment-schema.js';
 import type {
@@ -21,7 +21,7 @@
 
 type Phase = {readonly load: number; readonly durationMs: number};
 
-/** Measures both deployments at each load. */
+/** Measures both deployments at each load; resolves with tables and bounded figures. */
 export async function benchOverload({note}: BenchContext): Promise<BenchResult> {
 	const tables: Table[] = [];
 	const bounded: BoundedFigure[] = [];
@@ -81,7 +81,7 @@
 	}
 }
 
-/** Requests come at their rate whether or not earlier ones were answered. */
+/** Sends requests at the rate of each phase, whether or not earlier ones have been answered. */
 async function runPhases({world}: BenchWorld, run: {group: string; callers: readonly BenchCaller[]; requests: Request[]; phases: readonly Phase[]}): Promise<void> {
 	const {group, callers, requests, phases} = run;
 	const [light, ...heavy] = callers;
@@ -90,7 +90,7 @@
 		const intervalMs = 1000 / (capacityPerSecond() * load);
 		while (world.clock.nowMs() < endMs) {
 			await light.pause(intervalMs * (0.5 + light.random.next()));
-			// The light caller asks for a small share; the rest is the heavy callers'.
+			// The light caller sends a small share of the requests, the heavy callers send the rest.
 			const isLight = light.random.next() < sizes.lightShare / load;
 			const caller = isLight ? light : heavy[requests.length % heavy.length];
 			const request: Request = {caller, sentAtMs: world.clock.nowMs()};
--- a/bench/simulated/replica-reads.ts
+++ b/bench/simulated/replica-reads.ts
@@ -1,31 +1,31 @@
 /**
- * Share of reads that replicas serve, against sending all to the primary and against
- * keeping a session at the primary for a while after its write.
+ * Measures the share of reads that replicas serve. The baselines are to send all reads to the
+ * primary, and to send those of a session to the primary for some time after its write.
  */
 import type {CallerStatement} from '../../soak/caller/exchange.js';
 import type {Deployment} from '../../src/common/settings/deployment-schema.js';
 import type {BenchContext, BenchResult, Table} from '../types.js';
-import {BenchCaller, isAnswered, type Sending} from './bench-caller.js';
+import {BenchCaller, isAnswered, type SendOptions} from './bench-caller.js';
 import {
 	deploymentNames, readDeployment, startWorld, type BenchWorld,
 } from './bench-world.js';
 import {readBenchSizes as sizes} from './constants.js';
 import {percentile} from './statistics.js';
 
-/** A way of sending reads, given how long ago the session wrote. */
-type Manner = {
+/** How reads are sent, depending on how long ago the session wrote. */
+type ReadStrategy = {
 	readonly name: string;
-	readonly sending: Sending;
-	/** Whether a read goes to the primary by the baseline's own rule. */
+	readonly options: SendOptions;
+	/** Whether a baseline sends a read to the primary. */
 	readonly isPinned: (sinceWriteMs: number) => boolean;
 };
 
-const manners: readonly Manner[] = [
-	{name: 'token', sending: {hasToken: true}, isPinned: () => false},
-	{name: 'no token', sending: {hasToken: false}, isPinned: () => false},
-	{name: 'stated age 1 s', sending: {hasToken: true, maximumAgeMs: sizes.maximumAgeMs}, isPinned: () => false},
-	{name: 'baseline: primary only', sending: {hasToken: true}, isPinned: () => true},
-	{name: 'baseline: primary for 2 s after a write', sending: {hasToken: true}, isPinned: sinceWriteMs => sinceWriteMs < sizes.pinMs},
+const readStrategies: readonly ReadStrategy[] = [
+	{name: 'token', options: {hasToken: true}, isPinned: () => false},
+	{name: 'no token', options: {hasToken: false}, isPinned: () => false},
+	{name: 'stated age 1 s', options: {hasToken: true, maximumAgeMs: sizes.maximumAgeMs}, isPinned: () => false},
+	{name: 'baseline: primary only', options: {hasToken: true}, isPinned: () => true},
+	{name: 'baseline: primary for 2 s after a write', options: {hasToken: true}, isPinned: sinceWriteMs => sinceWriteMs < sizes.pinMs},
 ];
 
 type Tally = {
@@ -36,14 +36,14 @@
 	readonly writeMs: number[];
 };
 
-/** Measures both deployments. */
+/** Measures every strategy on both deployments; resolves with tables and bounded figures. */
 export async function benchReplicaReads({note}: BenchContext): Promise<BenchResult> {
 	const tables: Table[] = [];
 	const shares = new Map<string, number>();
 	for (const name of deploymentNames) {
 		const deployment = await readDeployment(name);
 		const rows: Array<Array<string | number>> = [];
-		for (const manner of manners) {
+		for (const manner of readStrategies) {
 			note(`${name}: ${manner.name}`);
 			const tally = await measure(deployment, manner);
 			const share = tally.replicaReads / (tally.replicaReads + tally.primaryReads);
@@ -67,7 +67,7 @@
 		});
 	}
 
-	const [token] = manners;
+	const [token] = readStrategies;
 	return {
 		tables,
 		bounded: deploymentNames.map(name => ({
@@ -76,7 +76,7 @@
 	};
 }
 
-async function measure(deployment: Deployment, manner: Manner): Promise<Tally> {
+async function measure(deployment: Deployment, manner: ReadStrategy): Promise<Tally> {
 	const tally: Tally = {
 		replicaReads: 0, primaryReads: 0, failed: 0, readMs: [], writeMs: [],
 	};
@@ -85,8 +85,8 @@
 		const callers = Array.from({length: sizes.sessions}, (_, number) => new BenchCaller(bench, number));
 		await bench.world.clock.advanceUntil(prepare(bench, callers[0]));
 		const endMs = bench.world.clock.nowMs() + sizes.measuredMs;
-		const working = Promise.all(callers.map(async caller => work(bench, caller, {manner, tally, endMs})));
-		await bench.world.clock.advanceUntil(working, sizes.measuredMs * 2);
+		const sessions = Promise.all(callers.map(async caller => runSession(bench, caller, {manner, tally, endMs})));
+		await bench.world.clock.advanceUntil(sessions, sizes.measuredMs * 2);
 		bench.world.dispose();
 	}
 
@@ -104,8 +104,8 @@
 	await caller.pause(2000);
 }
 
-/** One session: mostly reads, now and then a write, with time to think. */
-async function work(bench: BenchWorld, caller: BenchCaller, {manner, tally, endMs}: {manner: Manner; tally: Tally; endMs: number}): Promise<void> {
+/** Runs one session: mostly reads, occasionally a write, with a pause before each statement. */
+async function runSession(bench: BenchWorld, caller: BenchCaller, {manner, tally, endMs}: {manner: ReadStrategy; tally: Tally; endMs: number}): Promise<void> {
 	const {world} = bench;
 	const group = world.plan.groups[caller.number % world.plan.groups.length];
 	let wroteAtMs = Number.NEGATIVE_INFINITY;
@@ -128,7 +128,7 @@
 
 		const sql = `SELECT note FROM visit WHERE id = ${(caller.number * 100_000) + Math.floor(caller.random.next() * count)}`;
 		const isPinned = manner.isPinned(world.clock.nowMs() - wroteAtMs);
-		const timed = await caller.send(group, {sql, access: isPinned ? 'write' : 'read', step: 'none'}, manner.sending);
+		const timed = await caller.send(group, {sql, access: isPinned ? 'write' : 'read', step: 'none'}, manner.options);
 		if (isAnswered(timed)) {
 			tally.readMs.push(timed.tookMs);
 			tally[timed.isFromPrimary ? 'primaryReads' : 'replicaReads'] += 1;
--- a/bench/simulated/statistics.ts
+++ b/bench/simulated/statistics.ts
@@ -1,8 +1,8 @@
 /**
- * Percentiles of small samples, which a histogram would only blur.
+ * Exact percentiles of small sets of samples; a histogram would round them.
  */
 
-/** The value that a share of the samples does not exceed; not a number without samples. */
+/** The smallest sample that at least the given share of the samples does not exceed; NaN without samples. */
 export function percentile(samples: readonly number[], share: number): number {
 	const sorted = samples.toSorted((a, b) => a - b);
 	const index = Math.min(sorted.length - 1, Math.ceil(sorted.length * share) - 1);
--- a/bench/types.ts
+++ b/bench/types.ts
@@ -2,7 +2,7 @@
  * Types that the benchmarks share.
  */
 
-/** Options of the command line that every benchmark takes. */
+/** Command-line options of every benchmark. */
 export type BenchOptions = {
 	/** Whether the result is printed as JSON instead of tables. */
 	readonly json: boolean;
@@ -10,7 +10,7 @@
 	readonly folder?: string;
 };
 
-/** A value of a table: text, or a figure. */
+/** A cell of a table: text or a figure. */
 export type Cell = string | number;
 
 /** Rows of figures under one title; every row has as many cells as there are columns. */
@@ -20,26 +20,26 @@
 	readonly rows: ReadonlyArray<readonly Cell[]>;
 };
 
-/** A figure that must not exceed a bound; ratios and counts within one run only. */
+/** A figure that must not exceed a bound; only ratios and counts within one run have bounds. */
 export type BoundedFigure = {
 	readonly name: string;
 	readonly value: number;
 	readonly maximum: number;
 };
 
-/** What a benchmark found. */
+/** Result of a benchmark. */
 export type BenchResult = {
 	readonly tables: readonly Table[];
 	readonly bounded: readonly BoundedFigure[];
 };
 
-/** What a benchmark works with. */
+/** Services that a benchmark gets from the command line. */
 export type BenchContext = {
-	/** Where settings and logs of the processes are written. */
+	/** Folder for the settings and logs of the processes. */
 	readonly folder: string;
-	/** Says what is going on. */
+	/** Reports progress to the person who runs the benchmark. */
 	readonly note: (text: string) => void;
 };
 
-/** One benchmark. */
+/** Runs one benchmark; resolves with its result. */
 export type Bench = (context: BenchContext) => Promise<BenchResult>;
