--- a/demo/constants.ts
+++ b/demo/constants.ts
@@ -1,45 +1,45 @@
 /**
- * Numbers of the demo and of the supervisor that starts a whole system on one machine.
+ * Sizes and timeouts of the demo, and of the supervisor that starts a whole system on one machine.
  */
 
-/** Longest time until a started process says that it is ready. */
+/** Timeout for a started process to report that it is ready. */
 export const startTimeoutMs = 20_000;
 
-/** Time that a process is given to stop by itself before it is ended. */
+/** Time for a process to stop after SIGTERM before it is killed. */
 export const stopGraceMs = 5000;
 
-/** Longest time until every group takes writes after the start. */
+/** Timeout after the start for every group to accept writes. */
 export const servingTimeoutMs = 30_000;
 
-/** Pause between two tries of something that is not there yet. */
+/** Pause between two attempts while waiting for something. */
 export const retryPauseMs = 50;
 
-/** Longest wait of a client for a connection. */
+/** Timeout of a client's attempt to connect. */
 export const clientConnectTimeoutMs = 2000;
 
-/** Lines of a process's log that are shown when it fails. */
+/** Number of lines at the end of a process's log that are shown when it fails. */
 export const shownLogLines = 6;
 
-/** Amounts of the workload. */
+/** Sizes of the workload. */
 export const workload = {
 	/** Items in stock at the start. */
 	items: 40,
-	/** Callers that browse. */
+	/** Number of callers that browse. */
 	browsers: 4,
-	/** Callers that sell. */
-	counters: 2,
-	/** Statements of each browser and sales of each counter. */
-	browserReads: 150,
-	counterSales: 25,
+	/** Number of callers that sell. */
+	sellers: 2,
+	/** Number of statements of each browser, and of sales of each seller. */
+	readsPerBrowser: 150,
+	salesPerSeller: 25,
 	/** Pause of a caller between two requests. */
 	thinkMs: 5,
-	/** Times that a caller asks again when it is told to come back. */
+	/** Maximum number of retries of a request after refusals that name a time for a retry. */
 	maximumRetries: 5,
-	/** Statements of each way in the latency comparison. */
+	/** Number of statements on each of the two connections in the latency comparison. */
 	latencySamples: 200,
-	/** Writes after a failover that show that it is over. */
+	/** Number of acknowledged writes after which a failover counts as over. */
 	writesAfterFailover: 10,
-	/** Longest gap that the failover part waits for. */
+	/** Timeout of the failover part for writes to be acknowledged and for the endpoint to rejoin. */
 	failoverBoundMs: 30_000,
 	/** Pause between two writes of the failover part; the resolution of the gap. */
 	failoverWritePauseMs: 10,
--- a/demo/development-system.ts
+++ b/demo/development-system.ts
@@ -1,6 +1,6 @@
 /**
- * A whole system on this machine, each part a process of its own: the platform stand-in,
- * the endpoint stand-ins and the nodes of a deployment.
+ * Runs a whole system on this machine, with one process each for the platform stand-in, for
+ * every endpoint stand-in and for every node of a deployment.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {z} from 'zod';
@@ -24,21 +24,21 @@
 
 const platformName = 'platform';
 
-/** The part of an endpoint stand-in's status that is used here. */
+/** The fields of an endpoint stand-in's status that are used here. */
 const endpointStatusSchema = z.object({role: z.string(), isStreaming: z.boolean(), commitCount: z.number()});
 
-/** What an endpoint stand-in says about itself. */
+/** Status that an endpoint stand-in reports. */
 export type EndpointStatus = z.infer<typeof endpointStatusSchema>;
 
 /** Options of a system. */
 export type SystemOptions = {
-	/** Where settings and logs of the processes are written. */
+	/** Folder for the settings and logs of the processes. */
 	readonly folder: string;
 	readonly reporter: Reporter;
 	readonly plan?: PlanOptions;
 };
 
-/** Starts, describes, breaks and stops the processes of one deployment. */
+/** The processes of one deployment: starts, describes, signals and stops them. */
 export class DevelopmentSystem {
 	readonly deployment: Deployment;
 	readonly placement: ListenAddresses;
@@ -55,7 +55,7 @@
 		this._reporter = options.reporter;
 	}
 
-	/** Starts everything and waits until every group takes writes through every node. */
+	/** Starts all processes; resolves once every group accepts writes through every node, rejects after a timeout. */
 	async start(): Promise<void> {
 		const {plan, _reporter: reporter, _folder: folder} = this;
 		reporter.line(`starting the platform stand-in and ${plan.endpoints.length} endpoints`);
@@ -76,30 +76,30 @@
 		return this.deployment.services.flatMap(({groups}) => groups.map(({name}) => name));
 	}
 
-	/** Where a node listens. */
-	nodePlace(name: string): NodeAddresses {
-		return found(this.placement.nodes.get(name), name);
+	/** Addresses on which a node listens. */
+	nodeAddresses(name: string): NodeAddresses {
+		return requireFound(this.placement.nodes.get(name), name);
 	}
 
-	/** Where an endpoint listens. */
-	endpointPlace(name: string): EndpointAddresses {
-		return found(this.placement.endpoints.get(name), name);
+	/** Addresses on which an endpoint listens. */
+	endpointAddresses(name: string): EndpointAddresses {
+		return requireFound(this.placement.endpoints.get(name), name);
 	}
 
 	/** URL of a node's operators API. */
 	operatorsUrl(name: string): string {
-		const {host, operatorsPort} = this.nodePlace(name);
+		const {host, operatorsPort} = this.nodeAddresses(name);
 		return `http://${host}:${operatorsPort}`;
 	}
 
-	/** Pid of a node's or an endpoint's process. */
+	/** Process id of a node or an endpoint. */
 	pidOf(name: string): number {
 		return this._processes.get(name).pid;
 	}
 
-	/** What an endpoint says about itself; undefined when it does not answer. */
+	/** Status that an endpoint reports; undefined when it does not answer. */
 	async endpointStatus(name: string): Promise<EndpointStatus | undefined> {
-		const {host, controlPort} = this.endpointPlace(name);
+		const {host, controlPort} = this.endpointAddresses(name);
 		try {
 			const response = await fetch(`http://${host}:${controlPort}/status`);
 			return endpointStatusSchema.parse(await response.json());
@@ -108,7 +108,7 @@
 		}
 	}
 
-	/** Name of a group's primary by the endpoints' own word; of two, the first listed. */
+	/** Name of the endpoint that reports itself as a group's primary; if two do, the first in the deployment. */
 	async primaryOf(group: string): Promise<string | undefined> {
 		const endpoints = endpointsOf(this.deployment).filter(endpoint => endpoint.group === group);
 		const statuses = await Promise.all(endpoints.map(async ({name}) => this.endpointStatus(name)));
@@ -125,30 +125,30 @@
 		return this._processes.get(name).exited;
 	}
 
-	/** Ends the process of a node or an endpoint at once. */
+	/** Kills the process of a node or an endpoint and waits for its exit. */
 	async kill(name: string): Promise<void> {
 		this.signal(name, 'SIGKILL');
 		await this.exitOf(name);
 	}
 
-	/** Starts an ended endpoint again; its memory is lost and it has to be rebuilt. */
+	/** Restarts an endpoint whose process has ended; it has lost its data and has to be rebuilt. */
 	async restartEndpoint(name: string): Promise<void> {
-		await this._startEndpoint(found(this.plan.endpoints.find(endpoint => endpoint.name === name), name), []);
+		await this._startEndpoint(requireFound(this.plan.endpoints.find(endpoint => endpoint.name === name), name), []);
 	}
 
-	/** Starts a node of the plan, also one that was stopped. */
+	/** Starts a node of the plan, or restarts one that was stopped. */
 	async startNode(settings: SettingsInput): Promise<void> {
 		await this._processes.start({
 			name: settings.node.name, program: programs.node, options: ['serve'], settings, folder: this._folder,
 		});
 	}
 
-	/** Drains and stops one node; resolves with complaints, none when it ended well. */
+	/** Drains and stops one node; resolves with a message if it did not exit cleanly, and with none otherwise. */
 	async stopNode(name: string): Promise<string[]> {
 		return this._processes.stop([name]);
 	}
 
-	/** Everything that somebody else needs to use the system. */
+	/** Addresses, credentials and process ids that another program needs to use the system. */
 	async describe(): Promise<ReadyReport> {
 		const [caller] = this.deployment.callers;
 		const [operator] = this.deployment.operators;
@@ -160,7 +160,7 @@
 		}));
 		return {
 			callers: this.deployment.nodes.map(({name, availabilityZone}) => {
-				const {host, callersPort} = this.nodePlace(name);
+				const {host, callersPort} = this.nodeAddresses(name);
 				return {host, port: callersPort, availabilityZone};
 			}),
 			operators: this.deployment.nodes.map(({name}) => ({url: this.operatorsUrl(name), ...operator})),
@@ -172,7 +172,7 @@
 		};
 	}
 
-	/** Stops nodes first, then what they use; resolves with complaints, none when all ended well. */
+	/** Stops the nodes first, then the endpoints and the platform; resolves with a message for each process that did not exit cleanly. */
 	async stop(): Promise<string[]> {
 		this._processes.close();
 		const nodes = await this._processes.stop(this.deployment.nodes.map(({name}) => name));
@@ -180,7 +180,7 @@
 		return [...nodes, ...others];
 	}
 
-	/** Ends every process at once. */
+	/** Kills every process. */
 	dispose(): void {
 		this._processes.dispose();
 	}
@@ -191,7 +191,7 @@
 		});
 	}
 
-	/** Waits until a group takes writes through a node. */
+	/** Waits until a group accepts writes through a node; throws after a timeout. */
 	private async _waitUntilServing(node: string, group: string): Promise<void> {
 		const endMs = Date.now() + servingTimeoutMs;
 		for (;;) {
@@ -209,7 +209,7 @@
 	}
 
 	private async _tryWrite(node: string, group: string): Promise<string | undefined> {
-		const {host, callersPort} = this.nodePlace(node);
+		const {host, callersPort} = this.nodeAddresses(node);
 		const client = new ProxyClient({host, port: callersPort}, group, this.deployment.callers[0]);
 		try {
 			await client.connect();
@@ -223,9 +223,9 @@
 	}
 }
 
-function found<Value>(value: Value | undefined, name: string): Value {
+function requireFound<Value>(value: Value | undefined, name: string): Value {
 	if (value === undefined) {
-		throw new Error(`nothing is known by the name ${name}`);
+		throw new Error(`the deployment has no node or endpoint named ${name}`);
 	}
 
 	return value;
--- a/demo/failover-run.ts
+++ b/demo/failover-run.ts
@@ -1,5 +1,5 @@
 /**
- * Ends the process of a primary while callers write, and measures how long no write was
+ * Kills the process of a primary while callers write, and measures for how long no write is
  * acknowledged.
  */
 import {setTimeout as pause} from 'node:timers/promises';
@@ -10,18 +10,18 @@
 import type {Scenario} from './scenarios.js';
 import type {Reporter} from './types.js';
 
-/** Callers that write during the failover, each at another node. */
+/** Number of callers that write during the failover, each through another node. */
 const writers = 3;
 
 type Writes = {
-	/** Identities of acknowledged writes and when the answer came. */
+	/** Ids of acknowledged writes, with the time of the acknowledgement in milliseconds. */
 	readonly acknowledged: Map<string, number>;
-	/** Writes whose answer was an error, by its text. */
+	/** Number of writes that were answered with an error, by the text of the error. */
 	readonly refused: Map<string, number>;
 	isOver: boolean;
 };
 
-/** One failover; resolves with whether every acknowledged write is still there, once. */
+/** Runs one failover; resolves with whether writes resumed and every acknowledged write is present exactly once. */
 export async function runFailover(system: DevelopmentSystem, scenario: Scenario, reporter: Reporter): Promise<boolean> {
 	const {group, table, user} = scenario.written;
 	const primary = await system.primaryOf(group);
@@ -33,14 +33,14 @@
 	const nodes = system.deployment.nodes.map(({name}) => name);
 	const running = Array.from({length: writers}, async (_, index) =>
 		writeUntilOver(system, {node: nodes[(index * 3) % nodes.length], scenario, name: `failover-${index}`}, writes));
-	await acknowledgedSince(writes, 0, workload.writesAfterFailover);
+	await waitForAcknowledged(writes, 0, workload.writesAfterFailover);
 	reporter.line(`ending the process of ${primary}, the primary of ${group}`);
 	const killedAtMs = performance.now();
 	await system.kill(primary);
-	const isBack = await acknowledgedSince(writes, killedAtMs + workload.failoverWritePauseMs, workload.writesAfterFailover);
+	const hasRecovered = await waitForAcknowledged(writes, killedAtMs + workload.failoverWritePauseMs, workload.writesAfterFailover);
 	writes.isOver = true;
 	await Promise.all(running);
-	if (!isBack) {
+	if (!hasRecovered) {
 		reporter.line(`no write was acknowledged for ${workload.failoverBoundMs} ms`);
 		return false;
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-/** Starts the ended endpoint again and waits until it follows. */
+/** Restarts the killed endpoint and waits until it is a replica; reports if it does not become one in time. */
 export async function restartAndRejoin(system: DevelopmentSystem, endpoint: string, reporter: Reporter): Promise<void> {
 	await system.restartEndpoint(endpoint);
 	const endMs = performance.now() + workload.failoverBoundMs;
@@ -73,7 +73,7 @@
 		await pause(retryPauseMs);
 	}
 
-	reporter.line(`${endpoint} has not rejoined`);
+	reporter.line(`${endpoint} has not rejoined its group as a replica`);
 }
 
 async function writeUntilOver(
@@ -104,8 +104,8 @@
 	await pool.end();
 }
 
-/** Waits until so many writes were acknowledged after a time; false when none comes for too long. */
-async function acknowledgedSince(writes: Writes, sinceMs: number, count: number): Promise<boolean> {
+/** Waits until `count` writes have been acknowledged after a time; resolves with false after a timeout. */
+async function waitForAcknowledged(writes: Writes, sinceMs: number, count: number): Promise<boolean> {
 	const endMs = performance.now() + workload.failoverBoundMs;
 	while (performance.now() < endMs) {
 		if ([...writes.acknowledged.values()].filter(atMs => atMs > sinceMs).length >= count) {
@@ -118,7 +118,7 @@
 	return false;
 }
 
-/** Longest time between two acknowledged writes from the last one before the kill on. */
+/** Longest time between two acknowledged writes, from the last one before the kill on. */
 function longestGapMs(writes: Writes, killedAtMs: number): number {
 	const times = [...writes.acknowledged.values()].toSorted((a, b) => a - b);
 	const lastBefore = times.findLastIndex(atMs => atMs <= killedAtMs);
--- a/demo/first-configuration.ts
+++ b/demo/first-configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Proposes the first configuration of a fresh system through the platform's table, the way
- * a node would.
+ * Proposes the first configuration of a fresh system through the platform's table, as a node
+ * does.
  */
 import {randomUUID} from 'node:crypto';
 import {ChangeHistory} from '../src/common/configuration/change-history.js';
@@ -14,7 +14,7 @@
 import type {PlatformSettings} from '../src/node/platform/settings.js';
 import {SystemClock} from '../src/node/system-clock.js';
 
-/** Writes the plan's configuration as the first change; rejects when it is not accepted. */
+/** Proposes the plan's configuration as the first change; rejects when it is refused. */
 export async function proposeFirstConfiguration(plan: DeploymentPlan): Promise<void> {
 	const {host, port} = plan.platform;
 	const {platform} = settingsDefaults;
@@ -43,7 +43,7 @@
 		metrics: silentMetrics,
 		audit: {
 			record() {
-				// The change itself names its author.
+				// No audit is needed: the change names its author.
 			},
 		},
 		currentPrimary: () => undefined,
--- a/demo/latency-comparison.ts
+++ b/demo/latency-comparison.ts
@@ -1,5 +1,5 @@
 /**
- * Latency through a node against a direct connection to the same endpoint, in one run.
+ * Compares the latency through a node with that of a direct connection to the same endpoint, in one run.
  */
 import {endpointsOf} from '../src/common/settings/deployment-schema.js';
 import {CallerPool} from './caller-pool.js';
@@ -16,7 +16,7 @@
 	readonly proxied: readonly number[];
 };
 
-/** Compares single reads and single writes. */
+/** Compares single reads and single writes, and reports the median and 99th percentile of each. */
 export async function compareLatency(system: DevelopmentSystem, scenario: Scenario, reporter: Reporter): Promise<void> {
 	const {group, table, user} = scenario.written;
 	const primary = await system.primaryOf(group);
@@ -27,7 +27,7 @@
 	const pool = new CallerPool(system);
 	try {
 		const direct = await pool.connectDirectly(primary, group);
-		const proxied = await pool.connect(nodeBeside(system, primary), group, user);
+		const proxied = await pool.connect(nodeInZoneOf(system, primary), group, user);
 		const read = async (client: ProxyClient, name: string): Promise<unknown> =>
 			client.query(`SELECT item FROM ${table} WHERE id = $1`, [name]);
 		const write = async (client: ProxyClient, name: string): Promise<unknown> =>
@@ -39,16 +39,16 @@
 	}
 }
 
-/** Takes turns, so that both ways meet the same conditions. */
+/** Alternates between the two connections, so that both are measured under the same conditions. */
 async function alternate(
 	direct: ProxyClient,
 	proxied: ProxyClient,
-	act: (client: ProxyClient, name: string) => Promise<unknown>,
+	operation: (client: ProxyClient, name: string) => Promise<unknown>,
 ): Promise<Comparison> {
 	const samples = {direct: [] as number[], proxied: [] as number[]};
 	for (let count = 0; count < workload.latencySamples; count++) {
-		samples.direct.push(await timeMs(async () => act(direct, `direct-${count}`)));
-		samples.proxied.push(await timeMs(async () => withRetries(async () => act(proxied, `proxied-${count}`))));
+		samples.direct.push(await timeMs(async () => operation(direct, `direct-${count}`)));
+		samples.proxied.push(await timeMs(async () => withRetries(async () => operation(proxied, `proxied-${count}`))));
 	}
 
 	return samples;
@@ -59,8 +59,8 @@
 	reporter.line(`latency of ${name}: direct ${describeMs(direct)}; through a node ${describeMs(proxied)}; added ${addedMs.toFixed(2)} ms at p50`);
 }
 
-/** A node in the zone of an endpoint. */
-function nodeBeside(system: DevelopmentSystem, endpoint: string): string {
+/** Name of a node in the zone of an endpoint, or of the first node if there is none. */
+function nodeInZoneOf(system: DevelopmentSystem, endpoint: string): string {
 	const zone = endpointsOf(system.deployment).find(({name}) => name === endpoint)?.availabilityZone;
 	const {nodes} = system.deployment;
 	return (nodes.find(({availabilityZone}) => availabilityZone === zone) ?? nodes[0]).name;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a whole system on this machine, shows it at work, and stops it.
+ * Command line of the demo, which starts a whole system on this machine, shows it at work, and stops it.
  */
 import process from 'node:process';
 import {Command, Option} from 'commander';
@@ -22,7 +22,7 @@
   npm run demo -- --wire line
   npm run demo -- --keep --ready-file ready.json`);
 
-// The libraries' own notices would break the line of progress and the logs of the processes.
+// A warning printed by the AWS SDK would disturb the progress line and the logs of the processes.
 process.env.AWS_SDK_JS_NODE_VERSION_SUPPORT_WARNING_DISABLED = 'true';
 command.parse();
 const {wire, ...options} = command.opts<DemoOptions & {readonly wire: 'postgresql' | 'line'}>();
--- a/demo/placement.ts
+++ b/demo/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Free loopback addresses for the processes of a deployment: one address a process, in a
- * range of its zone, so that a zone can be told by its addresses.
+ * Allocates free loopback addresses for the processes of a deployment. Each process has its own
+ * address in the range of its zone, so that a zone can be recognised by its addresses.
  */
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:net';
@@ -9,17 +9,17 @@
 
 const platformHost = '127.0.0.1';
 
-/** Second half of the first zone's addresses: 127.0.10.x. */
+/** Third byte of the first zone's addresses: 127.0.10.x. */
 const firstZoneRange = 10;
 
-/** Chooses addresses with ports that are free at the moment. */
+/** Allocates addresses whose ports are free at the moment; other processes could still take them. */
 export async function placeDeployment(deployment: Deployment): Promise<ListenAddresses> {
-	const held: Server[] = [];
+	const servers: Server[] = [];
 	try {
 		const hosts = new ZoneHosts(deployment.zones);
 		const freePort = async (host: string): Promise<number> => {
 			const server = createServer();
-			held.push(server);
+			servers.push(server);
 			server.listen(0, host);
 			await once(server, 'listening');
 			const address = server.address();
@@ -44,14 +44,14 @@
 			endpoints: new Map(endpoints),
 		};
 	} finally {
-		// Held until all are chosen, so that none is chosen twice.
-		for (const server of held) {
+		// The ports stay open until all are chosen, so that none is chosen twice.
+		for (const server of servers) {
 			server.close();
 		}
 	}
 }
 
-/** Hands out addresses zone by zone. */
+/** Allocates a new address in a zone at each call. */
 class ZoneHosts {
 	private readonly _zones: readonly string[];
 	private readonly _counts = new Map<string, number>();
--- a/demo/process-faults.test.ts
+++ b/demo/process-faults.test.ts
@@ -26,15 +26,15 @@
 		await eventually(`${count} acknowledged writes`, async () => ledger.acknowledgedCount >= count || undefined);
 	}
 
-	/** Writes through every node, does something to the system meanwhile, and looks what is there. */
-	async function writeThrough(prefix: string, act: (ledger: Ledger) => Promise<void>): Promise<Ledger> {
+	/** Writes through every node while `operation` disturbs the system, then checks the rows against the outcomes of the writes. */
+	async function writeThrough(prefix: string, operation: (ledger: Ledger) => Promise<void>): Promise<Ledger> {
 		const ledger = new Ledger();
 		for (const node of small.nodes) {
 			ledger.addWriter(`${prefix}-${node}`, async () => small.connect(node));
 		}
 
 		await acknowledged(ledger, writesAround);
-		await act(ledger);
+		await operation(ledger);
 		await acknowledged(ledger, ledger.acknowledgedCount + writesAround);
 		await ledger.end();
 		const reader = await small.connect('c-1');
@@ -43,13 +43,13 @@
 		return ledger;
 	}
 
-	/** Inserts an item, which waits for a transaction that holds the same one. */
+	/** Inserts an item, which waits for any transaction that has inserted the same item. */
 	async function insertEventually(node: string, id: string): Promise<void> {
 		const client = await small.connect(node);
 		await eventually(`item ${id}`, async () => client.query('INSERT INTO items VALUES ($1)', [id]));
 	}
 
-	it('a primary that stands still for a second stays primary', async () => {
+	it('a primary whose process is paused for a second stays primary', async () => {
 		const {name} = await small.primary();
 		const {term} = await small.status();
 		await writeThrough('stop', async () => {
@@ -78,7 +78,7 @@
 	});
 
 	for (const part of ['the entry node', 'the home'] as const) {
-		it(`${part} that is killed in mid-transaction leaves nothing behind`, async () => {
+		it(`${part} that is killed in mid-transaction leaves no transaction open`, async () => {
 			const {home} = await small.primary();
 			const entry = small.nodes.find(node => node.startsWith('c')) ?? home;
 			const killed = part === 'the home' ? home : entry;
@@ -96,7 +96,7 @@
 		});
 	}
 
-	it('a node that is told to stop under load cuts no request', async () => {
+	it('a node that is stopped under load interrupts no request', async () => {
 		const client = await small.connect('a-1');
 		await client.query('BEGIN');
 		await client.query('INSERT INTO items VALUES ($1)', ['drained']);
--- a/demo/progress-reporter.ts
+++ b/demo/progress-reporter.ts
@@ -1,11 +1,11 @@
 /**
- * Shows progress on standard output: one line that is replaced on terminals, and plain
- * lines elsewhere.
+ * Shows progress on standard output: as one line that is overwritten on a terminal, and as
+ * separate lines otherwise.
  */
 import process from 'node:process';
 import type {Reporter} from './types.js';
 
-/** Start of a line that replaces the one before on a terminal. */
+/** Control sequence that erases the current line of a terminal. */
 const eraseLine = '\r\u001B[K';
 
 /** Writes to standard output. */
@@ -19,7 +19,7 @@
 		process.stdout.write(`${this._isTerminal ? eraseLine : ''}${seconds} s  ${text}\n`);
 	}
 
-	/** Elsewhere than on terminals at most one line a second. */
+	/** Shows progress; at most one line per second if standard output is not a terminal. */
 	progress(text: string): void {
 		if (this._isTerminal) {
 			process.stdout.write(`${eraseLine}         ${text}`);
--- a/demo/proxy-client.ts
+++ b/demo/proxy-client.ts
@@ -1,11 +1,11 @@
 /**
- * A `pg` client that keeps the session token which a node reports, so that the session can
- * go on at another node.
+ * A `pg` client that keeps the session token reported by a node, so that the session can
+ * continue at another node.
  */
 import {Client, type QueryResult, type QueryResultRow} from 'pg';
 import {clientConnectTimeoutMs} from './constants.js';
 
-/** Reported parameter that carries the token. */
+/** Name of the parameter in which nodes report the session token. */
 const tokenParameter = 'quetzalstream.token';
 
 type StatusMessage = {readonly parameterName: string; readonly parameterValue: string};
@@ -28,7 +28,7 @@
 			password: credentials.password,
 			connectionTimeoutMillis: clientConnectTimeoutMs,
 		});
-		// The loss of a connection shows in the query that is running; an idle one is looked at before it is used.
+		// A running query fails when its connection is lost; for an idle connection, `isEnded` is checked before use.
 		for (const event of ['error', 'end'] as const) {
 			this._client.on(event, () => {
 				this._isEnded = true;
@@ -42,12 +42,12 @@
 		});
 	}
 
-	/** Last token that was reported; undefined when none was. */
+	/** The last session token that was reported; undefined if there was none. */
 	get token(): string | undefined {
 		return this._token;
 	}
 
-	/** Whether the connection is known to be over, so that nothing more can be sent on it. */
+	/** Whether the connection is known to have ended, so that nothing more can be sent on it. */
 	get isEnded(): boolean {
 		return this._isEnded;
 	}
@@ -56,8 +56,8 @@
 		await this._client.connect();
 	}
 
-	/** Goes on with the session that a token belongs to. */
-	async adopt(token: string): Promise<void> {
+	/** Continues the session to which a token belongs. */
+	async continueSession(token: string): Promise<void> {
 		await this._client.query(`SET ${tokenParameter} = '${token}'`);
 	}
 
@@ -65,7 +65,7 @@
 		return this._client.query<Row>(text, values);
 	}
 
-	/** Cuts the connection as a lost network would. */
+	/** Destroys the socket without a closing message, as a network failure does. */
 	cut(): void {
 		this._client.connection.stream.destroy();
 	}
@@ -74,7 +74,7 @@
 		try {
 			await this._client.end();
 		} catch {
-			// It had ended already.
+			// The connection had ended already.
 		}
 	}
 }
--- a/demo/read-share.test.ts
+++ b/demo/read-share.test.ts
@@ -17,7 +17,7 @@
 });
 
 describe('percentile', () => {
-	it('takes the sample at a share', () => {
+	it('returns the sample at the given share', () => {
 		expect(percentile([5, 1, 3], 0.5)).toEqual(3);
 		expect(percentile([1, 2, 3, 4], 1)).toEqual(4);
 		expect(percentile([], 0.5)).toEqual(Number.NaN);
--- a/demo/read-share.ts
+++ b/demo/read-share.ts
@@ -1,10 +1,10 @@
 /**
- * Share of reads that replicas answered, from the metrics of all nodes.
+ * Counts the reads that replicas and primaries answered, from the metrics of all nodes.
  */
 import {Buffer} from 'node:buffer';
 import type {DevelopmentSystem} from './development-system.js';
 
-/** Answered reads by the role of the endpoint. */
+/** Number of answered reads by the role of the endpoint. */
 export type ReadCounts = {
 	readonly replica: number;
 	readonly primary: number;
@@ -12,7 +12,7 @@
 
 const linePattern = /^quetzalstream_answered_requests_total\{(?<labels>[^\}]*)\} (?<value>\d+)$/gmv;
 
-/** Sums the nodes' counts; undefined when a node does not tell. */
+/** Sums the counts of all nodes; undefined if a node does not return its metrics. */
 export async function readCounts(system: DevelopmentSystem): Promise<ReadCounts | undefined> {
 	try {
 		const texts = await Promise.all(system.deployment.nodes.map(async ({name}) => fetchMetrics(system, name)));
@@ -26,7 +26,7 @@
 	}
 }
 
-/** Reads that one node answered, from its metrics in text. */
+/** Number of reads that one node answered, from the text of its metrics. */
 export function countReads(text: string): ReadCounts {
 	const counts = {replica: 0, primary: 0};
 	for (const {groups: {labels = '', value = ''} = {}} of text.matchAll(linePattern)) {
@@ -45,7 +45,7 @@
 		headers: {authorization: `Basic ${Buffer.from(`${user}:${password}`).toString('base64')}`},
 	});
 	if (!response.ok) {
-		throw new Error(`metrics of ${node}: ${response.status}`);
+		throw new Error(`request for the metrics of ${node} failed with HTTP status ${response.status}`);
 	}
 
 	return response.text();
--- a/demo/retry-hint.test.ts
+++ b/demo/retry-hint.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('retryAfterMsOf', () => {
-	it('reads the hint of what did not run, and nothing else', () => {
+	it('reads the hint only of requests that did not run', () => {
 		expect(retryAfterMsOf(refusal('outcome=notRun retry_after_ms=120 kind=overloaded'))).toEqual(120);
 		expect(retryAfterMsOf(refusal('outcome=notRun retry_after_ms=0 kind=invalidToken'))).toEqual(undefined);
 		expect(retryAfterMsOf(refusal('outcome=unknown retry_after_ms=1000 kind=outcomeUnknown'))).toEqual(undefined);
@@ -19,7 +19,7 @@
 });
 
 describe('withRetries', () => {
-	it('never repeats what may have run', async () => {
+	it('never repeats a request that may have run', async () => {
 		let calls = 0;
 		const act = async (): Promise<never> => {
 			calls++;
@@ -30,7 +30,7 @@
 		expect(calls).toEqual(1);
 	});
 
-	it('gives up after its retries', async () => {
+	it('gives up after the maximum number of retries', async () => {
 		let calls = 0;
 		const act = async (): Promise<never> => {
 			calls++;
--- a/demo/run-demo.ts
+++ b/demo/run-demo.ts
@@ -1,5 +1,5 @@
 /**
- * The course of the demo: start, show, stop.
+ * Runs the steps of the demo: starts a system, shows it at work, and stops it.
  */
 import {
 	mkdir, mkdtemp, rename, rm, writeFile,
@@ -37,16 +37,16 @@
 	const folder = options.folder ?? await mkdtemp(path.join(tmpdir(), 'quetzalstream-demo-'));
 	await mkdir(folder, {recursive: true});
 	const system = new DevelopmentSystem(deployment, await placeDeployment(deployment), {folder, reporter});
-	const interrupted = interruption();
+	const interrupted = waitForStopSignal();
 	try {
-		const isWell = await Promise.race([interrupted, course(system, options, reporter, interrupted)]);
-		const complaints = await system.stop();
-		for (const complaint of complaints) {
-			reporter.line(complaint);
+		const isSuccessful = await Promise.race([interrupted, runSteps(system, options, reporter, interrupted)]);
+		const failures = await system.stop();
+		for (const failure of failures) {
+			reporter.line(failure);
 		}
 
 		reporter.line('stopped');
-		return isWell && complaints.length === 0 ? exitCodes.ok : exitCodes.failed;
+		return isSuccessful && failures.length === 0 ? exitCodes.ok : exitCodes.failed;
 	} catch (error) {
 		reporter.line(error instanceof Error ? error.message : String(error));
 		return exitCodes.failed;
@@ -58,16 +58,16 @@
 	}
 }
 
-/** Reads a deployment of this package. */
+/** Reads the settings file of a deployment of this package. */
 export async function loadDeployment(name: string): ReturnType<typeof loadFile<typeof deploymentSchema>> {
 	const file = fileURLToPath(new URL(`../../deployments/${path.basename(name)}/deployment.jsonc`, import.meta.url));
 	return loadFile(file, deploymentSchema);
 }
 
-async function course(system: DevelopmentSystem, options: DemoOptions, reporter: Reporter, interrupted: Promise<boolean>): Promise<boolean> {
+async function runSteps(system: DevelopmentSystem, options: DemoOptions, reporter: Reporter, interrupted: Promise<boolean>): Promise<boolean> {
 	await system.start();
 	if (options.readyFile !== undefined) {
-		await writeWhole(options.readyFile, JSON.stringify(await system.describe(), undefined, '\t'));
+		await writeAtomically(options.readyFile, JSON.stringify(await system.describe(), undefined, '\t'));
 	}
 
 	if (options.keep) {
@@ -75,27 +75,27 @@
 		return interrupted;
 	}
 
-	return show(system, system.deployment, reporter);
+	return runScenario(system, system.deployment, reporter);
 }
 
-/** The parts that show something; resolves with whether all promises were kept. */
-async function show(system: DevelopmentSystem, deployment: Deployment, reporter: Reporter): Promise<boolean> {
+/** Runs the workload, the latency comparison and the failover; resolves with whether no consistency guarantee was violated. */
+async function runScenario(system: DevelopmentSystem, deployment: Deployment, reporter: Reporter): Promise<boolean> {
 	const scenario = scenarios[deployment.name];
 	const shop = new ShopWorkload(system, scenario, reporter);
 	await shop.prepare();
 	const isConsistent = await shop.run();
 	await compareLatency(system, scenario, reporter);
 	const primary = await system.primaryOf(scenario.written.group);
-	const isNothingLost = await runFailover(system, scenario, reporter);
+	const isComplete = await runFailover(system, scenario, reporter);
 	if (primary !== undefined) {
 		await restartAndRejoin(system, primary, reporter);
 	}
 
-	return isConsistent && isNothingLost;
+	return isConsistent && isComplete;
 }
 
-/** Resolves with true when the supervisor is told to stop. */
-async function interruption(): Promise<boolean> {
+/** Resolves with true when a signal asks the supervisor to stop. */
+async function waitForStopSignal(): Promise<boolean> {
 	return new Promise(resolve => {
 		for (const signal of ['SIGTERM', 'SIGINT', 'SIGHUP'] as const) {
 			process.on(signal, () => {
@@ -105,8 +105,8 @@
 	});
 }
 
-/** Writes beside and renames, so that whoever waits for the file never reads half of it. */
-async function writeWhole(file: string, text: string): Promise<void> {
+/** Writes to a temporary file and renames it, so that a program that waits for the file never reads a part of it. */
+async function writeAtomically(file: string, text: string): Promise<void> {
 	await writeFile(`${file}.part`, text);
 	await rename(`${file}.part`, file);
 }
--- a/demo/scenarios.ts
+++ b/demo/scenarios.ts
@@ -1,14 +1,14 @@
 /**
- * What each deployment's workload is about.
+ * The workload of each deployment.
  */
 
 /** Tables, groups and callers of one workload. */
 export type Scenario = {
-	/** What is looked at, often and by many. */
+	/** Table that many callers read often. */
 	readonly browsed: {readonly group: string; readonly table: string; readonly user: string};
-	/** What is written and must not be lost or doubled. */
+	/** Table that is written, and whose rows must not be lost or duplicated. */
 	readonly written: {readonly group: string; readonly table: string; readonly user: string};
-	/** Words for the report. */
+	/** Names of the reads and writes in the report. */
 	readonly words: {readonly reads: string; readonly writes: string};
 };
 
--- a/demo/shop-workload.ts
+++ b/demo/shop-workload.ts
@@ -1,6 +1,6 @@
 /**
- * The demo's workload: callers browse, others write and read their own write at another
- * node by handing its token over.
+ * The demo's workload: some callers browse; others write and then read their own write through
+ * another node, to which they pass the session token.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {CallerPool} from './caller-pool.js';
@@ -12,7 +12,7 @@
 import type {Scenario} from './scenarios.js';
 import type {Reporter} from './types.js';
 
-/** What happened. */
+/** Counts of the workload; `errors` are by text. */
 type Tally = {
 	reads: number;
 	writes: number;
@@ -37,7 +37,7 @@
 		this._reporter = reporter;
 	}
 
-	/** Creates the tables and what is browsed. */
+	/** Creates the tables and the rows that are browsed. */
 	async prepare(): Promise<void> {
 		const {browsed, written} = this._scenario;
 		const pool = new CallerPool(this._system);
@@ -56,19 +56,19 @@
 		}
 	}
 
-	/** Runs all callers to their end and reports; resolves with whether every promise was kept. */
+	/** Runs all callers and reports; resolves with whether every own write was read and no request failed. */
 	async run(): Promise<boolean> {
 		const pool = new CallerPool(this._system);
 		const before = await readCounts(this._system);
 		const browsers = Array.from({length: workload.browsers}, async (_, index) => this._browse(pool, index));
-		const counters = Array.from({length: workload.counters}, async (_, index) => this._sell(pool, index));
-		const watch = setInterval(() => {
+		const sellers = Array.from({length: workload.sellers}, async (_, index) => this._sell(pool, index));
+		const progressTimer = setInterval(() => {
 			this._reporter.progress(this._progress());
 		}, 100);
 		try {
-			await Promise.all([...browsers, ...counters]);
+			await Promise.all([...browsers, ...sellers]);
 		} finally {
-			clearInterval(watch);
+			clearInterval(progressTimer);
 			await pool.end();
 		}
 
@@ -81,7 +81,7 @@
 	private async _browse(pool: CallerPool, index: number): Promise<void> {
 		const {group, table, user} = this._scenario.browsed;
 		const client = await pool.connect(this._nodeOf(index), group, user);
-		for (let count = 0; count < workload.browserReads; count++) {
+		for (let count = 0; count < workload.readsPerBrowser; count++) {
 			const id = 1 + (((count * 7) + index) % workload.items);
 
 			await this._attempt(async () => {
@@ -92,19 +92,19 @@
 		}
 	}
 
-	/** Writes at one node, then reads its own write at another one. */
+	/** Writes through one node, then reads the write through another one. */
 	private async _sell(pool: CallerPool, index: number): Promise<void> {
 		const {group, table, user} = this._scenario.written;
 		const writer = await pool.connect(this._nodeOf(index), group, user);
 		const reader = await pool.connect(this._nodeOf(index + 1), group, user);
-		for (let count = 0; count < workload.counterSales; count++) {
+		for (let count = 0; count < workload.salesPerSeller; count++) {
 			const id = `${index}-${count}`;
 
 			const isAcknowledged = await this._attempt(async () => {
 				await writer.query(`INSERT INTO ${table} VALUES ($1, $2)`, [id, 1 + (count % workload.items)]);
 				this._tally.writes++;
 			});
-			// What was refused, or whose outcome is unknown, need not be there.
+			// A write that was refused, or whose outcome is unknown, need not be present.
 			if (isAcknowledged) {
 				await this._readOwn(writer, reader, id);
 			}
@@ -117,7 +117,7 @@
 		const {table} = this._scenario.written;
 		await this._attempt(async () => {
 			if (writer.token !== undefined) {
-				await reader.adopt(writer.token);
+				await reader.continueSession(writer.token);
 			}
 
 			const own = await reader.query(`SELECT item FROM ${table} WHERE id = $1`, [id]);
@@ -126,10 +126,10 @@
 		});
 	}
 
-	/** Follows what refusals say; what fails for good is counted. Resolves with whether it was done. */
-	private async _attempt(act: () => Promise<void>): Promise<boolean> {
+	/** Runs an operation with retries and counts its final error, if any; resolves with whether it succeeded. */
+	private async _attempt(operation: () => Promise<void>): Promise<boolean> {
 		try {
-			await withRetries(act, () => {
+			await withRetries(operation, () => {
 				this._tally.retries++;
 			});
 			return true;
@@ -148,7 +148,7 @@
 		const {words} = this._scenario;
 		this._reporter.line(`${reads} ${words.reads}, ${writes} ${words.writes}`);
 		this._reporter.line(`${ownReads} reads of an own write through another node, ${missedOwnWrites} missed it`);
-		this._reporter.line(`${retries} requests were told to come back, and did`);
+		this._reporter.line(`${retries} retries of requests that were refused with a retry hint`);
 		for (const [text, count] of errors) {
 			this._reporter.line(`${count} times: ${text}`);
 		}
@@ -156,7 +156,7 @@
 
 	private _reportShare(before: Awaited<ReturnType<typeof readCounts>>, after: Awaited<ReturnType<typeof readCounts>>): void {
 		if (!before || !after) {
-			this._reporter.line('reads served by replicas: the nodes do not tell');
+			this._reporter.line('reads served by replicas: not available, a node did not return its metrics');
 			return;
 		}
 
@@ -167,7 +167,7 @@
 
 	private _progress(): string {
 		const {reads, writes, ownReads} = this._tally;
-		const total = (workload.browsers * workload.browserReads) + (workload.counters * workload.counterSales * 2);
+		const total = (workload.browsers * workload.readsPerBrowser) + (workload.sellers * workload.salesPerSeller * 2);
 		const done = reads + writes + ownReads;
 		return `workload ${Math.floor(100 * done / total)} %: ${reads} reads, ${writes} writes`;
 	}
@@ -178,7 +178,7 @@
 
 	private _nodeOf(index: number): string {
 		const nodes = this._nodes();
-		// Neighbours in the list are often in one zone; every third is in another.
+		// Neighbours in the list are often in the same zone; a node three places further is in another one.
 		return nodes[(index * 3) % nodes.length];
 	}
 }
--- a/demo/supervised-process.test.ts
+++ b/demo/supervised-process.test.ts
@@ -8,30 +8,30 @@
 import {expect} from 'earl';
 import {ProcessSet} from './process-set.js';
 
-// Each handles its signal before it says that it is ready, as the program itself does.
+// Each program that becomes ready installs its signal handler first, as the real programs do.
 const programs = {
 	steady: 'process.on("SIGTERM", () => process.exit(0)); setInterval(() => {}, 1000); console.log(JSON.stringify({ready: true}));',
 	failing: 'console.error("port is taken"); process.exit(3);',
 	complaining: 'process.on("SIGTERM", () => { console.error("cut short"); process.exit(1); }); setInterval(() => {}, 1000); console.log(JSON.stringify({ready: true}));',
 } as const;
 
-const place = {folder: ''};
+const temporary = {folder: ''};
 
 async function describeProcess(name: keyof typeof programs) {
-	const file = path.join(place.folder, `${name}.mjs`);
+	const file = path.join(temporary.folder, `${name}.mjs`);
 	await writeFile(file, programs[name]);
 	return {
-		name, program: pathToFileURL(file), settings: {name}, folder: place.folder,
+		name, program: pathToFileURL(file), settings: {name}, folder: temporary.folder,
 	};
 }
 
 describe('ProcessSet', () => {
 	before(async () => {
-		place.folder = await mkdtemp(path.join(tmpdir(), 'quetzalstream-'));
+		temporary.folder = await mkdtemp(path.join(tmpdir(), 'quetzalstream-'));
 	});
 
 	after(async () => {
-		await rm(place.folder, {recursive: true});
+		await rm(temporary.folder, {recursive: true});
 	});
 
 	it('starts a process until it is ready and stops it', async () => {
@@ -43,13 +43,13 @@
 		processes.dispose();
 	});
 
-	it('tells the last words of a process that did not start', async () => {
+	it('reports the last log lines of a process that did not start', async () => {
 		const processes = new ProcessSet();
 		await expect(processes.start(await describeProcess('failing'))).toBeRejectedWith('failing: ended with 3\nport is taken');
 		processes.dispose();
 	});
 
-	it('tells of a process that did not end well', async () => {
+	it('reports a process that did not exit cleanly', async () => {
 		const processes = new ProcessSet();
 		await processes.start(await describeProcess('complaining'));
 		expect(await processes.stop(['complaining'])).toEqual(['complaining ended with 1\ncut short']);
--- a/demo/supervised-process.ts
+++ b/demo/supervised-process.ts
@@ -1,6 +1,6 @@
 /**
- * A process of the demo: started with a settings file, ready when it says so in one line
- * of JSON, ended by its pid.
+ * A process of the demo: it is started with a settings file and is ready once it prints one
+ * line of JSON that says so.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {openSync, closeSync} from 'node:fs';
@@ -12,24 +12,24 @@
 import {fileURLToPath} from 'node:url';
 import {shownLogLines, startTimeoutMs, stopGraceMs} from './constants.js';
 
-/** Every program of the system says so on standard output once it is ready. */
+/** Start of the line that every program of the system prints on standard output once it is ready. */
 const readyPrefix = '{"ready":true';
 
-/** What is started. */
+/** Program, settings and environment of a process to start. */
 export type ProcessDescription = {
 	readonly name: string;
 	/** Compiled program. */
 	readonly program: URL;
-	/** Options before the settings file. */
+	/** Command-line options, which come before the option with the settings file. */
 	readonly options?: readonly string[];
 	readonly settings: unknown;
-	/** Variables of its environment beside those of the supervisor. */
+	/** Environment variables in addition to those of the supervisor. */
 	readonly environment?: Readonly<Record<string, string>>;
-	/** Where its settings and its log are written. */
+	/** Folder for its settings file and its log. */
 	readonly folder: string;
 };
 
-/** Starts a process; it is not ready yet. */
+/** Starts a process; resolves before it is ready. */
 export async function startProcess(description: ProcessDescription): Promise<SupervisedProcess> {
 	const {
 		name, program, options = [], settings, environment, folder,
@@ -39,7 +39,7 @@
 	await writeFile(settingsFile, JSON.stringify(settings, undefined, '\t'), {mode: 0o600});
 	const log = openSync(logFile, 'a');
 	const commandLine = ['--enable-source-maps', fileURLToPath(program), ...options, '--settings', settingsFile];
-	// A group of its own: the terminal's interrupt reaches only the supervisor, which ends the others in order.
+	// With its own process group, the process does not get the terminal's interrupt; only the supervisor does, and it stops the processes in order.
 	const child = spawn(process.execPath, commandLine, {
 		stdio: ['ignore', 'pipe', log], detached: true, env: {...process.env, ...environment},
 	});
@@ -50,7 +50,7 @@
 /** One started process. */
 export class SupervisedProcess {
 	readonly name: string;
-	/** Resolves with the exit code, or the signal that ended it. */
+	/** Resolves with the exit code, or with the name of the signal that ended the process. */
 	readonly exited: Promise<number | string>;
 	private readonly _child: ChildProcess;
 	private readonly _logFile: string;
@@ -67,7 +67,7 @@
 		return this._child.pid ?? 0;
 	}
 
-	/** Whether it ever said that it is ready. */
+	/** Whether the process has ever reported that it is ready. */
 	get isReady(): boolean {
 		return this._isReady;
 	}
@@ -76,17 +76,17 @@
 		return this._child.exitCode === null && this._child.signalCode === null;
 	}
 
-	/** Waits until the process says that it is ready; rejects with its last words when it does not. */
-	async becomeReady(): Promise<void> {
+	/** Waits until the process reports that it is ready; rejects with its last log lines if it exits first or a timeout passes. */
+	async waitUntilReady(): Promise<void> {
 		const waiting = new AbortController();
 		const outcome = await Promise.race([
-			this._readyLine(),
+			this._waitForReadyLine(),
 			this.exited.then(code => `ended with ${code}`),
 			pause(startTimeoutMs, `not ready within ${startTimeoutMs} ms`, {signal: waiting.signal}).catch(() => ''),
 		]);
 		waiting.abort();
 		if (outcome !== undefined) {
-			throw new Error(`${this.name}: ${outcome}\n${await this.lastLog()}`);
+			throw new Error(`${this.name}: ${outcome}\n${await this.logTail()}`);
 		}
 
 		this._isReady = true;
@@ -99,7 +99,7 @@
 		}
 	}
 
-	/** Asks the process to stop, and ends it when it does not. */
+	/** Asks the process to stop with SIGTERM, and kills it if it has not exited after the grace time. */
 	async stop(): Promise<void> {
 		this.kill('SIGTERM');
 		const waiting = new AbortController();
@@ -112,14 +112,14 @@
 		await this.exited;
 	}
 
-	/** The last lines of what the process logged. */
-	async lastLog(): Promise<string> {
+	/** Resolves with the last lines of the process's log. */
+	async logTail(): Promise<string> {
 		const text = await readFile(this._logFile, 'utf8');
 		return text.trimEnd().split('\n').slice(-shownLogLines).join('\n');
 	}
 
-	/** Settles when the process says that it is ready. */
-	private async _readyLine(): Promise<undefined> {
+	/** Resolves when the process prints the line that says that it is ready. */
+	private async _waitForReadyLine(): Promise<undefined> {
 		const {stdout} = this._child;
 		if (!stdout) {
 			return undefined;
--- a/demo/testing/ledger.ts
+++ b/demo/testing/ledger.ts
@@ -1,14 +1,14 @@
 /**
- * Writers that remember how every write was answered.
+ * Writers that record how every write was answered.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {DatabaseError} from 'pg';
 import type {ProxyClient} from '../proxy-client.js';
 
-/** What is known of a write: `unknown` may have run, `refused` did not. */
+/** Outcome of a write as its caller knows it: a `refused` write did not run, an `unknown` one may have run. */
 export type WriteOutcome = 'acknowledged' | 'refused' | 'unknown';
 
-/** Errors of connections and statements as a caller reads them. */
+/** Outcome of a write that was answered with an error of its connection or statement. */
 export function outcomeOf(error: unknown): WriteOutcome {
 	const hint = error instanceof DatabaseError ? error.hint ?? '' : '';
 	return /\boutcome=notRun\b/v.test(hint) ? 'refused' : 'unknown';
@@ -20,16 +20,16 @@
 
 const pauseMs = 2;
 
-/** The outcomes of many writes, each with a name of its own in a table without keys. */
+/** The outcomes of many writes, each with a unique name, in a table without keys, so that a write that ran twice leaves two rows. */
 export class Ledger {
-	/** Outcome by name. */
+	/** Outcome by the name of the write. */
 	readonly outcomes = new Map<string, WriteOutcome>();
-	/** Errors by the name of the write that they answered. */
+	/** Text of the error by the name of the write that it answered. */
 	readonly errors = new Map<string, string>();
 	private readonly _writers: Array<Promise<void>> = [];
 	private _isOver = false;
 
-	/** Writes on a connection, and on a new one when that ends, until the end. */
+	/** Adds a writer, which writes until `end` is called, and connects again when its connection has ended. */
 	addWriter(name: string, connect: () => Promise<ProxyClient>): void {
 		this._writers.push(this._write(name, connect));
 	}
@@ -39,13 +39,13 @@
 		return this._namesOf('acknowledged').length;
 	}
 
-	/** Ends the writers. */
+	/** Stops the writers; resolves once each has its last answer. */
 	async end(): Promise<void> {
 		this._isOver = true;
 		await Promise.all(this._writers);
 	}
 
-	/** Names whose number of rows their outcome does not allow. */
+	/** Describes each write whose number of rows contradicts its outcome. */
 	contradictions(rows: ReadonlyArray<{readonly name: string}>): readonly string[] {
 		const counts = new Map<string, number>();
 		for (const {name} of rows) {
@@ -65,7 +65,7 @@
 			try {
 				client = client === undefined || client.isEnded ? await connect() : client;
 			} catch {
-				// The node is not there, or not yet again.
+				// The node is down or has not restarted yet.
 				await pause(pauseMs);
 				continue;
 			}
--- a/demo/testing/small-system.ts
+++ b/demo/testing/small-system.ts
@@ -1,5 +1,5 @@
 /**
- * A small system of processes for tests: four nodes in three availability zones before one
+ * A small system of processes for tests: four nodes in three availability zones in front of one
  * group of three endpoints.
  */
 import {mkdtemp, rm} from 'node:fs/promises';
@@ -16,7 +16,7 @@
 
 const zones = ['a', 'b', 'c'];
 
-/** The only group. */
+/** Name of the only group. */
 export const group = 'stock';
 
 const deployment = deploymentSchema.parse({
@@ -34,13 +34,13 @@
 	tokenKey: 'key-of-the-small-system',
 });
 
-/** Longest wait for something that has to come; nothing is measured by it. */
+/** Timeout for something that has to happen; long, since it only guards against a test that hangs. */
 const livenessBoundMs = 20_000;
 
-/** Pause between two looks. */
-const lookMs = 20;
+/** Pause between two polls. */
+const pollMs = 20;
 
-/** A system and what tests ask of it. */
+/** A running system with the operations that tests need. */
 export class SmallSystem {
 	readonly system: DevelopmentSystem;
 	private readonly _folder: string;
@@ -51,25 +51,25 @@
 		this._folder = folder;
 	}
 
-	/** Stops all processes; resolves with complaints, none when all ended well. */
+	/** Stops all processes; resolves with a message for each one that did not exit cleanly. */
 	async stop(): Promise<readonly string[]> {
 		await Promise.all(this._clients.map(async client => client.end()));
-		const complaints = await this.system.stop();
+		const failures = await this.system.stop();
 		this.system.dispose();
 		await rm(this._folder, {recursive: true, force: true});
-		return complaints;
+		return failures;
 	}
 
 	/** Connects through a node. */
 	async connect(node: string): Promise<ProxyClient> {
-		const {host, callersPort} = this.system.nodePlace(node);
+		const {host, callersPort} = this.system.nodeAddresses(node);
 		const client = new ProxyClient({host, port: callersPort}, group, deployment.callers[0]);
 		this._clients.push(client);
 		await client.connect();
 		return client;
 	}
 
-	/** The group as a node's status shows it. */
+	/** The group as a node's status shows it; an empty group if the node does not answer. */
 	async status(node = 'b-1'): Promise<GroupStatus> {
 		const client = new OperatorClient({url: this.system.operatorsUrl(node), ...deployment.operators[0]});
 		const status = await client.status();
@@ -78,7 +78,7 @@
 		});
 	}
 
-	/** The primary, once the endpoints agree with a node's status. */
+	/** Resolves with the primary once the endpoints' own reports agree with a node's status; throws after a timeout. */
 	async primary(): Promise<EndpointStatus & {readonly home: string}> {
 		return eventually('a primary with a home', async () => {
 			const {primary, endpoints} = await this.status();
@@ -88,7 +88,7 @@
 		});
 	}
 
-	/** Starts a node again that was ended. */
+	/** Restarts a node whose process has ended. */
 	async restartNode(name: string): Promise<void> {
 		const settings = this.system.plan.nodes.find(({node}) => node.name === name);
 		if (settings) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	/** Starts an endpoint again that was ended, and waits until it follows. */
+	/** Restarts an endpoint whose process has ended, and waits until it is a replica. */
 	async restartEndpoint(name: string): Promise<void> {
 		await this.system.restartEndpoint(name);
 		await eventually(`${name} as a replica`, async () => {
@@ -116,9 +116,9 @@
 	}
 }
 
-/** Starts all processes and waits until every node takes writes. */
+/** Starts all processes; resolves once every node accepts writes. */
 export async function startSmallSystem(): Promise<SmallSystem> {
-	// The end of this process ends the others, but only if it is an orderly one.
+	// The exit handler kills the other processes, but Node.js runs it only on an orderly exit, not on SIGTERM.
 	process.once('SIGTERM', () => {
 		process.exit(1);
 	});
@@ -137,12 +137,12 @@
 	}
 }
 
-/** Looks until something is there; throws when it does not come. */
-export async function eventually<T>(what: string, look: () => Promise<T | undefined>): Promise<T> {
+/** Polls until a value is there and resolves with it; throws after a timeout. */
+export async function eventually<T>(what: string, poll: () => Promise<T | undefined>): Promise<T> {
 	const endMs = Date.now() + livenessBoundMs;
 	for (let last = ''; ;) {
 		try {
-			const found = await look();
+			const found = await poll();
 			if (found !== undefined) {
 				return found;
 			}
@@ -154,6 +154,6 @@
 			throw new Error(`${what} did not come within ${livenessBoundMs} ms; last error: ${last}`);
 		}
 
-		await pause(lookMs);
+		await pause(pollMs);
 	}
 }
--- a/demo/types.ts
+++ b/demo/types.ts
@@ -4,11 +4,11 @@
 import type {Deployment} from '../src/common/settings/deployment-schema.js';
 import type {ListenAddresses} from '../src/common/settings/deployment-plan.js';
 
-/** Options of the command line. */
+/** Command-line options of the demo. */
 export type DemoOptions = {
 	/** Name of a folder in `deployments`. */
 	readonly deployment: string;
-	/** Whether the system stays up until a signal. */
+	/** Whether the system runs until a signal, without the workload. */
 	readonly keep: boolean;
 	/** File that is written once the system is ready. */
 	readonly readyFile?: string;
@@ -16,7 +16,7 @@
 	readonly folder?: string;
 };
 
-/** What the ready file says. */
+/** Content of the ready file. */
 export type ReadyReport = {
 	readonly callers: ReadonlyArray<{readonly host: string; readonly port: number; readonly availabilityZone: string}>;
 	readonly operators: ReadonlyArray<{readonly url: string; readonly user: string; readonly password: string}>;
@@ -27,7 +27,7 @@
 	readonly nodes: ReadonlyArray<{readonly name: string; readonly pid: number}>;
 };
 
-/** What a running system is known by. */
+/** Deployment and addresses of a running system. */
 export type SystemDescription = {
 	readonly deployment: Deployment;
 	readonly placement: ListenAddresses;
@@ -35,8 +35,8 @@
 
 /** Shows what happens. */
 export type Reporter = {
-	/** A line that stays. */
+	/** Shows a line that stays. */
 	line(text: string): void;
-	/** A line that the next one replaces. */
+	/** Shows a line that the next one replaces. */
 	progress(text: string): void;
 };
