--- a/bench/path/path-bench.ts
+++ b/bench/path/path-bench.ts
@@ -92,7 +92,7 @@
 	}
 
 	/** Measures with one connection on each path; the paths take turns, so that all are measured under the same conditions. */
-	private async _measureLatency({name, work, paths: ways}: LatencyPlan): Promise<PathFigures[]> {
+	private async _measureLatency({name, work, paths}: LatencyPlan): Promise<PathFigures[]> {
 		const {warmUpStatements, sliceStatements, slices} = pathAmounts;
 		this._context.note(`latency: ${name}`);
 		const series = (accessPath: AccessPath): string => `${name} ${accessPath.name}`;
@@ -100,20 +100,20 @@
 			this._load.run({
 				pool: accessPath.name, work, series: into, bound: {statements}, inProgress: 1,
 			});
-		for (const accessPath of ways) {
+		for (const accessPath of paths) {
 			await this._load.open({pool: accessPath.name, target: accessPath.target, connections: 1});
 			await run(accessPath, 'warm-up', warmUpStatements);
 		}
 
-		const accounts = new Map(ways.map(accessPath => [accessPath, new AccountSum()]));
+		const accounts = new Map(paths.map(accessPath => [accessPath, new AccountSum()]));
 		for (let slice = 0; slice < slices; slice++) {
-			for (const accessPath of ways) {
+			for (const accessPath of paths) {
 				await accounts.get(accessPath)?.around(accessPath.pids, async () => run(accessPath, series(accessPath), sliceStatements));
 			}
 		}
 
 		const figures: PathFigures[] = [];
-		for (const accessPath of ways) {
+		for (const accessPath of paths) {
 			await this._load.close(accessPath.name);
 			const report = await this._load.report(series(accessPath));
 			figures.push({
