--- a/src/common/catalog/endpoint-registry.test.ts
+++ b/src/common/catalog/endpoint-registry.test.ts
@@ -122,10 +122,10 @@
 		put('i-3', {});
 		expect(returned).toEqual(['i-3']);
 		put('i-1', undefined);
-		expect(registry.lapsed('svc').map(({id}) => id)).toEqual(['i-1']);
+		expect(registry.lapsedEndpoints('svc').map(({id}) => id)).toEqual(['i-1']);
 		put('i-1', {});
 		expect(returned).toEqual(['i-3', 'i-1']);
-		expect(registry.lapsed('svc')).toEqual([]);
+		expect(registry.lapsedEndpoints('svc')).toEqual([]);
 	});
 
 	it('keeps an endpoint whose registration lapsed while the store was unavailable, until it registers again', async () => {
--- a/src/common/catalog/endpoint-registry.ts
+++ b/src/common/catalog/endpoint-registry.ts
@@ -85,7 +85,7 @@
 	 * Returns the endpoints of a service whose registrations lapsed within `lapsedForMs`: they may be
 	 * alive behind a network partition.
 	 */
-	lapsed(service: string): readonly RegisteredEndpoint[] {
+	lapsedEndpoints(service: string): readonly RegisteredEndpoint[] {
 		const {clock, options} = this._services;
 		return [...this._lapsed.values()]
 			.filter(({endpoint, sinceMs}) => endpoint.service === service && clock.nowMs() - sinceMs < options.lapsedForMs)
--- a/src/common/explaining/day-plot.ts
+++ b/src/common/explaining/day-plot.ts
@@ -2,7 +2,7 @@
  * Draws a day's refusals as stacked bars over time, in SVG.
  */
 import type {DaySummary, RefusalCause} from './day-summary.js';
-import {entriesOf} from './day-summary.js';
+import {countsByCause} from './day-summary.js';
 
 /** Sizes in pixels; the width shows one minute in spans of a second on a phone in landscape orientation. */
 const plot = {
@@ -26,14 +26,14 @@
 /** Returns the plot of a day as SVG text; `spanMs` is the length of the summary's spans. */
 export function plotDay({spans, totals}: DaySummary, spanMs: number): string {
 	const lastMs = Math.max(spanMs, ...spans.map(({fromMs}) => fromMs + spanMs));
-	const sums = spans.map(({refused}) => entriesOf(refused).reduce((sum, [, count]) => sum + count, 0));
+	const sums = spans.map(({refused}) => countsByCause(refused).reduce((sum, [, count]) => sum + count, 0));
 	const highest = Math.max(1, ...sums);
 	const perMs = (plot.width - (2 * plot.margin)) / lastMs;
 	const perRequest = (plot.height - (2 * plot.margin)) / highest;
 	const baselineY = plot.height - plot.margin;
 	const bars = spans.flatMap(({fromMs, refused}) => {
 		let y = baselineY;
-		return entriesOf(refused).map(([cause, count]) => {
+		return countsByCause(refused).map(([cause, count]) => {
 			y -= count * perRequest;
 			return `<rect x="${round(plot.margin + (fromMs * perMs))}" y="${round(y)}" width="${round(spanMs * perMs)}" height="${round(count * perRequest)}" fill="${colours[cause]}"/>`;
 		});
--- a/src/common/explaining/day-summary.ts
+++ b/src/common/explaining/day-summary.ts
@@ -91,11 +91,11 @@
 		.toSorted(([a], [b]) => a - b)
 		.map(([index, inSpan]) => ({fromMs: index * spanMs, refused: countCauses(inSpan), marks: marksOf(inSpan)}))
 		.filter(({refused, marks}) => marks.length > 0 || Object.keys(refused).length > 0);
-	return {startMs, spans, totals: entriesOf(countCauses(lines))};
+	return {startMs, spans, totals: countsByCause(countCauses(lines))};
 }
 
 /** Causes with their counts, the most frequent first. */
-export function entriesOf(refused: DaySpan['refused']): Array<readonly [RefusalCause, number]> {
+export function countsByCause(refused: DaySpan['refused']): Array<readonly [RefusalCause, number]> {
 	const entries = refusalCauses.map(cause => [cause, refused[cause] ?? 0] as const);
 	return entries.filter(([, count]) => count > 0).toSorted(([, a], [, b]) => b - a);
 }
--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -132,7 +132,7 @@
 		}
 
 		if (fault.cause) {
-			group.noteFault(endpointId, fault.cause, fault.sinceMs);
+			group.noteFault(endpointId, fault.cause, fault.sentAtMs);
 		}
 	}
 
--- a/src/common/organisations/access-control.ts
+++ b/src/common/organisations/access-control.ts
@@ -31,7 +31,7 @@
 	}
 
 	/** Makes a credential of the user name that a caller sent; an API key is kept only as its digest. */
-	credential(secret: string): Credential {
+	createCredential(secret: string): Credential {
 		return {keyDigest: this._catalog.digestOf(secret), caller: this._catalog.organisations ? anonymous : secret};
 	}
 
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -70,7 +70,7 @@
 			return overLimitRefusal(organisation, emptyForMs);
 		}
 
-		const grant = await this.ask({organisation, isLoan: false});
+		const grant = await this.requestGrant({organisation, isLoan: false});
 		if (!grant) {
 			metrics.count('usageDecisionsTotal', {outcome: 'unanswered'});
 			return new Refusal('callerLimited', `no node that may hold the budget of ${organisation} answered`, {retryAfterMs: this._services.options.unansweredRetryMs});
@@ -96,7 +96,7 @@
 	 * undefined if none of them grants or denies. A node that receives such a request from a peer does the
 	 * same before it answers: it may reach a preferred holder that the peer cannot reach.
 	 */
-	async ask({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
+	async requestGrant({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {clock, self, holders, options} = this._services;
 		if (!holders.isDiscoveryDone) {
 			await waitForEvent(clock, holders.onDiscoveryDone, options.lookTimeoutMs);
--- a/src/common/peering/fleet.test.ts
+++ b/src/common/peering/fleet.test.ts
@@ -26,7 +26,7 @@
 		const {fleet} = fleetOf(peeringDefaults.homesFrom - 2);
 		expect(fleet.isLarge).toEqual(false);
 		expect(fleet.homes(endpoint('i-1', 'a'))).toEqual([]);
-		expect(fleet.holding(endpoint('i-1', 'a'))).toEqual('forItself');
+		expect(fleet.connectionRole(endpoint('i-1', 'a'))).toEqual('forItself');
 	});
 
 	it('chooses the same two homes in the endpoint\'s zone on every node', () => {
--- a/src/common/peering/fleet.ts
+++ b/src/common/peering/fleet.ts
@@ -63,7 +63,7 @@
 	}
 
 	/** The role in which this node holds connections to an endpoint. */
-	holding(endpoint: RegisteredEndpoint): ConnectionRole {
+	connectionRole(endpoint: RegisteredEndpoint): ConnectionRole {
 		const homes = this.homes(endpoint);
 		if (homes.length === 0) {
 			return 'forItself';
--- a/src/common/peering/forwarded-statements.ts
+++ b/src/common/peering/forwarded-statements.ts
@@ -21,7 +21,7 @@
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
 	/** Idle time in milliseconds after which a held transaction is rolled back. */
-	readonly heldForMs: () => number;
+	readonly heldTimeoutMs: () => number;
 };
 
 type HeldEntry = {
@@ -151,8 +151,8 @@
 	}
 
 	private _startIdleTimer(heldId: number): Disposable {
-		const {clock, log, heldForMs} = this._services;
-		return clock.setTimer(heldForMs(), () => {
+		const {clock, log, heldTimeoutMs} = this._services;
+		return clock.setTimer(heldTimeoutMs(), () => {
 			log.event('transactionAbandoned', {heldId, reason: 'its node sent nothing more'});
 			void this.end(heldId, 'rollBack');
 		});
--- a/src/common/peering/overview-poller.ts
+++ b/src/common/peering/overview-poller.ts
@@ -17,7 +17,7 @@
 	private readonly _services: PeeringServices;
 	private readonly _directory: PeerDirectory;
 	private readonly _fleet: Fleet;
-	private readonly _primacies: PrimaryTrackers;
+	private readonly _trackers: PrimaryTrackers;
 	private readonly _sleep: WakeableSleep;
 	private _pendingPoll: Promise<void> | undefined;
 	private _isCoordinating = false;
@@ -25,11 +25,11 @@
 	private _lastContactAtMs = Number.NEGATIVE_INFINITY;
 	private _isDisposed = false;
 
-	constructor(services: PeeringServices, directory: PeerDirectory, fleet: Fleet, primacies: PrimaryTrackers) {
+	constructor(services: PeeringServices, directory: PeerDirectory, fleet: Fleet, trackers: PrimaryTrackers) {
 		this._services = services;
 		this._directory = directory;
 		this._fleet = fleet;
-		this._primacies = primacies;
+		this._trackers = trackers;
 		this._sleep = new WakeableSleep(services.clock);
 	}
 
@@ -76,7 +76,7 @@
 	private _updateRole(): void {
 		const isCoordinating = this._fleet.isCoordinatorOnly && this._fleet.isCoordinator;
 		if (isCoordinating && !this._isCoordinating) {
-			this._primacies.wake();
+			this._trackers.wake();
 		}
 
 		this._isCoordinating = isCoordinating;
@@ -91,7 +91,7 @@
 		const {clock, options} = this._services;
 		if (this._isCoordinating && clock.nowMs() - this._checksRenewedAtMs >= options.renewChecksMs) {
 			this._checksRenewedAtMs = clock.nowMs();
-			void this._primacies.checkReplacements();
+			void this._trackers.checkReplacements();
 		}
 	}
 
@@ -104,7 +104,7 @@
 		answer.ifRight(overviews => {
 			this._lastContactAtMs = Math.max(this._lastContactAtMs, sentAtMs);
 			for (const overview of overviews) {
-				this._primacies.existing(overview.service)?.noteOverview(overview, sentAtMs, coordinator.name);
+				this._trackers.existing(overview.service)?.noteOverview(overview, sentAtMs, coordinator.name);
 			}
 		});
 	}
--- a/src/common/peering/relays.ts
+++ b/src/common/peering/relays.ts
@@ -32,9 +32,9 @@
 	private readonly _searches = new Map<string, Promise<void>>();
 	private readonly _noRelayUntilMs = new Map<string, number>();
 
-	constructor(services: RelayServices, primacies: PrimaryTrackers) {
+	constructor(services: RelayServices, trackers: PrimaryTrackers) {
 		this._services = services;
-		primacies.onPrimaryFault(group => {
+		trackers.onPrimaryFault(group => {
 			this._searchIfDue(group);
 		});
 	}
--- a/src/common/pools/endpoint-pool.ts
+++ b/src/common/pools/endpoint-pool.ts
@@ -191,7 +191,7 @@
 		this.answerTimes.note(clock.nowMs() - sentAtMs);
 		return result
 			.map(answer => ({answer, sentAtMs}))
-			.mapLeft(fault => ({...this._faultOf(fault, true), sinceMs: sentAtMs}));
+			.mapLeft(fault => ({...this._faultOf(fault, true), sentAtMs}));
 	}
 
 	/** Sends an internal statement of the node, bypassing the queue; resolves with the endpoint's status. */
--- a/src/common/pools/types.ts
+++ b/src/common/pools/types.ts
@@ -66,7 +66,7 @@
 	/** Why the endpoint could not be reached; undefined if the fault lies elsewhere. */
 	readonly cause?: 'refused' | 'silent' | 'closed' | 'full';
 	/** When the failed statement was sent, on the node's clock. */
-	readonly sinceMs?: number;
+	readonly sentAtMs?: number;
 	/** Whether the relaying peer, and not the endpoint, gave no answer. */
 	readonly isPeerLost?: boolean;
 };
--- a/src/common/primacy/endpoint-reports.test.ts
+++ b/src/common/primacy/endpoint-reports.test.ts
@@ -50,16 +50,16 @@
 
 	it('accepts no proof from a restarted endpoint until it is cleared', () => {
 		expect(reports.mayProve('i-1')).toEqual(true);
-		reports.forget('i-1');
+		reports.reset('i-1');
 		expect(reports.mayProve('i-1')).toEqual(false);
 		reports.clearMissedFence('i-1', reports.returnCount('i-1'));
 		expect(reports.mayProve('i-1')).toEqual(true);
 	});
 
 	it('is not cleared by a check that began before another restart', () => {
-		reports.forget('i-1');
+		reports.reset('i-1');
 		const returnCount = reports.returnCount('i-1');
-		reports.forget('i-1');
+		reports.reset('i-1');
 		reports.clearMissedFence('i-1', returnCount);
 		expect(reports.mayProve('i-1')).toEqual(false);
 	});
--- a/src/common/primacy/endpoint-reports.ts
+++ b/src/common/primacy/endpoint-reports.ts
@@ -87,7 +87,7 @@
 			&& reported.status.term === before.reported.status.term
 			&& isLostPosition(reported.status.received, before.reported.status.received, reported.status.term);
 		if (hasRestarted) {
-			this.forget(endpointId);
+			this.reset(endpointId);
 		}
 
 		this._knowledge(endpointId).report = {reported, atMs: this._clock.nowMs()};
@@ -100,7 +100,7 @@
 		const hasRestarted = before !== undefined && sentAtMs > before.atMs
 			&& isLostPosition(position, before.position, position.term);
 		if (hasRestarted) {
-			this.forget(endpointId);
+			this.reset(endpointId);
 		}
 
 		const known = this._knowledge(endpointId);
@@ -112,7 +112,7 @@
 	}
 
 	/** Discards everything known of an endpoint that restarted or whose registration returned. */
-	forget(endpointId: string): void {
+	reset(endpointId: string): void {
 		this._known.set(endpointId, {returnCount: this.returnCount(endpointId) + 1, mayHaveMissedFence: true});
 	}
 
--- a/src/common/primacy/group-poller.ts
+++ b/src/common/primacy/group-poller.ts
@@ -183,16 +183,16 @@
 		const hasToLearn = !mayPollEndpoints || !primary;
 		await Promise.all([
 			mayPollEndpoints ? this._pollAllEndpoints() : undefined,
-			hasToLearn ? this._services.sharing.refresh() : undefined,
+			hasToLearn ? this._services.proofSource.refresh() : undefined,
 		]);
 	}
 
 	private async _pollDueEndpoints(): Promise<void> {
-		const {clock, options, sharing} = this._services;
+		const {clock, options, proofSource} = this._services;
 		const {primaryEndpoint, provedAtMs, sampledAtMs, isFailing, primaryHeardAtMs} = this._group;
 		const nowMs = clock.nowMs();
 		// The coordinator's overviews arrive a little later than the coordinator itself would poll again.
-		const graceMs = sharing.isCoordinator ? 0 : options.leasePollMs;
+		const graceMs = proofSource.isCoordinator ? 0 : options.leasePollMs;
 		const isProofDue = nowMs - provedAtMs >= (options.leasePollMs / 2) + graceMs;
 		const isSampleDue = nowMs - sampledAtMs >= options.sampleEveryMs + graceMs;
 		const isCheckDue = isFailing || nowMs - primaryHeardAtMs >= options.primaryCheckMs + graceMs;
@@ -210,7 +210,7 @@
 
 	/** Requests a proof of the primary's term, from the replicas or from the coordinator. */
 	private async _requestProof(): Promise<void> {
-		await (this._group.mayPollEndpoints ? this._pollReplicas() : this._services.sharing.refresh());
+		await (this._group.mayPollEndpoints ? this._pollReplicas() : this._services.proofSource.refresh());
 	}
 
 	/** Polls replicas, nearest first, until one has proved the term. */
--- a/src/common/primacy/primary-health.test.ts
+++ b/src/common/primacy/primary-health.test.ts
@@ -6,15 +6,15 @@
 
 describe('PrimaryHealth', () => {
 	it('does not count time without requests as silence', () => {
-		expect(new PrimaryHealth(options, 0).loss(1_000_000)).toEqual(undefined);
+		expect(new PrimaryHealth(options, 0).promotionReason(1_000_000)).toEqual(undefined);
 	});
 
 	it('counts silence from the first request without a response', () => {
 		const health = new PrimaryHealth(options, 0);
 		health.onFault('silent', 5000);
 		health.onFault('silent', 5600);
-		expect(health.loss(5800)).toEqual(undefined);
-		expect(health.loss(5900)).toEqual('silent');
+		expect(health.promotionReason(5800)).toEqual(undefined);
+		expect(health.promotionReason(5900)).toEqual('silent');
 	});
 
 	it('clears faults on the next response', () => {
@@ -22,9 +22,9 @@
 		health.onFault('refused', 10);
 		health.onHeard(20);
 		health.onFault('refused', 30);
-		expect(health.loss(40)).toEqual(undefined);
+		expect(health.promotionReason(40)).toEqual(undefined);
 		health.onFault('refused', 35);
-		expect(health.loss(40)).toEqual('crashed');
+		expect(health.promotionReason(40)).toEqual('crashed');
 	});
 
 	it('does not count time before the last response as failing', () => {
@@ -38,6 +38,6 @@
 		const health = new PrimaryHealth(options, 0);
 		health.onLogLost();
 		health.onHeard(1000);
-		expect(health.loss(1000)).toEqual('emptied');
+		expect(health.promotionReason(1000)).toEqual('emptied');
 	});
 });
--- a/src/common/primacy/primary-health.ts
+++ b/src/common/primacy/primary-health.ts
@@ -74,7 +74,7 @@
 	 * Returns why the primary counts as lost, or undefined while it does not. Silence is measured
 	 * from the first failed attempt: a primary that received no requests has not been silent.
 	 */
-	loss(nowMs: number): PromotionReason | undefined {
+	promotionReason(nowMs: number): PromotionReason | undefined {
 		if (this._hasLostLog) {
 			return 'emptied';
 		}
--- a/src/common/primacy/primary-tracker.ts
+++ b/src/common/primacy/primary-tracker.ts
@@ -145,13 +145,13 @@
 			return 'ordered';
 		}
 
-		const healthReason = this.primaryEndpoint?.isDraining ? 'draining' : this._health.loss(nowMs);
+		const healthReason = this.primaryEndpoint?.isDraining ? 'draining' : this._health.promotionReason(nowMs);
 		return healthReason ?? (this._mayTakeOverReplacement ? 'abandoned' : undefined);
 	}
 
 	/** Whether this node may poll endpoints itself, and therefore may replace a primary. */
 	get mayPollEndpoints(): boolean {
-		const {isCoordinator, isCoordinatorOnly} = this._services.sharing;
+		const {isCoordinator, isCoordinatorOnly} = this._services.proofSource;
 		return isCoordinator || !isCoordinatorOnly;
 	}
 
@@ -322,7 +322,7 @@
 
 	/** Called when an endpoint restarted or its registration returned: it may have missed a fence. */
 	noteReturn(endpointId: string): void {
-		this._reports.forget(endpointId);
+		this._reports.reset(endpointId);
 		void this._returnedReplicas.clearWhenSafe(endpointId);
 		if (this._primary?.endpointId === endpointId) {
 			// Its next status shows whether it still leads its term with its whole log.
--- a/src/common/primacy/primary-trackers.ts
+++ b/src/common/primacy/primary-trackers.ts
@@ -106,10 +106,10 @@
 	 * passes on stay within the store's history.
 	 */
 	async checkReplacements(): Promise<void> {
-		const {sharing} = this._services;
-		if (sharing.isCoordinatorOnly) {
+		const {proofSource} = this._services;
+		if (proofSource.isCoordinatorOnly) {
 			// The coordinator's overviews make a read of each group's row unnecessary.
-			await sharing.refresh();
+			await proofSource.refresh();
 		}
 
 		for (const {primacy} of this._groups.values()) {
--- a/src/common/primacy/promoter.ts
+++ b/src/common/primacy/promoter.ts
@@ -295,7 +295,7 @@
 	private async _fence(term: number, {epoch, why}: {readonly epoch: number; readonly why: PromotionReason}): Promise<FencedReplica[]> {
 		const {pools, options, log} = this._services;
 		const {service, primary} = this._group;
-		const lapsed = this._services.registry.lapsed(service).filter(({id}) => id !== primary?.endpointId);
+		const lapsed = this._services.registry.lapsedEndpoints(service).filter(({id}) => id !== primary?.endpointId);
 		const answers = await Promise.all([...this._group.replicas(), ...lapsed].map(async endpoint => {
 			const result = await pools.pool(endpoint).control({kind: 'pause', term}, options.statusTimeoutMs);
 			log.event('replicaFenced', {
--- a/src/common/primacy/replacement-checks.ts
+++ b/src/common/primacy/replacement-checks.ts
@@ -111,7 +111,7 @@
 	 */
 	private async _isUnchanged(checkedAtMs: number): Promise<boolean> {
 		const known = this._group.knownReplacement;
-		if (!known || !this._services.sharing.isCoordinatorOnly) {
+		if (!known || !this._services.proofSource.isCoordinatorOnly) {
 			return false;
 		}
 
--- a/src/common/primacy/types.ts
+++ b/src/common/primacy/types.ts
@@ -105,7 +105,7 @@
 	readonly restores: RestoreStatus;
 	readonly promotions: PromotionCalls;
 	readonly peers: PrimacyPeers;
-	readonly sharing: ProofSource;
+	readonly proofSource: ProofSource;
 	/** Routes status requests to endpoints that this node must not connect to itself. */
 	readonly endpointPools: StatusSource;
 	readonly options: PrimacyOptions;
--- a/src/node/callers/cycle-runner.ts
+++ b/src/node/callers/cycle-runner.ts
@@ -12,7 +12,7 @@
 import type {AnswerWriter} from './answer-writer.js';
 
 /** What a runner works with. */
-export type RunnerServices = {
+export type CycleRunnerServices = {
 	readonly router: Router;
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -27,12 +27,12 @@
 export class CycleRunner {
 	private readonly _session: CallerSession;
 	private readonly _writer: AnswerWriter;
-	private readonly _services: RunnerServices;
+	private readonly _services: CycleRunnerServices;
 	/** Reused for successive requests until it has aborted one, because creating a controller costs as much as a whole turn of the event loop. */
 	private _abort: AbortController | undefined;
 	private _isRunning = false;
 
-	constructor(session: CallerSession, writer: AnswerWriter, services: RunnerServices) {
+	constructor(session: CallerSession, writer: AnswerWriter, services: CycleRunnerServices) {
 		this._session = session;
 		this._writer = writer;
 		this._services = services;
--- a/src/node/cli/explain-command.ts
+++ b/src/node/cli/explain-command.ts
@@ -5,7 +5,7 @@
 import {readFile, writeFile} from 'node:fs/promises';
 import {Command} from 'commander';
 import {plotDay} from '../../common/explaining/day-plot.js';
-import {entriesOf, summariseDay, type DaySummary} from '../../common/explaining/day-summary.js';
+import {countsByCause, summariseDay, type DaySummary} from '../../common/explaining/day-summary.js';
 import {parseLogLines, type LogLine} from '../../common/explaining/log-lines.js';
 import {buildRequestTimeline, type RequestTimeline, type TimelineLine} from '../../common/explaining/request-timeline.js';
 import {exitCodes, type ExitCode} from './constants.js';
@@ -91,7 +91,7 @@
 function formatDayTable({startMs, spans, totals}: DaySummary): string {
 	const causes = totals.map(([cause]) => cause);
 	const rows = spans.map(({fromMs, refused, marks}) => {
-		const counts = new Map(entriesOf(refused));
+		const counts = new Map(countsByCause(refused));
 		return [new Date(startMs + fromMs).toISOString().slice(11, 23), ...causes.map(cause => counts.get(cause)), marks.join('; ')];
 	});
 	return `${textTable(['from', ...causes, 'events'], [...rows, ['all', ...totals.map(([, count]) => count), '']])}\n`;
--- a/src/node/direct/direct-node.ts
+++ b/src/node/direct/direct-node.ts
@@ -79,7 +79,7 @@
 	const pools = owned.register(new PoolSet({
 		...services,
 		wire: adapter.wire,
-		connectionRole: endpoint => peering.fleet.holding(endpoint),
+		connectionRole: endpoint => peering.fleet.connectionRole(endpoint),
 		areConnectionsPerOrganisation: () => catalog.organisations !== undefined,
 		connectionShare: ({service}) => peering.fleet.connectionQuota(catalog.connectionLimit(service)),
 		connector: new TcpLineConnector(clock, adapter.wire, environment.name, lineDefaults),
@@ -93,7 +93,7 @@
 		pools,
 		promotions: owned.register(adapter.openPromotions(environment.promotions)),
 		peers: peering.peers,
-		sharing: peering.sharing,
+		proofSource: peering.proofSource,
 		endpointPools,
 		options: {...primacyDefaults, ...tuning.primacy},
 		availabilityZone: environment.availabilityZone,
@@ -150,7 +150,7 @@
 		adapter, readiness, metrics, callers,
 	});
 	await peering.serve({
-		primacies: trackers,
+		trackers,
 		pools,
 		registry,
 		catalog,
--- a/src/node/direct/peering.ts
+++ b/src/node/direct/peering.ts
@@ -43,7 +43,7 @@
 };
 
 type ServingComponents = {
-	readonly primacies: PrimaryTrackers;
+	readonly trackers: PrimaryTrackers;
 	readonly pools: PoolSet;
 	readonly registry: EndpointRegistry;
 	readonly catalog: RouteCatalog;
@@ -65,10 +65,10 @@
 	readonly store: RowStore;
 	/** Pause in milliseconds after changes of a followed table were applied, before more are asked for. */
 	readonly paceMs: () => number;
-	readonly sharing: ProofSource;
+	readonly proofSource: ProofSource;
 	createPoolSelector(pools: PoolSet): EndpointPoolSelector;
 	/** Connects the trackers of groups, and returns the relays for them; to be called once. */
-	connect(primacies: PrimaryTrackers): Relays;
+	connect(trackers: PrimaryTrackers): Relays;
 	/** Reads the registrations of the other nodes. */
 	discover(): Promise<void>;
 	/** Listens for peers; resolves then, while registration and polling go on in the background. */
@@ -98,7 +98,7 @@
 	const peers = new FleetPrimacyPeers(shared, directory, fleet);
 	const poolOptions = {...poolDefaults, ...tuning.pools};
 	const {touchMs} = {...usageDefaults, ...tuning.usage};
-	let sharing: OverviewPoller | undefined;
+	let overviewPoller: OverviewPoller | undefined;
 	let forwarded: ForwardedStatements | undefined;
 	let server: DirectPeerServer | undefined;
 	const store = new DelegatingRowStore(services.store, {...shared, directory, fleet});
@@ -112,41 +112,41 @@
 		calls,
 		membershipChangedAtMs: () => directory.membershipChangedAtMs,
 		usageHolders: new FleetUsageHolders({
-			directory, fleet, touchMs, sharing: () => sharing,
+			directory, fleet, touchMs, sharing: () => overviewPoller,
 		}),
 		peers,
 		fleet,
 		store,
 		paceMs,
-		sharing: {
+		proofSource: {
 			get isCoordinator() {
 				return fleet.isCoordinator;
 			},
 			get isCoordinatorOnly() {
 				return fleet.isCoordinatorOnly;
 			},
-			refresh: async () => sharing?.refresh(),
+			refresh: async () => overviewPoller?.refresh(),
 		},
 		createPoolSelector: pools => new EndpointPoolSelector({
 			...shared, directory, fleet, pools, poolOptions,
 		}),
-		connect(primacies) {
+		connect(trackers) {
 			// No node polls endpoints before its discovery is done, since there may be too many nodes for that.
 			owned.register(directory.onDiscoveryDone(() => {
-				primacies.wake();
+				trackers.wake();
 			}));
 			owned.register(directory.onRegistered(() => {
-				void primacies.checkReplacements();
+				void trackers.checkReplacements();
 			}));
-			sharing = owned.register(new OverviewPoller(shared, directory, fleet, primacies));
+			overviewPoller = owned.register(new OverviewPoller(shared, directory, fleet, trackers));
 			return owned.register(new Relays({
 				...shared, peers, random, poolOptions,
-			}, primacies));
+			}, trackers));
 		},
 		discover: async () => directory.discover(),
-		async serve({primacies, pools, registry, catalog, usage, tables}) {
+		async serve({trackers, pools, registry, catalog, usage, tables}) {
 			const forwardedStatements = owned.register(new ForwardedStatements({
-				clock, log, registry, pools, heldForMs: () => catalog.transactionIdleMs + shared.options.heldGraceMs,
+				clock, log, registry, pools, heldTimeoutMs: () => catalog.transactionIdleMs + shared.options.heldGraceMs,
 			}));
 			forwarded = forwardedStatements;
 			const followed: Readonly<Record<string, FollowedTable>> = {...tables, [nodeTable]: registrations.followed};
@@ -158,10 +158,10 @@
 					directory.markLeaving(name);
 				},
 				primary({service, endpointId, term}) {
-					primacies.learnPrimary(service, {endpointId, term});
+					trackers.learnPrimary(service, {endpointId, term});
 				},
 				fence({service, term, isFenced, ...promoter}) {
-					primacies.group(service).fence(term, isFenced, promoter);
+					trackers.group(service).fence(term, isFenced, promoter);
 				},
 			};
 			onNotice = notice => {
@@ -176,8 +176,8 @@
 					self: () => self,
 					onNotice,
 					async overview(service) {
-						sharing?.recordIncomingPoll();
-						return service === '' ? primacies.overviews(service) : primacies.opinion(service);
+						overviewPoller?.recordIncomingPoll();
+						return service === '' ? trackers.overviews(service) : trackers.opinion(service);
 					},
 					status: async (endpointId, timeoutMs) => forwardedStatements.status(endpointId, timeoutMs),
 					rows: async (table, afterVersion, waitMs) => followed[table]?.changes(afterVersion, waitMs),
@@ -185,12 +185,12 @@
 					begin: async (endpointId, statement, isReadOnly) => forwardedStatements.begin(endpointId, statement, isReadOnly),
 					runHeld: async (heldId, statement) => forwardedStatements.runHeld(heldId, statement),
 					end: async (heldId, manner) => forwardedStatements.end(heldId, manner),
-					takeUsage: async ask => usage.ask(ask),
+					takeUsage: async ask => usage.requestGrant(ask),
 				},
 			}));
 			await server.listen(environment.peers.host, environment.peers.port);
 			void registrations.run();
-			void sharing?.run();
+			void overviewPoller?.run();
 		},
 		async leave() {
 			server?.announceLeaving();
--- a/src/node/line/line-caller-connection.ts
+++ b/src/node/line/line-caller-connection.ts
@@ -137,7 +137,7 @@
 			return 'ends';
 		}
 
-		const credential = access.credential(user);
+		const credential = access.createCredential(user);
 		const denied = await access.organisation(route, credential);
 		if (denied.isLeft()) {
 			const refusal = denied.extract();
--- a/src/node/operators/configuration-routes.ts
+++ b/src/node/operators/configuration-routes.ts
@@ -13,7 +13,7 @@
 import {
 	invalidRequest, platformRefusal, sendRefusal, type OperatorRefusal,
 } from './refusal-responses.js';
-import {reachOf} from './reach.js';
+import {summariseReach} from './reach.js';
 import {
 	changePathSchema, changesQuerySchema, explainQuerySchema, groupPathSchema, orderPrimarySchema, previewSchema, proposeSchema, undoSchema,
 } from './request-schemas.js';
@@ -185,7 +185,7 @@
 			return sendResult(reply, path.mapLeft(problems => invalidRequest(problems)));
 		}
 
-		return reply.send(reachOf(path.unsafeCoerce().number, await this._services.reach.nodes()));
+		return reply.send(summariseReach(path.unsafeCoerce().number, await this._services.reach.nodes()));
 	}
 
 	private async _explain(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
--- a/src/node/operators/reach.ts
+++ b/src/node/operators/reach.ts
@@ -65,7 +65,7 @@
 }
 
 /** On which nodes a change is in force. */
-export function reachOf(number: number, nodes: readonly NodeReach[]): ChangeReach {
+export function summariseReach(number: number, nodes: readonly NodeReach[]): ChangeReach {
 	const inForce = nodes.filter(({version}) => version !== undefined && version >= number);
 	return {
 		number,
--- a/standins/line/failover.test.ts
+++ b/standins/line/failover.test.ts
@@ -200,7 +200,7 @@
 			holder: 'gone', epoch: 1, usedAtMs: clock.nowMs(), claimId: 'x', term: 1,
 		}), service);
 		cutConnections(behind, ['i-1']);
-		void behind.primacies.checkReplacements();
+		void behind.trackers.checkReplacements();
 		for (let round = 0; round < 40; round++) {
 			await behind.session(databases.own).send('READ x');
 			await others[0].session(databases.primary).send(`WRITE x ${round}`);
--- a/standins/line/line-test-cluster.ts
+++ b/standins/line/line-test-cluster.ts
@@ -78,7 +78,7 @@
 export class LineTestNode {
 	readonly events: LoggedEvent[] = [];
 	readonly connector: MemoryConnector;
-	readonly primacies: PrimaryTrackers;
+	readonly trackers: PrimaryTrackers;
 	readonly catalog: RouteCatalog;
 	readonly registry: EndpointRegistry;
 	readonly pools: PoolSet;
@@ -102,10 +102,10 @@
 			this.directory.markLeaving(name);
 		},
 		primary: notice => {
-			this.primacies.learnPrimary(notice.service, notice);
+			this.trackers.learnPrimary(notice.service, notice);
 		},
 		fence: ({service: name, term, isFenced, ...promoter}) => {
-			this.primacies.group(name).fence(term, isFenced, promoter);
+			this.trackers.group(name).fence(term, isFenced, promoter);
 		},
 	};
 
@@ -151,7 +151,7 @@
 			wire: lineWire,
 			connector: this.connector,
 			invariants: new InvariantChecks(log, silentMetrics, {isFatal: true}),
-			connectionRole: endpoint => fleet.holding(endpoint),
+			connectionRole: endpoint => fleet.connectionRole(endpoint),
 			areConnectionsPerOrganisation: () => this.catalog.organisations !== undefined,
 			connectionShare: ({service: name}) => fleet.connectionQuota(this.catalog.connectionLimit(name)),
 			options: poolDefaults,
@@ -170,13 +170,13 @@
 			},
 			refresh: async () => this._overviewPoller.refresh(),
 		};
-		this.primacies = new PrimaryTrackers({
+		this.trackers = new PrimaryTrackers({
 			...shared,
 			peers,
 			registry: this.registry,
 			pools: this.pools,
 			promotions: cluster.promotions,
-			sharing,
+			proofSource: sharing,
 			endpointPools: poolSelector,
 			audit: {
 				record() {
@@ -186,10 +186,10 @@
 			options: primacyDefaults,
 			availabilityZone,
 		});
-		this._overviewPoller = new OverviewPoller(peering, this.directory, fleet, this.primacies);
+		this._overviewPoller = new OverviewPoller(peering, this.directory, fleet, this.trackers);
 		const relays = new Relays({
 			...peering, peers, poolOptions: poolDefaults,
-		}, this.primacies);
+		}, this.trackers);
 		const limitOf = (organisation: string): UsageLimit | undefined => this.catalog.organisations?.findByName(organisation)?.usageLimit;
 		const budgets = new UsageBudgets({
 			clock, limitOf, rule: usageRule, zones: 3, membershipChangedAtMs: () => this.directory.membershipChangedAtMs, options: usageDefaults,
@@ -203,7 +203,7 @@
 			}),
 		});
 		this.catalog.onChange(() => {
-			this.primacies.follow(this.catalog.serviceNames());
+			this.trackers.follow(this.catalog.serviceNames());
 			this.usage.onLimitsChanged();
 		});
 		this._access = new AccessControl(this.catalog);
@@ -215,30 +215,30 @@
 			access: this._access,
 			usage: this.usage,
 			endpointPools: poolSelector,
-			trackers: this.primacies,
+			trackers: this.trackers,
 			availabilityZone,
 			options: lineSessionDefaults,
 		};
 		this._runner = new StatementRunner(this.sessionServices);
 		this.forwarded = new ForwardedStatements({
-			clock, log, registry: this.registry, pools: this.pools, heldForMs: () => 5000,
+			clock, log, registry: this.registry, pools: this.pools, heldTimeoutMs: () => 5000,
 		});
 		this.requests = this._makeRequests();
 	}
 
 	/** This node's tracker of the group's primary. */
 	get group(): PrimaryTracker {
-		return this.primacies.group(service);
+		return this.trackers.group(service);
 	}
 
 	start(): void {
 		this.catalog.start();
 		this.registry.start();
 		this.directory.onDiscoveryDone(() => {
-			this.primacies.wake();
+			this.trackers.wake();
 		});
 		this.directory.onRegistered(() => {
-			void this.primacies.checkReplacements();
+			void this.trackers.checkReplacements();
 		});
 		void this.directory.discover();
 		void this._registrations.run();
@@ -247,7 +247,7 @@
 
 	/** Opens a session with one of the databases for a caller that sends a credential: a word, or an API key. */
 	session(database: string, credential = 'caller'): LineTestSession {
-		return new LineTestSession(new LineSession(database, this._access.credential(credential), this.sessionServices, this._runner), this._cluster.clock);
+		return new LineTestSession(new LineSession(database, this._access.createCredential(credential), this.sessionServices, this._runner), this._cluster.clock);
 	}
 
 	/** Returns the fields of every logged event of a name. */
@@ -259,7 +259,7 @@
 		this._overviewPoller.dispose();
 		this._registrations.dispose();
 		this.directory.dispose();
-		this.primacies.dispose();
+		this.trackers.dispose();
 		this.pools.dispose();
 		this.registry.dispose();
 		this.catalog.dispose();
@@ -290,7 +290,7 @@
 			},
 			overview: async name => {
 				this._overviewPoller.recordIncomingPoll();
-				return name === '' ? this.primacies.overviews(name) : this.primacies.opinion(name);
+				return name === '' ? this.trackers.overviews(name) : this.trackers.opinion(name);
 			},
 			status: async (endpointId, timeoutMs) => forwarded.status(endpointId, timeoutMs),
 			rows: async (table, afterVersion, waitMs) => tables[table]?.changes(afterVersion, waitMs),
@@ -298,7 +298,7 @@
 			begin: async (endpointId, statement, isReadOnly) => forwarded.begin(endpointId, statement, isReadOnly),
 			runHeld: async (heldId, statement) => forwarded.runHeld(heldId, statement),
 			end: async (heldId, manner) => forwarded.end(heldId, manner),
-			takeUsage: async request => this.usage.ask(request),
+			takeUsage: async request => this.usage.requestGrant(request),
 		};
 	}
 
