--- a/src/common/configuration/anti-entropy-peers.ts
+++ b/src/common/configuration/anti-entropy-peers.ts
@@ -29,7 +29,7 @@
 		this._keptMs = keptMs;
 	}
 
-	/** The peer of a turn, chosen anew when the kept one has expired or is gone; turn zero chooses from any zone. */
+	/** The peer of a turn, chosen again when the kept one has expired or is gone; turn zero chooses from any zone. */
 	peerFor(turn: number): Host | undefined {
 		return this._kept(turn) ?? this._choose(turn);
 	}
--- a/src/common/configuration/configuration-log.test.ts
+++ b/src/common/configuration/configuration-log.test.ts
@@ -171,7 +171,7 @@
 });
 
 describe('ChangeHistory', () => {
-	it('never goes back, whatever changes and snapshots it is given', () => {
+	it('never goes back, regardless of the changes and snapshots it is given', () => {
 		const history = new ChangeHistory(new InvariantChecks(silentLog, silentMetrics, {isFatal: true}), silentLog, {recentChanges: 2});
 		const versions: number[] = [];
 		history.onChange(version => {
--- a/src/common/groups/constants.ts
+++ b/src/common/groups/constants.ts
@@ -23,7 +23,7 @@
 	replaceSilentAfterMs: 5000,
 
 	// Detection
-	/** Silence of the primary after which peers are asked whether they hear it; the status request sent after `primaryCheckMs` has gone unanswered by then. */
+	/** Silence of the primary after which peers are asked whether they hear from it; the status request sent after `primaryCheckMs` has gone unanswered by then. */
 	suspectAfterMs: 350,
 	/** Silence of the primary and of every node in its zone after which the zone counts as cut off or lost. */
 	cutAfterMs: 800,
@@ -47,7 +47,7 @@
 	quietTickMs: 250,
 	/** Timeout for a peer's opinion on the primary. */
 	opinionTimeoutMs: 200,
-	/** A primary that was last heard within this time counts as alive. */
+	/** A primary that was last heard from within this time counts as alive. */
 	opinionFreshMs: 450,
 	/** Delay before the instances are asked again when no majority of them answered. */
 	majorityRetryMs: 300,
--- a/src/common/groups/instance-watch.ts
+++ b/src/common/groups/instance-watch.ts
@@ -78,7 +78,7 @@
 		return this._refusals;
 	}
 
-	/** When the instance was last heard, or its silence was last reset, in milliseconds on this node's clock. */
+	/** When the instance was last heard from, or its silence was last reset, in milliseconds on this node's clock. */
 	get lastHeardMs(): number {
 		return this._lastHeardMs;
 	}
@@ -88,7 +88,7 @@
 		return this._lastClosedMs;
 	}
 
-	/** Whether the instance is connected, has reported its state and was heard within `unreachableAfterMs`. */
+	/** Whether the instance is connected, has reported its state and was heard from within `unreachableAfterMs`. */
 	get isReachable(): boolean {
 		const silenceMs = this._services.clock.nowMs() - this._lastHeardMs;
 		return this._state !== undefined && silenceMs < this._options.unreachableAfterMs;
--- a/src/common/groups/loss-rules.ts
+++ b/src/common/groups/loss-rules.ts
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Neither this node nor a peer hears the primary. It counts as cut off if its whole zone is
+	 * Neither this node nor a peer hears from the primary. It counts as cut off if its whole zone is
 	 * silent as well and no replica receives its stream; otherwise it counts as frozen, after a
 	 * longer silence.
 	 */
@@ -102,7 +102,7 @@
 		return silenceMs >= this._options.frozenAfterMs ? {reason: 'frozen', sinceMs, isPrimarySuspected: true} : undefined;
 	}
 
-	/** The primary is heard, so it is not frozen, but too few replicas receive its stream for a write to be confirmed. */
+	/** This node or a peer hears from the primary, so it is not frozen, but too few replicas receive its stream for a write to be confirmed. */
 	private _isolation(): LossFinding | undefined {
 		const isHeard = this._group.primaryWatch !== undefined
 			&& this._services.clock.nowMs() - this._primaryLastHeardMs() < this._options.opinionFreshMs;
@@ -143,7 +143,7 @@
 		return nowMs - sinceMs >= durationMs ? {reason, sinceMs, isPrimarySuspected: reason === 'isolated'} : undefined;
 	}
 
-	/** When this node or a peer last heard the primary. */
+	/** When this node or a peer last heard from the primary, in milliseconds on this node's clock. */
 	private _primaryLastHeardMs(): number {
 		return Math.max(this._group.primaryWatch?.lastHeardMs ?? 0, this._opinions.primaryLastHeardMs);
 	}
--- a/src/common/groups/peer-opinions.ts
+++ b/src/common/groups/peer-opinions.ts
@@ -1,8 +1,8 @@
 /**
- * What peers report about a primary that this node does not hear.
+ * What peers report about a primary that this node does not hear from.
  *
  * An answer from a node in the primary's zone distinguishes a frozen endpoint from a zone that
- * is cut off or lost. A peer that hears the primary itself distinguishes a broken network path
+ * is cut off or lost. A peer that hears from the primary itself distinguishes a broken network path
  * from the loss of the primary.
  */
 import {Right} from 'purify-ts';
@@ -31,7 +31,7 @@
 		return this._zoneLastHeardMs;
 	}
 
-	/** When a peer last heard the primary, in milliseconds on this node's clock; zero when unknown. */
+	/** When a peer last heard from the primary, in milliseconds on this node's clock; zero when unknown. */
 	get primaryLastHeardMs(): number {
 		return this._primaryLastHeardMs;
 	}
--- a/src/common/homes/held-transactions.ts
+++ b/src/common/homes/held-transactions.ts
@@ -62,7 +62,7 @@
 		return [...this._held.keys()].filter(sessionId => sessionId.startsWith(prefix));
 	}
 
-	/** Returns why the session's transaction ended and forgets the reason; `transactionLost` if none is known. */
+	/** Returns why the session's transaction ended and removes the reason; `transactionLost` if none is known. */
 	takeEndReason(sessionId: string): ErrorKind {
 		const reason = this._endReasons.get(sessionId) ?? 'transactionLost';
 		this._endReasons.delete(sessionId);
--- a/src/common/homes/rollback.ts
+++ b/src/common/homes/rollback.ts
@@ -13,7 +13,7 @@
 
 const ignoredAnswer: AnswerSink = {
 	push() {
-		// Nobody reads the answer to the rollback.
+		// Nothing reads the answer to the rollback.
 	},
 };
 
--- a/src/common/homes/slot-queue.ts
+++ b/src/common/homes/slot-queue.ts
@@ -157,7 +157,7 @@
 		return (aheadMs + runningMs) / Math.max(1, this._slots);
 	}
 
-	/** While a slot is free, only new transactions wait, so that a statement of another lane overtakes nobody. */
+	/** While a slot is free, only new transactions wait, so that a statement of another lane overtakes no other. */
 	private _mayStartNow(lane: SlotLane): boolean {
 		return this._running < this._slots && (lane !== 'begin' || (this._queue.length === 0 && this._mayBegin(this._beginsRunning)));
 	}
--- a/src/common/line-sessions/session-transaction.ts
+++ b/src/common/line-sessions/session-transaction.ts
@@ -73,7 +73,7 @@
 		return answer;
 	}
 
-	/** Commits; the transaction has ended afterwards, whatever the outcome. Never rejects. */
+	/** Commits; the transaction has ended afterwards, regardless of the outcome. Never rejects. */
 	async commit(statement: RunnableStatement): Promise<Answer> {
 		this._isRunning = true;
 		const answer = await this._commit(statement);
--- a/src/common/line-sessions/statement-runner.ts
+++ b/src/common/line-sessions/statement-runner.ts
@@ -128,7 +128,7 @@
 	/** Records that an endpoint, or the node that relays to it, gave no answer. */
 	noteFault(group: PrimaryTracker, endpointId: string, fault: StatementFault): void {
 		if (fault.refusal.kind === 'peerUnavailable') {
-			this._services.relays.forget(group.service);
+			this._services.relays.dropRelay(group.service);
 		}
 
 		if (fault.cause) {
--- a/src/common/line-sessions/types.ts
+++ b/src/common/line-sessions/types.ts
@@ -19,7 +19,7 @@
 export type PrimaryRelays = {
 	primaryPool(group: PrimaryTracker): StatementPool | undefined;
 	/** Drops the relay of a group after it failed to reach the primary. */
-	forget(service: string): void;
+	dropRelay(service: string): void;
 };
 
 /** Selects the pool through which statements to an endpoint are sent. */
--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -122,16 +122,16 @@
 		return undefined;
 	}
 
-	private async _askHolder(holder: PeerNode, ask: BudgetRequest): Promise<UsageGrant | undefined> {
+	private async _askHolder(holder: PeerNode, request: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {calls, holders, log, options} = this._services;
-		const answer = await calls.takeUsage(holder, ask, options.askTimeoutMs);
+		const answer = await calls.takeUsage(holder, request, options.askTimeoutMs);
 		if (answer.isRight()) {
 			return answer.unsafeCoerce();
 		}
 
 		const reason = answer.extract();
 		holders.reportReachability(holder.name, reason === noBudgetHere);
-		log.event('usageHolderLost', {organisation: ask.organisation, holder: holder.name, reason});
+		log.event('usageHolderLost', {organisation: request.organisation, holder: holder.name, reason});
 		return undefined;
 	}
 
--- a/src/common/peering/constants.ts
+++ b/src/common/peering/constants.ts
@@ -51,7 +51,7 @@
 	readEveryMs: 20_000,
 	/**
 	 * First interval between such reads, which doubles while they show no new node. It is short because
-	 * nodes that registered meanwhile may have found the fleet large, and then notify nobody.
+	 * nodes that registered meanwhile may have found the fleet large, and then notify no node.
 	 */
 	firstReadAfterMs: 1000,
 	/**
--- a/src/common/peering/fleet-usage-holders.ts
+++ b/src/common/peering/fleet-usage-holders.ts
@@ -13,7 +13,7 @@
 	readonly directory: PeerDirectory;
 	readonly fleet: Fleet;
 	/** Poller of the coordinator's group overviews; undefined until the trackers of groups are connected. */
-	readonly sharing: () => OverviewPoller | undefined;
+	readonly overviewPoller: () => OverviewPoller | undefined;
 	/** Longest time in milliseconds since the last contact with another node for which that contact counts as recent. */
 	readonly touchMs: number;
 };
@@ -33,7 +33,7 @@
 	}
 
 	get hasRecentContact(): boolean {
-		const {fleet, sharing, touchMs} = this._sources;
+		const {fleet, overviewPoller: sharing, touchMs} = this._sources;
 		return fleet.isAloneInZone || (sharing()?.heardAgoMs ?? Number.POSITIVE_INFINITY) <= touchMs;
 	}
 
--- a/src/common/peering/node-ranking.ts
+++ b/src/common/peering/node-ranking.ts
@@ -11,7 +11,7 @@
 import {hashText, highestWeights} from '../membership/rendezvous.js';
 import type {PeerNode} from '../services/services.js';
 
-/** Ranks nodes for any task; the result is the same on every node, whatever the order in which it learned of the others. */
+/** Ranks nodes for any task; the result is the same on every node, regardless of the order in which it learned of the others. */
 export class NodeRanking {
 	private readonly _largeHostShare: number;
 	private readonly _byZone: ReadonlyMap<string, ReadonlyArray<Candidate<PeerNode>>>;
--- a/src/common/peering/peer-directory.test.ts
+++ b/src/common/peering/peer-directory.test.ts
@@ -8,7 +8,7 @@
 type SentNotice = {readonly peer: string; readonly notice: PeerNotice['kind']};
 
 /** A node whose calls reach every peer, and the notices that it sent. */
-function reachableFleet(): ReturnType<typeof fakePeering> & {readonly told: SentNotice[]; register: (node: PeerNode) => void} {
+function reachableFleet(): ReturnType<typeof fakePeering> & {readonly sentNotices: SentNotice[]; register: (node: PeerNode) => void} {
 	const sent: SentNotice[] = [];
 	const calls: PeerCalls = {
 		...unreachableCalls,
@@ -20,7 +20,7 @@
 	const peering = fakePeering(calls);
 	return {
 		...peering,
-		told: sent,
+		sentNotices: sent,
 		register(node) {
 			peering.store.put(nodeTable, node.name, JSON.stringify(node));
 		},
@@ -29,19 +29,19 @@
 
 describe('PeerDirectory', () => {
 	it('announces itself once to each other node of a small fleet', async () => {
-		const {directory, clock, told, register} = reachableFleet();
+		const {directory, clock, sentNotices, register} = reachableFleet();
 		register(peerNode('n1', 'a'));
 		register(peerNode('n2', 'b'));
 		void directory.run();
 		await clock.advance(peeringDefaults.readEveryMs * 3);
 		directory.dispose();
-		expect(told).toEqual([{peer: 'n1', notice: 'joined'}, {peer: 'n2', notice: 'joined'}]);
+		expect(sentNotices).toEqual([{peer: 'n1', notice: 'joined'}, {peer: 'n2', notice: 'joined'}]);
 	});
 
-	// Nodes that find the fleet large notify nobody, so a node that read the registrations a moment
+	// Nodes that find the fleet large notify no node, so a node that read the registrations a moment
 	// earlier, when the fleet was small, has to read them again soon.
 	it('finds out within seconds that the fleet has become large, and announces itself to no more nodes then', async () => {
-		const {directory, clock, told, register} = reachableFleet();
+		const {directory, clock, sentNotices, register} = reachableFleet();
 		register(peerNode('n1', 'a'));
 		const run = directory.run();
 		await clock.advance(peeringDefaults.meetAfterMs);
@@ -50,17 +50,17 @@
 		}
 
 		await clock.advanceUntil(run, peeringDefaults.firstReadAfterMs);
-		expect([directory.isLarge, told.length]).toEqual([true, 1]);
+		expect([directory.isLarge, sentNotices.length]).toEqual([true, 1]);
 	});
 
 	it('reads the registrations only once if they show a large fleet, as after a power failure', async () => {
-		const {directory, clock, store, told, register} = reachableFleet();
+		const {directory, clock, store, sentNotices, register} = reachableFleet();
 		for (let index = 1; index < peeringDefaults.homesFrom; index++) {
 			register(peerNode(`n${index}`, 'a'));
 		}
 
 		await clock.advanceUntil(directory.run(), peeringDefaults.meetAfterMs / 2);
-		expect([store.reads.get(nodeTable), told.length]).toEqual([1, 0]);
+		expect([store.reads.get(nodeTable), sentNotices.length]).toEqual([1, 0]);
 	});
 
 	// Guards against a leaving node being added again from its registration, which stays in the store:
--- a/src/common/peering/primacy-peers.ts
+++ b/src/common/peering/primacy-peers.ts
@@ -85,7 +85,7 @@
 	 * registration was lost. In both cases the result is `partly`, and the promoter waits until every
 	 * lease has expired.
 	 *
-	 * In a large fleet nobody is notified and the promoter always waits: one node that does not answer
+	 * In a large fleet no node is notified and the promoter always waits: one node that does not answer
 	 * leads to the wait in any case, and opening a link to each of 194 others takes a promoter longer
 	 * than the wait of 0.8 s.
 	 */
--- a/src/common/peering/relays.ts
+++ b/src/common/peering/relays.ts
@@ -57,7 +57,7 @@
 	}
 
 	/** Drops a group's relay because it gave no answer. */
-	forget(service: string): void {
+	dropRelay(service: string): void {
 		this._relays.delete(service);
 	}
 
@@ -119,7 +119,7 @@
 			// There is no other pool to prefer: a relay that gives no answer is dropped and replaced.
 			avoidMs: 0,
 			onPeerLost: () => {
-				this.forget(endpoint.service);
+				this.dropRelay(endpoint.service);
 			},
 		});
 	}
--- a/src/common/pools/open-connections.ts
+++ b/src/common/pools/open-connections.ts
@@ -42,11 +42,11 @@
 		return this._open.size;
 	}
 
-	/** Adds a new connection that is in use by whoever opened it. */
+	/** Adds a new connection that is in use by the caller that opened it. */
 	add(connection: PooledConnection): void {
 		this._open.add(connection);
 		connection.onClose(() => {
-			this._forget(connection);
+			this._remove(connection);
 		});
 	}
 
@@ -96,7 +96,7 @@
 	/** Returns a connection from its user; closes the least recently used idle one if there are too many. */
 	release(connection: PooledConnection, limits: IdleLimits): void {
 		if (!connection.isOpen) {
-			this._forget(connection);
+			this._remove(connection);
 			return;
 		}
 
@@ -147,11 +147,11 @@
 
 	private _close(connection: PooledConnection): void {
 		connection.dispose();
-		this._forget(connection);
+		this._remove(connection);
 	}
 
 	/** Removes a closed connection, so that it is neither handed out nor counted. */
-	private _forget(connection: PooledConnection): void {
+	private _remove(connection: PooledConnection): void {
 		this._open.delete(connection);
 		const index = this._idle.indexOf(connection);
 		if (index !== -1) {
--- a/src/common/primacy/endpoint-reports.ts
+++ b/src/common/primacy/endpoint-reports.ts
@@ -2,7 +2,7 @@
  * What the endpoints of one group have reported since their last start.
  *
  * An endpoint may restart under the same id, and then has lost its state: what it had received
- * confirms no write, what it had applied serves no read, and a fence that it was given is forgotten.
+ * confirms no write, what it had applied serves no read, and a fence that it was given is lost.
  * Within a term positions only increase, so a position that decreased shows a restart even where the
  * registration does not show it yet.
  */
--- a/src/common/primacy/promotion-duty.ts
+++ b/src/common/primacy/promotion-duty.ts
@@ -8,7 +8,7 @@
  * replacement was ordered is never trusted again.
  *
  * A store that is restored from an older snapshot has lost what was written since. Therefore epochs
- * start anew in each era of the store, above all epochs of the era before; no duty is acquired before
+ * start again in each era of the store, above all epochs of the era before; no duty is acquired before
  * a lost one would have expired; nodes rewrite what they know of a group's promotions; and until they
  * had time to do so, the row is not relied on.
  */
--- a/src/common/primacy/types.ts
+++ b/src/common/primacy/types.ts
@@ -114,7 +114,7 @@
 	readonly availabilityZone: string;
 };
 
-/** Dependencies of the parts that handle one group. */
+/** Dependencies of the components that handle one group. */
 export type GroupServices = PrimacyServices & {
 	readonly duties: PromotionDuties;
 };
--- a/src/common/services/direct-services.ts
+++ b/src/common/services/direct-services.ts
@@ -73,7 +73,7 @@
 	readonly claimsPrimary: boolean;
 	/** When the endpoint started, by its host's wall clock; distinguishes restarts under one id. */
 	readonly startedAtMs: number | undefined;
-	/** Number of this registration; counting begins anew after each start of the endpoint. */
+	/** Number of this registration; counting begins again after each start of the endpoint. */
 	readonly reportNumber: number;
 };
 
--- a/src/common/services/peer-services.ts
+++ b/src/common/services/peer-services.ts
@@ -63,7 +63,7 @@
 	runHeld(peer: PeerNode, heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(peer: PeerNode, heldId: number, manner: EndManner): Promise<void>;
 	/** Asks a holder of an organisation's budget for operations. */
-	takeUsage(peer: PeerNode, ask: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>>;
+	takeUsage(peer: PeerNode, request: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>>;
 };
 
 /** A request for operations out of an organisation's budget. */
@@ -101,6 +101,6 @@
 	runHeld(heldId: number, statement: EndpointStatement): Promise<Either<StatementFault, TimedAnswer>>;
 	end(heldId: number, manner: EndManner): Promise<void>;
 	/** Undefined if this node does not know the organisation or may not grant anything. */
-	takeUsage(ask: BudgetRequest): Promise<UsageGrant | undefined>;
+	takeUsage(request: BudgetRequest): Promise<UsageGrant | undefined>;
 };
 
--- a/src/node/direct-peers/conversion.ts
+++ b/src/node/direct-peers/conversion.ts
@@ -19,7 +19,7 @@
 	close: Manner.MANNER_CLOSE,
 };
 
-/** The manner that was sent; an unknown one becomes `close`, which is safe whatever it means. */
+/** The manner that was sent; an unknown one becomes `close`, which is safe regardless of what it means. */
 export function mannerOf(manner: Manner): EndManner {
 	const known = Object.entries(manners).find(([, value]) => value === manner);
 	return known ? known[0] as EndManner : 'close'; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion -- keys of the table above
--- a/src/node/direct-peers/peer-client.ts
+++ b/src/node/direct-peers/peer-client.ts
@@ -91,8 +91,8 @@
 		await this._call(peer, {$case: 'run', value: {endpointId: '', work}}, directPeerDefaults.endTimeoutMs);
 	}
 
-	async takeUsage(peer: PeerNode, ask: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>> {
-		const answer = await this._call(peer, {$case: 'usage', value: ask}, timeoutMs);
+	async takeUsage(peer: PeerNode, request: BudgetRequest, timeoutMs: number): Promise<Either<string, UsageGrant>> {
+		const answer = await this._call(peer, {$case: 'usage', value: request}, timeoutMs);
 		return answer.chain(({isKnown, operations, retryAfterMs}) => isKnown ? Right({operations, retryAfterMs}) : Left(noBudgetHere));
 	}
 
--- a/src/node/direct-peers/peer-link.test.ts
+++ b/src/node/direct-peers/peer-link.test.ts
@@ -85,7 +85,7 @@
 		expect({isSent, isPeerLost}).toEqual({isSent: true, isPeerLost: true});
 	});
 
-	it('opens a new connection after the previous one fell silent', async () => {
+	it('opens a new connection after the previous one stopped answering', async () => {
 		const {client, proxy, peer} = await start();
 		await client.tell(peer, {kind: 'left', name: 'n9'}, 5000);
 		proxy.mode = 'silent';
--- a/src/node/direct-peers/peer-link.ts
+++ b/src/node/direct-peers/peer-link.ts
@@ -144,7 +144,7 @@
 
 	private _onProbed(startedAtMs: number): void {
 		if (this._lastAnswerAtMs < startedAtMs) {
-			this._markLost('the peer fell silent');
+			this._markLost('the peer did not answer a probe in time');
 		} else if (this._pending.size > 0) {
 			this._livenessTimer = this._scheduleLivenessCheck();
 		}
--- a/src/node/direct-peers/peer-server.ts
+++ b/src/node/direct-peers/peer-server.ts
@@ -165,8 +165,8 @@
 		return toRowsAnswer(await this._services.requests.rows(table, afterVersion, waitMs));
 	}
 
-	private async _usage(ask: UsageRequest): Promise<UsageAnswer> {
-		const grant = await this._services.requests.takeUsage(ask);
+	private async _usage(request: UsageRequest): Promise<UsageAnswer> {
+		const grant = await this._services.requests.takeUsage(request);
 		return grant ? {isKnown: true, ...grant} : {isKnown: false, operations: 0, retryAfterMs: 0};
 	}
 
--- a/src/node/direct/peering.ts
+++ b/src/node/direct/peering.ts
@@ -112,7 +112,7 @@
 		calls,
 		membershipChangedAtMs: () => directory.membershipChangedAtMs,
 		usageHolders: new FleetUsageHolders({
-			directory, fleet, touchMs, sharing: () => overviewPoller,
+			directory, fleet, touchMs, overviewPoller: () => overviewPoller,
 		}),
 		peers,
 		fleet,
@@ -185,7 +185,7 @@
 					begin: async (endpointId, statement, isReadOnly) => forwardedStatements.begin(endpointId, statement, isReadOnly),
 					runHeld: async (heldId, statement) => forwardedStatements.runHeld(heldId, statement),
 					end: async (heldId, manner) => forwardedStatements.end(heldId, manner),
-					takeUsage: async ask => usage.requestGrant(ask),
+					takeUsage: async request => usage.requestGrant(request),
 				},
 			}));
 			await server.listen(environment.peers.host, environment.peers.port);
--- a/src/node/operators/page/proposal.js
+++ b/src/node/operators/page/proposal.js
@@ -19,7 +19,7 @@
 	return problems.map(({path, expected}) => `${path}: ${expected}`).join('\n') || detail;
 }
 
-/** Shows the panel in place of whatever it showed before, and moves the focus to it. */
+/** Shows the panel in place of its previous content, and moves the focus to it. */
 function showPanel(title, content) {
 	byId('confirm-title').textContent = title;
 	byId('confirm-body').replaceChildren(...content.flat().filter(Boolean));
@@ -88,24 +88,24 @@
 }
 
 /** Shows what a change would do, then proposes it. */
-export async function preview(title, wish) {
-	const shown = await send('POST', '/api/changes/preview', wish);
+export async function preview(title, desiredChange) {
+	const shown = await send('POST', '/api/changes/preview', desiredChange);
 	if (!shown.isDone) {
 		showMessage(problemsText(shown) || 'No answer; nothing was changed.');
 		return;
 	}
 
 	showMessage('');
-	const path = wish.undoOf === undefined ? '/api/changes' : `/api/changes/${wish.undoOf}/undo`;
+	const path = desiredChange.undoOf === undefined ? '/api/changes' : `/api/changes/${desiredChange.undoOf}/undo`;
 	// Every request for this preview carries one change identifier, so that the change is applied once.
 	const body = {
-		...(wish.undoOf === undefined && wish),
+		...(desiredChange.undoOf === undefined && desiredChange),
 		changeId: newChangeId(),
 		basedOn: shown.basedOn,
 		acknowledged: shown.warnings.map(({id}) => id),
 	};
 	const proposal = {
-		title, wish, path, body,
+		title, wish: desiredChange, path, body,
 	};
 	showPreview(title, shown, async () => propose(proposal));
 }
@@ -138,12 +138,12 @@
 	await followReach(change.number, reachElement);
 }
 
-function showConflict({title, wish}, {changes}) {
+function showConflict({title, wish: desiredChange}, {changes}) {
 	clearPending();
 	showPanel('Another operator was faster', [
 		paragraph('Nothing of yours was changed. Since you looked:'),
 		list(changes.map(change => changeCard(change))),
-		buttonRow(button('Cancel', hidePanel), button('Redo on top', async () => preview(title, wish), 'main')),
+		buttonRow(button('Cancel', hidePanel), button('Redo on top', async () => preview(title, desiredChange), 'main')),
 	]);
 }
 
--- a/src/node/peers/served-answer.ts
+++ b/src/node/peers/served-answer.ts
@@ -81,7 +81,7 @@
 		this._queue();
 	}
 
-	/** Drops unsent frames, which nobody waits for, and releases pushes that wait for room. */
+	/** Drops unsent frames, which nothing waits for, and releases pushes that wait for room. */
 	close(): void {
 		this._isClosed = true;
 		this._waiting = [];
--- a/src/node/peers/served-requests.ts
+++ b/src/node/peers/served-requests.ts
@@ -123,7 +123,7 @@
 		this._served.get(id)?.answer.addCredit(sizeBytes);
 	}
 
-	/** Aborts all requests and drops their answers, which nobody waits for once the link has ended. */
+	/** Aborts all requests and drops their answers, which nothing waits for once the link has ended. */
 	close(): void {
 		for (const served of this._served.values()) {
 			served.answer.close();
--- a/src/node/platform/dynamo-table.test.ts
+++ b/src/node/platform/dynamo-table.test.ts
@@ -57,7 +57,7 @@
 		expect(await valueOf(table.get('test', 'absent'))).toEqual(undefined);
 	});
 
-	it('recovers the outcome of a write whose answer was lost, whatever revision the retry expects', async () => {
+	it('recovers the outcome of a write whose answer was lost, regardless of the revision that the retry expects', async () => {
 		platform.server.faults.lostAnswers = 1;
 		expect(await kindOf(table.put(item('a'), 0))).toEqual('unavailable');
 		const retried = await valueOf(table.put(item('a'), 0));
--- a/src/node/platform/table-properties.test.ts
+++ b/src/node/platform/table-properties.test.ts
@@ -1,5 +1,5 @@
 /**
- * Invariants of every implementation of the table, whatever is lost, late or refused: revisions
+ * Invariants of every implementation of the table, regardless of what is lost, late or refused: revisions
  * increase by one at a time, no update is lost, and each change takes effect once.
  */
 import {
--- a/standins/line/line-test-cluster.ts
+++ b/standins/line/line-test-cluster.ts
@@ -199,7 +199,7 @@
 			budgets,
 			options: usageDefaults,
 			holders: new FleetUsageHolders({
-				directory: this.directory, fleet, touchMs: usageDefaults.touchMs, sharing: () => this._overviewPoller,
+				directory: this.directory, fleet, touchMs: usageDefaults.touchMs, overviewPoller: () => this._overviewPoller,
 			}),
 		});
 		this.catalog.onChange(() => {
--- a/standins/line/open-connections.test.ts
+++ b/standins/line/open-connections.test.ts
@@ -65,7 +65,7 @@
 		expect(connections.acquire() === shop).toEqual(true);
 	});
 
-	it('closes the connection least recently used by statements, whatever status requests used it since', async () => {
+	it('closes the connection least recently used by statements, regardless of the status requests that used it since', async () => {
 		const [shop, gang] = await openIdle('shop', 'gang');
 		const asked = connections.acquire()!;
 		const answer = asked.control({kind: 'status'}, 100);
