--- a/src/common/observability/metric-names.ts
+++ b/src/common/observability/metric-names.ts
@@ -42,7 +42,7 @@
 	confirmationsTotal: {kind: 'counter', help: 'Writes that waited for a majority, by outcome', labels: ['outcome']},
 	confirmationWaitMs: {kind: 'histogram', help: 'Time that writes waited for a majority'},
 	proofRoundsTotal: {kind: 'counter', help: 'Rounds of freshness proofs, by outcome', labels: ['outcome']},
-	suspicionsTotal: {kind: 'counter', help: 'Times that a primary was suspected after a silence'},
+	suspicionsTotal: {kind: 'counter', help: 'Times that a primary was suspected because it could not be reached'},
 	majorityMissesTotal: {kind: 'counter', help: 'Promotions not started because no majority answered'},
 	promotionsTotal: {kind: 'counter', help: 'Promotions by this node, by reason and outcome', labels: ['reason', 'outcome']},
 	failoverGapMs: {kind: 'histogram', help: 'Time from the last contact with a primary to the next primary', labels: ['reason']},
