--- a/src/common/catalog/constants.ts
+++ b/src/common/catalog/constants.ts
@@ -10,8 +10,8 @@
 	 */
 	followWaitMs: 2000,
 	/**
-	 * The same for the registrations of nodes: a node that starts or leaves also notifies the nodes
-	 * that use it directly.
+	 * The same for the registrations of nodes: a node that starts or leaves also sends a notice to
+	 * the nodes that use it.
 	 */
 	followNodesWaitMs: 5000,
 	/**
--- a/src/common/catalog/table-follower.ts
+++ b/src/common/catalog/table-follower.ts
@@ -164,7 +164,7 @@
 	/** Reads the whole table now, and resolves to the fault if the read failed. */
 	async refresh(): Promise<PlatformFault | undefined> {
 		const {clock, store} = this._services;
-		const asked = currentMoment(clock);
+		const requestedAt = currentMoment(clock);
 		const result = await store.read(this._table, '');
 		if (result.isLeft()) {
 			return this._noteFault(result.extract());
@@ -173,7 +173,7 @@
 		const {rows, version, provedAfterMs} = result.unsafeCoerce();
 		// A response that was delayed in transit may be older than the known rows, and then proves nothing.
 		if (this._applySnapshot(rows, version)) {
-			this._noteAnswer(asked, provedAfterMs);
+			this._noteAnswer(requestedAt, provedAfterMs);
 		}
 
 		return undefined;
@@ -189,12 +189,12 @@
 			return;
 		}
 
-		const asked = currentMoment(this._services.clock);
+		const requestedAt = currentMoment(this._services.clock);
 		const result = await store.follow(this._table, afterVersion, 0);
 		result.ifRight(answer => {
 			// A table that must be read again by now must not be treated as complete.
 			if (!answer.isHistoryGone && !this._isHistoryGone) {
-				this._applyChanges(answer, asked);
+				this._applyChanges(answer, requestedAt);
 			}
 		}).ifLeft(fault => {
 			this._services.log.event('tableNotRenewed', {table: this._table, ...fault});
@@ -210,7 +210,7 @@
 
 	private async _follow(afterVersion: number): Promise<PlatformFault | undefined> {
 		const {clock, store, options, paceMs} = this._services;
-		const asked = currentMoment(clock);
+		const requestedAt = currentMoment(clock);
 		const result = await store.follow(this._table, afterVersion, this._waitMs());
 		if (result.isLeft()) {
 			return this._noteFault(result.extract());
@@ -224,7 +224,7 @@
 			return undefined;
 		}
 
-		this._applyChanges(answer, asked);
+		this._applyChanges(answer, requestedAt);
 		if (answer.rows.length > 0) {
 			const pauseMs = paceMs?.() ?? 0;
 			if (pauseMs > 0) {
@@ -236,14 +236,14 @@
 	}
 
 	/** Applies changes, and only then records the proof of freshness, dated by the request. */
-	private _applyChanges({rows, version, provedAfterMs}: StoredRows, asked: Moment): void {
+	private _applyChanges({rows, version, provedAfterMs}: StoredRows, requestedAt: Moment): void {
 		for (const row of rows) {
 			this._applyChange(row);
 		}
 
 		this._dropRemovals();
 		this._version = Math.max(version, this._version ?? 0);
-		this._noteAnswer(asked, provedAfterMs);
+		this._noteAnswer(requestedAt, provedAfterMs);
 		if (rows.length > 0) {
 			this._onChange.fire();
 		}
@@ -325,8 +325,8 @@
 		}
 	}
 
-	private _noteAnswer(asked: Moment, provedAfterMs = 0): void {
-		const proved = momentAfter(asked, provedAfterMs);
+	private _noteAnswer(requestedAt: Moment, provedAfterMs = 0): void {
+		const proved = momentAfter(requestedAt, provedAfterMs);
 		// A response that was delayed in transit must not make the proof older.
 		if (this._canProveFreshness() && (!this._proved || proved.steadyMs > this._proved.steadyMs)) {
 			this._proved = proved;
--- a/src/common/configuration/problems.ts
+++ b/src/common/configuration/problems.ts
@@ -25,7 +25,7 @@
 
 type Issue = z.core.$ZodIssue;
 
-/** Converts an issue to problems; that of a union only says that no member matched, so the problems of the member with the fewest stand for it. */
+/** Converts an issue to problems. The issue of a union only says that no member matched, so the problems of the member that has the fewest are reported instead. */
 function flattenIssue(issue: Issue, prefix: readonly PropertyKey[]): Problem[] {
 	const path = [...prefix, ...issue.path];
 	if (issue.code === 'invalid_key') {
--- a/src/common/groups/failure-detector.ts
+++ b/src/common/groups/failure-detector.ts
@@ -154,7 +154,7 @@
 		this._isMajorityMissing = isMissing;
 	}
 
-	/** Restarts all silence timers after a pause of this process, in which it could hear no instance. */
+	/** Restarts all silence timers after a pause of this process, during which it could receive nothing from any instance. */
 	private _resetAfterPause(pausedMs: number): void {
 		this._group.resetSilence();
 		this._rules.reset();
--- a/src/common/groups/group-state.ts
+++ b/src/common/groups/group-state.ts
@@ -85,7 +85,7 @@
 		return largestValueReachedBy(this.states().map(state => state.promisedTerm), this.majority);
 	}
 
-	/** When the highest term was first seen. */
+	/** When the highest term was first seen, in milliseconds on this node's clock. */
 	get highestTermSinceMs(): number {
 		return this._highestTermSinceMs;
 	}
@@ -114,7 +114,7 @@
 	/**
 	 * Offset up to which a majority of the instances, all of which follow the term, holds its
 	 * log; -1 when there is no such majority. The primary of the term counts as holding any
-	 * offset, whatever it reports: it wrote the entry at that offset while it led the term, so
+	 * offset, regardless of what it reports: it wrote the entry at that offset while it led the term, so
 	 * if it promised a higher term later, the entry was already in its log when it did.
 	 */
 	majorityOffset(term: number): number {
@@ -170,7 +170,7 @@
 		}
 	}
 
-	/** Restarts the silence timers of all instances, as if each had just been heard. */
+	/** Restarts the silence timers of all instances, as if each had just been heard from. */
 	resetSilence(): void {
 		for (const watch of this._watches.values()) {
 			watch.resetSilence();
--- a/src/common/pools/pooled-connection.ts
+++ b/src/common/pools/pooled-connection.ts
@@ -48,7 +48,7 @@
 		return !this._isClosed;
 	}
 
-	/** Whether a statement may run on it. It must belong to the same organisation, which the endpoint is told once, when the connection is opened. */
+	/** Whether a statement may run on this connection. Both must belong to the same organisation, since the endpoint learns a connection's organisation only when it is opened. */
 	isUsableFor({organisation}: EndpointStatement): boolean {
 		return this.organisation === organisation;
 	}
