--- a/src/common/homes/constants.ts
+++ b/src/common/homes/constants.ts
@@ -81,7 +81,7 @@
 	readonly overdueExchangeMs: number;
 	/** Maximum time to wait for the rollback of an abandoned transaction. */
 	readonly rollbackTimeoutMs: number;
-	/** Maximum number of ended transactions whose reason is kept, so that their sessions can be told. */
+	/** Maximum number of ended transactions whose reason is kept, so that their sessions can be informed. */
 	readonly endedTransactions: number;
 
 	/** Size at which the buffered part of an answer is forwarded as a chunk. */
--- a/src/common/homes/endpoint-home.test.ts
+++ b/src/common/homes/endpoint-home.test.ts
@@ -137,7 +137,7 @@
 		expect(harness.endpoint.maximumConnections).toEqual(18);
 	});
 
-	it('are rolled back when idle for too long, and the session is told', async () => {
+	it('are rolled back when idle for too long, and the session is informed', async () => {
 		const harness = await new HomeHarness().ready();
 		await harness.runNow('BEGIN');
 		await harness.clock.advance(501);
--- a/src/common/homes/held-transactions.ts
+++ b/src/common/homes/held-transactions.ts
@@ -28,7 +28,7 @@
 	private readonly _endpoint: string;
 	private readonly _held = new Map<string, HeldTransaction>();
 	private readonly _connections = new Set<EndpointConnection>();
-	/** Why transactions ended, by session, until the session has been told. */
+	/** Why transactions ended, by session, until the session has been informed. */
 	private readonly _endReasons = new Map<string, ErrorKind>();
 	private readonly _onAbandoned = new Emitter<EndpointConnection>();
 	private readonly _onChange = new Emitter<void>();
--- a/src/common/peering/fleet.ts
+++ b/src/common/peering/fleet.ts
@@ -120,7 +120,7 @@
 		return this._cached(this._homes, id, () => {
 			const {options} = this._services;
 			const homes = this._currentRanking.inZone(availabilityZone, id, options.homeCandidates).filter(node => this._isReachable(node));
-			// A zone is taken for cut off if none of its candidates is reachable: its other nodes would be tried in vain, one by one.
+			// A zone is treated as cut off if none of its candidates is reachable, since its other nodes would otherwise be tried one by one without success.
 			const chosen = homes.length > 0
 				? homes
 				: this._currentRanking.everywhere(id).filter(node => node.availabilityZone !== availabilityZone && this._isReachable(node));
--- a/src/common/peering/peer-directory.ts
+++ b/src/common/peering/peer-directory.ts
@@ -229,7 +229,7 @@
 		}
 	}
 
-	/** Records that a node leaves. Its registration stays in the store until it starts again, and must not be taken for its return. */
+	/** Records that a node leaves. Its registration stays in the store until it starts again, and must not be mistaken for its return. */
 	markLeaving(name: string): void {
 		const known = this._nodes.get(name);
 		if (known) {
--- a/src/common/services/direct-services.ts
+++ b/src/common/services/direct-services.ts
@@ -179,7 +179,7 @@
 
 /** Opens connections to endpoints. */
 export type LineConnector = {
-	/** Opens a connection that belongs to an organisation, or to this node if that is undefined; the endpoint is told which. */
+	/** Opens a connection that belongs to an organisation, or to this node if that is undefined; the endpoint learns whose connection it is. */
 	connect(endpoint: RegisteredEndpoint, organisation: string | undefined): Promise<Either<ConnectionFault, LineConnection>>;
 };
 
--- a/src/node/callers/start-up.ts
+++ b/src/node/callers/start-up.ts
@@ -162,7 +162,7 @@
 		await this._gateway.handleMessage(Buffer.from(message));
 		const parameters = this._gateway.clientInfo?.parameters;
 		if (!parameters) {
-			// The library has already told the caller why.
+			// The library has already sent the caller the reason.
 			return ended;
 		}
 
