--- a/src/common/organisations/usage-limits.ts
+++ b/src/common/organisations/usage-limits.ts
@@ -70,7 +70,7 @@
 			return overLimitRefusal(organisation, emptyForMs);
 		}
 
-		const grant = await this.ask({organisation, isLoan: false});
+		const grant = await this.requestGrant({organisation, isLoan: false});
 		if (!grant) {
 			metrics.count('usageDecisionsTotal', {outcome: 'unanswered'});
 			return new Refusal('callerLimited', `no node that may hold the budget of ${organisation} answered`, {retryAfterMs: this._services.options.unansweredRetryMs});
@@ -96,7 +96,7 @@
 	 * undefined if none of them grants or denies. A node that receives such a request from a peer does the
 	 * same before it answers: it may reach a preferred holder that the peer cannot reach.
 	 */
-	async ask({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
+	async requestGrant({organisation, isLoan}: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {clock, self, holders, options} = this._services;
 		if (!holders.isDiscoveryDone) {
 			await waitForEvent(clock, holders.onDiscoveryDone, options.lookTimeoutMs);
@@ -122,16 +122,16 @@
 		return undefined;
 	}
 
-	private async _askHolder(holder: PeerNode, ask: BudgetRequest): Promise<UsageGrant | undefined> {
+	private async _askHolder(holder: PeerNode, request: BudgetRequest): Promise<UsageGrant | undefined> {
 		const {calls, holders, log, options} = this._services;
-		const answer = await calls.takeUsage(holder, ask, options.askTimeoutMs);
+		const answer = await calls.takeUsage(holder, request, options.askTimeoutMs);
 		if (answer.isRight()) {
 			return answer.unsafeCoerce();
 		}
 
 		const reason = answer.extract();
 		holders.reportReachability(holder.name, reason === noBudgetHere);
-		log.event('usageHolderLost', {organisation: ask.organisation, holder: holder.name, reason});
+		log.event('usageHolderLost', {organisation: request.organisation, holder: holder.name, reason});
 		return undefined;
 	}
 
--- a/src/common/services/direct-services.ts
+++ b/src/common/services/direct-services.ts
@@ -73,7 +73,7 @@
 	readonly claimsPrimary: boolean;
 	/** When the endpoint started, by its host's wall clock; distinguishes restarts under one id. */
 	readonly startedAtMs: number | undefined;
-	/** Number of this registration; counting begins anew after each start of the endpoint. */
+	/** Number of this registration; counting begins again after each start of the endpoint. */
 	readonly reportNumber: number;
 };
 
@@ -179,7 +179,7 @@
 
 /** Opens connections to endpoints. */
 export type LineConnector = {
-	/** Opens a connection that belongs to an organisation, or to this node if that is undefined; the endpoint is told which. */
+	/** Opens a connection that belongs to an organisation, or to this node if that is undefined; the endpoint learns whose connection it is. */
 	connect(endpoint: RegisteredEndpoint, organisation: string | undefined): Promise<Either<ConnectionFault, LineConnection>>;
 };
 
