--- a/src/common/homes/constants.ts
+++ b/src/common/homes/constants.ts
@@ -50,7 +50,7 @@
 	readonly queueLength: number;
 	/** Maximum estimated wait with which a statement is admitted. */
 	readonly maximumQueueWaitMs: number;
-	/** Minimum time to the deadline when a statement gets its slot, as a share of the average service time. */
+	/** Minimum time to the deadline, as a share of the average service time, with which a waiting statement still gets a slot; with less, it is refused. */
 	readonly leastServiceShare: number;
 	/** Minimum service time in milliseconds that a statement is charged with in fair sharing. */
 	readonly minimumChargeMs: number;
@@ -142,5 +142,5 @@
 	heldTotalBytes: 33_554_432,
 };
 
-/** Minimum of the bound on held transactions; otherwise that bound leaves as many connections as slots for other work. */
+/** Number of open transactions that is always allowed, even if fewer connections than slots then stay available for other work. */
 export const minimumHeldTransactions = 1;
--- a/src/common/homes/endpoint-home.ts
+++ b/src/common/homes/endpoint-home.ts
@@ -232,9 +232,10 @@
 	}
 
 	/**
-	 * Serves as long as possible. First, only new transactions have to wait, until the open ones
-	 * have ended or their time is over. Then the statements that already run are waited for, while
-	 * others are still served. New work is refused only for the time that the last statements take.
+	 * Drains in three steps, so that the endpoint is served for as long as possible. First, only new
+	 * transactions have to wait, until the open ones have ended or their time is over; the rest are
+	 * abandoned. Then it waits for the statements that already run, while others are still served.
+	 * New work is refused only for the time that the last statements take.
 	 */
 	private async _drainWithin(bounds: DrainBounds): Promise<void> {
 		const endMs = this._context.clock.nowMs() + bounds.boundMs;
--- a/src/common/homes/slot-queue.ts
+++ b/src/common/homes/slot-queue.ts
@@ -43,6 +43,7 @@
 	private readonly _endpoint: string;
 	private readonly _mayBegin: (beginsRunning: number) => boolean;
 	private readonly _queue: StatementQueue<QueuedStatement>;
+	/** Average service time of each lane in milliseconds; zero until a statement of the lane has ended. */
 	private readonly _serviceMs: Record<SlotLane, number> = {
 		transaction: 0, begin: 0, read: 0, write: 0,
 	};
@@ -145,7 +146,7 @@
 
 	/** Time in milliseconds until a statement that enters now would get a slot. */
 	estimateWaitMs(item: Pick<WaitingStatement, 'caller' | 'priority' | 'lane'>): number {
-		// While a slot is free, only new transactions wait, for `mayBegin` rather than for a slot.
+		// While a slot is free, only statements that begin a transaction wait, for `mayBegin` rather than for a slot.
 		if (this._running < this._slots) {
 			return 0;
 		}
@@ -157,7 +158,10 @@
 		return (aheadMs + runningMs) / Math.max(1, this._slots);
 	}
 
-	/** While a slot is free, only new transactions wait, so that a statement of another lane overtakes no other. */
+	/**
+	 * Whether a statement may start without waiting. While a slot is free, only statements that begin
+	 * a transaction wait, so a statement of another lane takes the slot from none of them.
+	 */
 	private _mayStartNow(lane: SlotLane): boolean {
 		return this._running < this._slots && (lane !== 'begin' || (this._queue.length === 0 && this._mayBegin(this._beginsRunning)));
 	}
@@ -229,7 +233,11 @@
 		return this._queue.length < this._context.options.queueLength ? undefined : this._evictFor(request);
 	}
 
-	/** A full queue evicts a statement of the caller that occupies most of it, which need not be the new statement's caller. */
+	/**
+	 * Makes room in a full queue for a new statement by refusing the newest statement of the caller
+	 * that has the most waiting in the least urgent class. Returns a refusal of the new statement if
+	 * it is that one itself.
+	 */
 	private _evictFor(request: SlotRequest): Refusal | undefined {
 		const victim = this._queue.evictionCandidate({...request, enteredAtMs: 0});
 		if (!victim) {
@@ -253,7 +261,7 @@
 		}
 	}
 
-	/** Occupies a slot; `chargedMs` is the service time that the caller's share was charged in advance. */
+	/** Occupies a slot; `chargedMs` is the service time that the caller's share was charged when the statement left the queue. */
 	private _grant(item: WaitingStatement, chargedMs: number): SlotGrant {
 		const {clock, metrics, invariants} = this._context;
 		const startedAtMs = clock.nowMs();
