--- a/src/common/groups/freshness-samples.ts
+++ b/src/common/groups/freshness-samples.ts
@@ -31,7 +31,7 @@
 		}
 	}
 
-	/** Start, in milliseconds, of the newest proof whose position a replica that has applied `applied` has reached; undefined when there is none. */
+	/** Start time in milliseconds of the newest sample whose position `applied`, the position that a replica has applied, has reached; undefined when there is none. */
 	newestReachedStartMs(applied: LogPosition): number | undefined {
 		let low = 0;
 		let high = this._samples.length;
