--- a/src/common/peering/delegating-row-store.ts
+++ b/src/common/peering/delegating-row-store.ts
@@ -1,5 +1,5 @@
 /**
- * The store as nodes of a large fleet use it: they read and follow tables over the coordinator of
+ * The store as nodes of a large fleet use it: they read and follow tables through the coordinator of
  * their zone, and from the store itself if the coordinator does not answer.
  *
  * The store limits the calls of all nodes together. 77 nodes that followed two tables each made some
@@ -29,7 +29,7 @@
 	readonly fleet: Fleet;
 };
 
-/** Reads and follows tables over the coordinator in a large fleet, and from the store otherwise. */
+/** Reads and follows tables through the coordinator in a large fleet, and from the store otherwise. */
 export class DelegatingRowStore implements RowStore {
 	private readonly _store: RowStore;
 	private readonly _services: DelegatingRowStoreServices;
@@ -74,7 +74,11 @@
 		return this._services.clock.nowMs() < (this._storeBackoffUntilMs.get(table) ?? 0);
 	}
 
-	/** Asks the coordinator once more when the store's backoff has ended, so that not every node of a zone reads the table. */
+	/**
+	 * When the store's backoff has ended, gives the coordinator time to read the table and asks it
+	 * once more, so that not every node of a zone reads the table from the store. Undefined if no
+	 * backoff has ended since the last call, or if the coordinator still gives no rows.
+	 */
 	private async _readAfterCoordinator(table: string): Promise<StoredRows | undefined> {
 		const {clock, fleet, options} = this._services;
 		const backoffUntilMs = this._storeBackoffUntilMs.get(table);
@@ -89,7 +93,7 @@
 		return this._askCoordinators(table, 0, 0);
 	}
 
-	/** Asks the store itself, unless it is in backoff and another node follows the table for this one. */
+	/** Asks the store itself. A node that normally asks a coordinator fails at once during the store's backoff. */
 	private async _askStore(table: string, ask: () => Promise<Either<PlatformFault, StoredRows>>): Promise<Either<PlatformFault, StoredRows>> {
 		const {clock, options} = this._services;
 		if (this._usesStoreDirectly) {
@@ -120,6 +124,7 @@
 			}
 
 			const key = keyOf(table, coordinator);
+			// While the store is in backoff, only another node can have rows, so the node's own backoff is ignored.
 			if (this._isStoreInBackoff(table) || clock.nowMs() >= (this._peerBackoffUntilMs.get(key) ?? 0)) {
 				const rows = await this._askPeer(coordinator, key, {table, afterVersion, waitMs});
 				if (rows) {
@@ -149,7 +154,7 @@
 	}
 }
 
-/** Reason given for a peer that is alive but does not follow the table at the moment. */
+/** Failure reason of a rows request that the peer answered, but without rows, because it does not follow the table at the moment. */
 export const notFollowedReason = 'the peer does not follow the table';
 
 function keyOf(table: string, {name}: PeerNode): string {
--- a/src/common/peering/relays.ts
+++ b/src/common/peering/relays.ts
@@ -1,6 +1,6 @@
 /**
  * Relays around a network partition: while this node cannot reach a primary that another node still
- * hears from, it forwards statements over that node.
+ * hears from, it forwards statements through that node.
  */
 import type {Disposable} from '../lifecycle/disposable.js';
 import {AnswerTimes} from '../pools/answer-times.js';
@@ -16,6 +16,7 @@
 type Relay = {
 	readonly pool: RemotePool;
 	readonly term: number;
+	/** Time from which a newer relay is searched for; this one expires `relayForMs` later. */
 	refreshAtMs: number;
 };
 
@@ -30,6 +31,7 @@
 	private readonly _services: RelayServices;
 	private readonly _relays = new Map<string, Relay>();
 	private readonly _searches = new Map<string, Promise<void>>();
+	/** By group: until when no relay is searched for after a search has found none. */
 	private readonly _noRelayUntilMs = new Map<string, number>();
 
 	constructor(services: RelayServices, trackers: PrimaryTrackers) {
@@ -39,7 +41,7 @@
 		});
 	}
 
-	/** The pool that reaches a group's primary over another node; undefined if no relay is known. */
+	/** The pool that reaches a group's primary through another node; undefined if no relay is known. */
 	primaryPool(group: PrimaryTracker): StatementPool | undefined {
 		const relay = this._relays.get(group.service);
 		const nowMs = this._services.clock.nowMs();
