--- a/src/common/primacy/constants.ts
+++ b/src/common/primacy/constants.ts
@@ -22,7 +22,7 @@
 	acknowledgementWaitMs: 500,
 	/**
 	 * Maximum time that the response to a write is held until a replica has received the write: a
-	 * promotion never skips a replica that has. A replica responds within 2 to 5 ms, or later when
+	 * promotion never skips a replica that has received it. A replica responds within 2 to 5 ms, or later when
 	 * the request is queued behind statements.
 	 */
 	confirmationWaitMs: 40,
@@ -98,7 +98,7 @@
 	promotionPollMs: 50,
 	/** Maximum time to wait until a replica has caught up with a primary that stepped down. */
 	handOverMs: 400,
-	/** Wait after a failed promotion. */
+	/** Time between a failed promotion and the next attempt. */
 	promotionRetryMs: 500,
 	/**
 	 * Time between two checks whether a promotion may have begun without fencing a returned replica;
@@ -107,8 +107,8 @@
 	returnLookMs: 400,
 	longestReturnLookMs: 5000,
 	/**
-	 * Time between two store reads that check whether a term is being replaced, while a proof is
-	 * pending on the answer; doubles up to the maximum below. A promotion takes one to two seconds,
+	 * Time between two store reads that check whether a term is being replaced, while a proof
+	 * waits for the result; doubles up to the maximum below. A promotion takes one to two seconds,
 	 * and its end is announced.
 	 */
 	replacementLookMs: 200,
