--- a/src/node/direct/types.ts
+++ b/src/node/direct/types.ts
@@ -32,7 +32,7 @@
 	readonly cores: number;
 	/** Time in milliseconds within which a process has to stop. */
 	readonly graceMs: number;
-	/** Time in milliseconds after which no node accepts a revoked key; undefined if that is required only of nodes that reach the store. */
+	/** Time in milliseconds after which no node accepts a revoked key; undefined if only nodes that reach the store have to reject it. */
 	readonly keyRevocationMs: number | undefined;
 	/** How the usage of organisations is counted. */
 	readonly usageRule: UsageRule;
@@ -58,6 +58,6 @@
 	readonly isCheck: boolean;
 	/** Whether the process started from the code cache that the build compiled. */
 	readonly isCodeCacheUsed: boolean;
-	/** Reads the environment, for a start or a reload; the text says what is wrong with it. */
+	/** Reads the environment, for a start or a reload; the left value says what is wrong with it. */
 	readEnvironment(): Either<string, DirectNodeEnvironment>;
 };
