--- a/src/common/invariants/invariant-checks.test.ts
+++ b/src/common/invariants/invariant-checks.test.ts
@@ -9,14 +9,14 @@
 	return {log, metrics, checks: new InvariantChecks(log, metrics, {isFatal})};
 }
 
-const neverAsked = (): string => {
+const unexpectedDetail = (): string => {
 	throw new Error('the detail must not be built for an invariant that holds');
 };
 
 describe('InvariantChecks', () => {
 	it('logs and counts nothing if the invariant holds', () => {
 		const {checks, log, metrics} = build(true);
-		expect(checks.check('slotLimit', true, neverAsked)).toEqual(true);
+		expect(checks.check('slotLimit', true, unexpectedDetail)).toEqual(true);
 		expect(log.event).not.toHaveBeenCalled();
 		expect(metrics.count).not.toHaveBeenCalled();
 	});
--- a/src/common/organisations/usage-budget.test.ts
+++ b/src/common/organisations/usage-budget.test.ts
@@ -28,7 +28,7 @@
 		expect(budget.takeShare(0.5, 0)).toEqual(0);
 	});
 
-	it('drops the operations beyond the capacity of a lower limit', () => {
+	it('drops the operations beyond the new capacity when the limit is lowered', () => {
 		const budget = new UsageBudget(size, 5, 0);
 		budget.resize({perS: 1, capacity: 1}, 0);
 		expect([budget.take(0), budget.take(0)]).toEqual([0, 1000]);
--- a/src/node/direct/readiness.test.ts
+++ b/src/node/direct/readiness.test.ts
@@ -8,7 +8,10 @@
 	const clock = new VirtualClock();
 	let readiness: Readiness;
 
-	/** Starts the readiness of a node that reached its groups until now; the store answers probes if it is reachable. */
+	/**
+	 * Starts the readiness checks of a node that has just lost all its groups; the store answers probes only if it is reachable.
+	 * With `hasFailures`, attempts to reach a primary have failed. Returns counters of the probes and of the calls of `onCutOff`.
+	 */
 	function start({isStoreReachable, hasFailures = false, isStoreSettled = () => true}: {
 		isStoreReachable: boolean; hasFailures?: boolean; isStoreSettled?: () => boolean;
 	}): {probes: () => number; closed: () => number} {
@@ -57,7 +60,7 @@
 		expect(readiness.isReady).toEqual(true);
 	});
 
-	it('asks for no callers soon after it lost every group and the store', async () => {
+	it('stops being ready soon after it lost every group and the store', async () => {
 		const {closed} = start({isStoreReachable: false});
 		await clock.advance(readinessTimes.cutOffAfterMs - readinessTimes.checkEveryMs);
 		expect(readiness.reason).toEqual('ready');
@@ -67,7 +70,7 @@
 		expect(closed() > 0).toEqual(true);
 	});
 
-	it('asks for no callers sooner if attempts failed and the store has not answered either', async () => {
+	it('stops being ready sooner if attempts failed and the store has not answered either', async () => {
 		start({isStoreReachable: false, hasFailures: true});
 		await clock.advance(readinessTimes.cutOffAfterFailuresMs + (2 * readinessTimes.checkEveryMs));
 		expect(readiness.reason).toEqual('cutOff');
@@ -88,7 +91,7 @@
 		expect(probes() <= 10_000 / readinessTimes.probeEveryMs).toEqual(true);
 	});
 
-	it('is not ready once it leaves', async () => {
+	it('is not ready once the node leaves', async () => {
 		start({isStoreReachable: true});
 		await clock.advance(readinessTimes.checkEveryMs);
 		readiness.leave();
--- a/src/node/observability/rate-limited-log.ts
+++ b/src/node/observability/rate-limited-log.ts
@@ -4,7 +4,7 @@
 import type {Disposable} from '../../common/lifecycle/disposable.js';
 import type {Clock, Log, LogEventName} from '../../common/services/services.js';
 
-/** Length of the interval in which lines are counted. */
+/** Length of the interval in which lines are counted; also a field of the `logLinesDropped` event. */
 const spanMs = 1000;
 
 /** Events that are always written: they are rare, and other events can't be understood without them. */
@@ -35,7 +35,7 @@
 	isWritten(name: LogEventName): boolean;
 };
 
-/** Forwards events to a log, up to a number per second. */
+/** Forwards events to a log, at most a given number per interval; events in `unbounded` are always forwarded and not counted. */
 export class RateLimitedLog implements Log, Disposable {
 	private readonly _log: LeveledLog;
 	private readonly _clock: Clock;
@@ -44,14 +44,14 @@
 	private _lines = 0;
 	private _timer: Disposable | undefined;
 
-	constructor(log: LeveledLog, clock: Clock, linesPerSpan: number) {
+	constructor(log: LeveledLog, clock: Clock, linesPerInterval: number) {
 		this._log = log;
 		this._clock = clock;
-		this._linesPerInterval = linesPerSpan;
+		this._linesPerInterval = linesPerInterval;
 	}
 
 	event(name: LogEventName, fields?: Readonly<Record<string, unknown>>): void {
-		// Events below the log's level are not written and must not use up the limit: some occur with every write.
+		// Events below the log's level are not written and must not use up the limit: `writeAcknowledged`, for example, occurs with every acknowledged write.
 		if (!this._log.isWritten(name)) {
 			return;
 		}
--- a/src/node/platform/client-options.ts
+++ b/src/node/platform/client-options.ts
@@ -5,7 +5,7 @@
 import {maximumSockets} from './constants.js';
 import type {PlatformSettings} from './settings.js';
 
-/** Options of a client: the timeouts of the settings, and no retries of its own, which its caller could not observe. */
+/** Options of a client: the timeouts from the settings, and a single attempt, since callers could not observe retries inside the client. */
 export function clientOptions(settings: PlatformSettings, endpoint: string | undefined) {
 	return {
 		region: settings.region,
@@ -18,7 +18,7 @@
 			throwOnRequestTimeout: true,
 			httpAgent: {keepAlive: true, maxSockets: maximumSockets},
 			httpsAgent: {keepAlive: true, maxSockets: maximumSockets},
-			// The operation's timeout bounds the wait for a socket; a longer threshold keeps the client from warning about it.
+			// The operation's timeout bounds the wait for a socket; this longer threshold keeps the client from also logging a warning.
 			socketAcquisitionWarningTimeout: 2 * settings.requestTimeoutMs,
 		}),
 	};
--- a/src/node/settings/types.ts
+++ b/src/node/settings/types.ts
@@ -2,7 +2,7 @@
  * Types of the settings loader.
  */
 
-/** One problem of a file. */
+/** One problem in a settings file. */
 export type SettingsProblem = {
 	/** Counted from one. */
 	readonly line: number;
@@ -14,7 +14,7 @@
 	readonly expected: string;
 };
 
-/** A step of a path: the name of a property or an index. */
+/** A step of a path within a settings document: the name of a property or an index. */
 export type PathStep = string | number;
 
 /** Values of the environment variables by name. */
--- a/src/typings.test.ts
+++ b/src/typings.test.ts
@@ -56,6 +56,7 @@
 	viewCorrection: Same<documented.ViewCorrection, ViewCorrection>;
 };
 
+/** The type requires a property for every pair that differs, so the empty object compiles only if all pairs agree. */
 const agreements: {[Name in keyof Agreements as Agreements[Name] extends true ? never : Name]: never} = {};
 
 describe('typings/quetzalstream.d.ts', () => {
--- a/standins/endpoint/sql/session.test.ts
+++ b/standins/endpoint/sql/session.test.ts
@@ -44,6 +44,7 @@
 	'INSERT INTO items (id, name, price) VALUES (1, \'apple\', 1.5), (2, \'pear\', 2), (3, \'plum\', NULL)',
 ];
 
+/** Texts with their expected answers and their parameters; they run in this order in one session, so each depends on those before it. */
 const statements: ReadonlyArray<readonly [string, Answer, Parameters?]> = [
 	['SELECT id, name FROM items WHERE id = 2', [[2, 'pear']]],
 	['SELECT name FROM items WHERE id = $1', [['plum']], [3]],
@@ -115,6 +116,7 @@
 			expect([text, cache.parseSimple(text).literalTexts]).toEqual([text, texts]);
 		}
 
+		// A simple query shares the cache entry of the same text with parameters.
 		expect(cache.parse('SELECT * FROM t WHERE id = $1 AND name = $2')).toExactlyEqual(cache.parseSimple('SELECT * FROM t WHERE id = 5 AND name = \'x\'').statements);
 	});
 
@@ -128,10 +130,12 @@
 		await harness.run(one, 'BEGIN; UPDATE items SET stock = 10 WHERE id = 1');
 		await harness.run(two, 'BEGIN; UPDATE items SET stock = 20 WHERE id = 2');
 		const waiting = harness.run(two, 'UPDATE items SET stock = stock + 1 WHERE id = 1 RETURNING stock');
+		// Each session now needs a row of the other: the first one is refused, and its rollback lets the second one continue.
 		expect(await harness.run(one, 'UPDATE items SET stock = 0 WHERE id = 2')).toEqual('40P01');
 		expect(await waiting).toEqual([[1]]);
 		expect(await harness.run(one, 'ROLLBACK; SELECT stock FROM items WHERE id = 1')).toEqual([[0]]);
 		const tooLong = harness.run(one, 'DELETE FROM items WHERE id = 2');
+		// Longer than the lock timeout of the harness.
 		await harness.group.clock.advance(1001);
 		expect(await tooLong).toEqual('55P03');
 		const forUpdate = harness.run(one, 'SELECT stock FROM items WHERE id = 2 FOR UPDATE');
