--- a/bench/control/control-system.ts
+++ b/bench/control/control-system.ts
@@ -56,7 +56,7 @@
 	constructor() {
 		const clock = new SystemClock();
 		const random = new SystemRandom();
-		// Many hosts are registered at once, and the platform's rate limits are not measured here.
+		// Many hosts are registered at once, and the platform's rate limits are not the subject of this benchmark.
 		this._platform = new MemoryPlatform(clock, random, {writesPerSecond: 1_000_000, readsPerSecond: 1_000_000});
 		const {table, objects} = this._platform.connect();
 		const counted = new CountingTable(table, this.traffic);
--- a/src/common/routing/request-progress.ts
+++ b/src/common/routing/request-progress.ts
@@ -1,5 +1,5 @@
 /**
- * State of one routed request while it is in progress: its limits and what was tried so far.
+ * State of one routed request while it is in progress: its limits and the attempts made so far.
  */
 import type {Refusal} from '../errors/error-kinds.js';
 import type {LogPosition} from '../positions/log-position.js';
